--- a/internal/agent/exchanges.go
+++ b/internal/agent/exchanges.go
@@ -19,7 +19,7 @@
 		return
 	}
 	rec.reply, rec.cancel = m.reply, m.cancel
-	rec.entry, rec.class, rec.long, rec.began = m.entry, m.head.Class, m.head.Long, s.now
+	rec.entry, rec.class, rec.long, rec.began = m.entry, m.head.Class, m.head.LongClass, s.now
 	rec.refusal = s.refusal(m, rec)
 	exchangeChart.Step(rec, &rec.state, exBegin)
 	if exchangeChart.Final(rec.state) {
--- a/internal/agent/lending.go
+++ b/internal/agent/lending.go
@@ -120,7 +120,7 @@
 		}
 	}
 	b.longSent = s.longFree()
-	b.out.TrySend(&msg.CreditGrant{Backend: s.backend.Backend, Generation: b.generation, Count: granted, Long: b.longSent})
+	b.out.TrySend(&msg.CreditGrant{Backend: s.backend.Backend, Generation: b.generation, Count: granted, MaxLong: b.longSent})
 }
 
 // tellLong tells the entries how many long requests may start, when it changed.
@@ -132,7 +132,7 @@
 	for _, b := range s.borrowers {
 		if b.longSent != free {
 			b.longSent = free
-			b.out.TrySend(&msg.CreditGrant{Backend: s.backend.Backend, Generation: b.generation, Long: free})
+			b.out.TrySend(&msg.CreditGrant{Backend: s.backend.Backend, Generation: b.generation, MaxLong: free})
 		}
 	}
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -191,7 +191,7 @@
 	}
 	switch m := m.Msg.(type) {
 	case *msg.Demand:
-		b.Queued, b.Tightest, b.Granted = m.Queued, m.Tightest, 0
+		b.Queued, b.Tightest, b.Granted = m.Queued, m.MinRemaining, 0
 	case *msg.CreditReturn:
 		if m.Generation == b.generation {
 			s.returned(b, m.Count)
@@ -239,7 +239,7 @@
 // query answers what became of a request. One that has not started is
 // refused first, so that the answer stays true.
 func (s *slots) query(b *borrower, id model.RequestID) {
-	reply := &msg.OutcomeReply{ID: id, State: msg.ExchangeForgotten}
+	reply := &msg.OutcomeReply{ID: id, State: msg.ExchangeUnknown}
 	if rec := s.records.get(id); rec != nil {
 		if rec.refusal == 0 {
 			rec.refusal = msg.RefusedCancelled
--- a/internal/agent/slots_model_test.go
+++ b/internal/agent/slots_model_test.go
@@ -125,7 +125,7 @@
 	e.credits--
 	id := model.RequestID{Entry: e.id, Seq: uint64(len(x.requests) + 1)}
 	x.requests = append(x.requests, &testRequest{entry: e, reply: make(chan verdict, 1),
-		head: &msg.RequestHead{ID: id, Generation: e.generation, Class: "read", Long: long}})
+		head: &msg.RequestHead{ID: id, Generation: e.generation, Class: "read", LongClass: long}})
 }
 
 func (x *slotsTest) arrive(r *testRequest) {
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -182,7 +182,7 @@
 		t.row("ID", "TEAM", "CLASS", "PHASE", "ATTEMPT", "WORKER", "REASON")
 		for _, j := range list {
 			phase := string(j.Phase)
-			if j.Cancel && phase != "cancelled" {
+			if j.CancelRequested && phase != "cancelled" {
 				phase += " (cancel requested)"
 			}
 			t.row(j.Spec.ID, j.Spec.Team, j.Spec.Class, phase, j.Attempt, dash(string(j.Worker)), dash(j.Reason))
@@ -210,7 +210,7 @@
 			t.row("checkpoint", dash(view.Checkpoint))
 			t.row("result", dash(view.Result))
 			t.row("reason", dash(view.Reason))
-			t.row("cancel requested", view.Cancel)
+			t.row("cancel requested", view.CancelRequested)
 		})
 	})
 	c.Flags().StringVar(&cell, "cell", "", "cell of the job (default: the entry's default cell)")
--- a/internal/command/jobwait.go
+++ b/internal/command/jobwait.go
@@ -44,7 +44,7 @@
 			shown = view.Phase
 			a.progress("%s", strings.TrimSpace(fmt.Sprintf("job %s is %s %s", view.Spec.ID, view.Phase, view.Reason)))
 		}
-		if final[view.Phase] || (view.Phase == phaseParked && !view.Cancel) {
+		if final[view.Phase] || (view.Phase == phaseParked && !view.CancelRequested) {
 			break
 		}
 		if !actor.Sleep(ctx, jobPoll) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -268,7 +268,7 @@
 		w.pass(5 * time.Second)
 		before, started := w.commits(), w.started()
 		for _, id := range ids {
-			w.table.edit(id, func(r *model.JobRow) { r.Cancel = true })
+			w.table.edit(id, func(r *model.JobRow) { r.CancelRequested = true })
 		}
 		w.reaches(time.Minute, "cancelled", ids...)
 		require.LessOrEqual(t, w.commits()-before, wave/100)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -269,6 +269,6 @@
 	}
 }
 
-func (c *Core) beatRow() rows.CellBeat {
-	return rows.CellBeat{Owner: c.opts.Entry, Boot: c.opts.Boot, Counter: c.cell.counter}
+func (c *Core) beatRow() rows.CellHeartbeat {
+	return rows.CellHeartbeat{Owner: c.opts.Entry, Boot: c.opts.Boot, Counter: c.cell.counter}
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -122,7 +122,7 @@
 	}
 	// Beat writes the heartbeat row, fenced by the version of the epoch row.
 	Beat struct {
-		Beat  rows.CellBeat
+		Beat  rows.CellHeartbeat
 		Fence storage.Revision
 		Sent  time.Duration
 	}
--- a/internal/control/job.go
+++ b/internal/control/job.go
@@ -87,7 +87,7 @@
 		States: []string{"pending", "placed", "running", "evicting", "parked", "done", "failed", "cancelled"},
 		Events: []string{"place", "started", "finished", "failed", "interrupted", "evict", "cancel"},
 		Guards: map[string]func(*job) bool{
-			"cancelling": func(j *job) bool { return j.row.Cancel },
+			"cancelling": func(j *job) bool { return j.row.CancelRequested },
 			"exhausted":  func(j *job) bool { return j.row.Failures+1 >= maxFailures },
 			"parking":    func(j *job) bool { return j.parked != "" },
 		},
@@ -168,8 +168,8 @@
 		return
 	}
 	j.version = max(j.version, r.Version)
-	if r.Row.Cancel && !j.row.Cancel {
-		j.row.Cancel = true
+	if r.Row.CancelRequested && !j.row.CancelRequested {
+		j.row.CancelRequested = true
 		c.stepJob(j, evCancel)
 	}
 }
@@ -195,7 +195,7 @@
 	if phase == stPlaced || phase == stJobRunning || phase == stEvicting {
 		c.inherit(j)
 	}
-	if j.row.Cancel {
+	if j.row.CancelRequested {
 		c.stepJob(j, evCancel)
 	}
 }
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -207,7 +207,7 @@
 			p.rounds = 0 // an agent that does not answer gets no tasks
 			c.rate(p)
 		}
-		c.send(p, &msg.LeaseRenew{Command: c.command(), Sequence: seq, TTL: ttl, LongTTL: long})
+		c.send(p, &msg.LeaseRenew{Command: c.command(), Sequence: seq, TTL: ttl, LongRunningTTL: long})
 	}
 }
 
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -151,7 +151,7 @@
 	e.text(j.row.Checkpoint)
 	e.text(string(j.row.Worker))
 	e.ints(int64(j.phase), int64(j.row.Attempt), int64(j.row.Failures), int64(j.generation-j.committed))
-	e.flags(j.row.Cancel, j.queued, j.written > 0, j.attempt.live)
+	e.flags(j.row.CancelRequested, j.queued, j.written > 0, j.attempt.live)
 	e.revisions(j.version)
 	if j.written > 0 {
 		e.ints(int64(j.generation - j.written))
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -213,7 +213,7 @@
 		Operation: op,
 		Checks:    []storage.Check{{Key: fence, Version: f.Fence}},
 		Puts: []storage.Put{
-			{Key: rows.CellBeatKey(s.cell), Value: rows.Encode(f.Beat)},
+			{Key: rows.CellHeartbeatKey(s.cell), Value: rows.Encode(f.Beat)},
 			{Key: s.writer.key + "/beat", Value: rows.Encode(writerRow{op})},
 		},
 	})
@@ -227,7 +227,7 @@
 	if err != nil {
 		return Observed{Err: err}
 	}
-	_, beat, err := readRow[rows.CellBeat](ctx, s.table, rows.CellBeatKey(s.cell))
+	_, beat, err := readRow[rows.CellHeartbeat](ctx, s.table, rows.CellHeartbeatKey(s.cell))
 	return Observed{Err: err, Epoch: epoch, EpochVersion: version, BeatVersion: beat}
 }
 
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -210,7 +210,7 @@
 }
 
 var outcomeEvents = map[msg.ExchangeState]chart.Event{
-	msg.ExchangeForgotten:  evForgotten,
+	msg.ExchangeUnknown:    evForgotten,
 	msg.ExchangeNotStarted: evNotStarted,
 	msg.ExchangeStarted:    evRunning,
 	msg.ExchangeFinished:   evEnded,
@@ -233,7 +233,7 @@
 		Service: c.rt.service, Class: c.rt.class.Name, Tenant: c.rt.tenant,
 		Method: c.r.Method, URI: c.r.URL.RequestURI(), Host: c.r.Host,
 		Header: forwarded(c.r), ContentLength: c.r.ContentLength,
-		Deadline: time.Until(c.req.Deadline), Long: c.attempt.to.long,
+		Deadline: time.Until(c.req.Deadline), LongClass: c.attempt.to.long,
 	}
 }
 
--- a/internal/entry/credits.go
+++ b/internal/entry/credits.go
@@ -75,7 +75,7 @@
 	}
 	if a.boot != m.boot {
 		delete(d.asking, m.id)
-		tell(m.call, callMessage{kind: callOutcome, outcome: msg.ExchangeForgotten})
+		tell(m.call, callMessage{kind: callOutcome, outcome: msg.ExchangeUnknown})
 		return
 	}
 	a.out.TrySend(&msg.OutcomeQuery{ID: m.id})
@@ -92,7 +92,7 @@
 	case *msg.CreditGrant:
 		if i := a.backend; i != nil && i.Backend == m.Backend && m.Generation == a.generation {
 			i.Credits += m.Count
-			i.longFree = m.Long
+			i.longFree = m.MaxLong
 			d.dispatch(i.service)
 		}
 	case *msg.CreditRecall:
@@ -238,7 +238,7 @@
 	s.demanded, s.reported = now, d.now
 	m := &msg.Demand{Service: s.name, Queued: now.queued, Short: now.short}
 	if at, ok := s.queue.Tightest(); ok {
-		m.Tightest = max(at.Sub(d.now), time.Millisecond)
+		m.MinRemaining = max(at.Sub(d.now), time.Millisecond)
 	}
 	// Each agent sees an equal part of the queue: the whole of it at every
 	// agent would draw as many credits as there are agents.
--- a/internal/entry/dispatcher_test.go
+++ b/internal/entry/dispatcher_test.go
@@ -29,7 +29,7 @@
 		worker := model.Worker{ID: model.WorkerID(fmt.Sprint(i)), DataCentre: model.DataCentre(fmt.Sprint(i % 3))}
 		d.handle(AgentUp{Hello: msg.AgentHello{Worker: worker}, Generation: 1})
 		linkTo(d, worker.ID, &msg.BackendState{Backend: model.BackendID(worker.ID), Service: "svc", State: "ready", Slots: 8})
-		linkTo(d, worker.ID, &msg.CreditGrant{Backend: model.BackendID(worker.ID), Generation: 1, Count: credits, Long: long})
+		linkTo(d, worker.ID, &msg.CreditGrant{Backend: model.BackendID(worker.ID), Generation: 1, Count: credits, MaxLong: long})
 	}
 	return d, d.service("svc")
 }
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -199,7 +199,7 @@
 	}
 	if r := w.table.jobs[id]; !over(r.Row.Phase) {
 		w.table.rev++
-		r.Row.Cancel, r.Version = true, w.table.rev
+		r.Row.CancelRequested, r.Version = true, w.table.rev
 		w.table.jobs[id] = r
 	}
 }
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -32,7 +32,7 @@
 	ints(int64(min(w.now, x.model.Window)), int64(w.boots))
 	for _, id := range slices.Sorted(maps.Keys(w.table.jobs)) {
 		r := w.table.jobs[id]
-		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.Cancel, scale.Rank(r.Version))
+		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.CancelRequested, scale.Rank(r.Version))
 	}
 	for _, f := range w.active {
 		ints(int64(f.kind), int64(f.c), int64(f.a), int64(f.until-w.now))
--- a/internal/hostguard/core.go
+++ b/internal/hostguard/core.go
@@ -38,12 +38,12 @@
 
 // Call is an order for the backend server. Exactly one of the pointers is set.
 type Call struct {
-	Target runner.Target
-	Start  *runner.Start
-	Stop   *workload.RunID
-	Pace   *PaceCall
-	Look   *runner.Hold
-	born   int64
+	Target      runner.Target
+	Start       *runner.StartRequest
+	Stop        *workload.RunID
+	Pace        *PaceCall
+	Look        *runner.PollRequest
+	startedAtMS int64
 }
 
 // PaceCall sets the share at which a run may work.
@@ -56,7 +56,7 @@
 type Answer struct {
 	Call    Call
 	ClockMS int64 // 0: not told
-	Listing runner.Listing
+	Listing runner.PollResponse
 	Err     error
 }
 
@@ -164,7 +164,7 @@
 }
 
 func (c *Core) call(call Call) {
-	call.Target, call.born = c.target(), c.host.Born
+	call.Target, call.startedAtMS = c.target(), c.host.StartedAtMS
 	c.calls = append(c.calls, call)
 }
 
@@ -204,7 +204,7 @@
 	for _, r := range c.sorted() {
 		r.tick()
 	}
-	if c.host.Instance != "" && !c.ended && c.leaseSent > 0 && c.clock.least(c.now) > c.leaseSent && c.host.State != workload.HostAway {
+	if c.host.Instance != "" && !c.ended && c.leaseSent > 0 && c.clock.least(c.now) > c.leaseSent && c.host.State != workload.HostUnavailable {
 		c.endLife("its leases have lapsed without an answer")
 	}
 	c.report()
@@ -212,11 +212,11 @@
 
 // report tells the owner of the runs, for a new grant of the lease.
 func (c *Core) report() {
-	if c.owner == 0 || !c.taken || c.now < c.nextReport || c.host.State == workload.HostAway {
+	if c.owner == 0 || !c.taken || c.now < c.nextReport || c.host.State == workload.HostUnavailable {
 		return
 	}
 	c.nextReport = c.now + reportInterval
-	m := &msg.RunsProgress{Epoch: c.epoch, Instance: c.host.Instance, Born: c.host.Born, ClockMS: c.clock.least(c.now)}
+	m := &msg.RunsProgress{Epoch: c.epoch, Instance: c.host.Instance, StartedAtMS: c.host.StartedAtMS, ClockMS: c.clock.least(c.now)}
 	for _, r := range c.sorted() {
 		m.Runs = append(m.Runs, r.status())
 	}
@@ -227,10 +227,10 @@
 func (c *Core) flushChanges() {
 	m := c.changed
 	c.changed = msg.RunsChanged{}
-	if c.owner == 0 || !c.told || len(m.Started)+len(m.Refused)+len(m.Ends) == 0 {
+	if c.owner == 0 || !c.told || len(m.Started)+len(m.Refused)+len(m.Ended) == 0 {
 		return // the next inventory tells
 	}
-	m.Epoch, m.Instance, m.Born = c.epoch, c.host.Instance, c.host.Born
+	m.Epoch, m.Instance, m.StartedAtMS = c.epoch, c.host.Instance, c.host.StartedAtMS
 	c.sends = append(c.sends, Send{c.owner, &m})
 }
 
--- a/internal/hostguard/guard_test.go
+++ b/internal/hostguard/guard_test.go
@@ -49,7 +49,7 @@
 func (w *world) announce(born int64, state workload.HostState, sequence uint64) {
 	w.guard.Announced(runner.Announcement{
 		Host: workload.Host{
-			Instance: "i", Born: born, Service: "desk", State: state, Capacity: workload.Resources{MilliCPU: 2000, MemoryMB: 100},
+			Instance: "i", StartedAtMS: born, Service: "desk", State: state, Capacity: workload.Resources{MilliCPU: 2000, MemoryMB: 100},
 		},
 		Sequence: sequence, ClockMS: w.clockMS(),
 	})
@@ -59,7 +59,7 @@
 // list answers a watch call.
 func (w *world) list(runs []msg.RunStatus, ends ...msg.RunEnd) {
 	watch := w.guard.Watch()
-	w.guard.HoldAnswered(watch.Target, watch.Born, runner.Listing{ClockMS: w.clockMS(), Born: watch.Born, Runs: runs, Ends: ends}, nil)
+	w.guard.HoldAnswered(watch.Target, watch.StartedAtMS, runner.PollResponse{ClockMS: w.clockMS(), StartedAtMS: watch.StartedAtMS, Runs: runs, Ended: ends}, nil)
 	w.settle()
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (w *world) take(from LinkID, epoch uint64) {
-	w.guard.Received(from, &msg.InventoryTaken{Epoch: epoch, ClockMS: w.clockMS()})
+	w.guard.Received(from, &msg.InventoryAccepted{Epoch: epoch, ClockMS: w.clockMS()})
 	w.settle()
 }
 
@@ -86,7 +86,7 @@
 }
 
 func (w *world) start(from LinkID, epoch uint64, index int, cpu int64) {
-	w.guard.Received(from, &msg.StartRuns{Epoch: epoch, Instance: "i", Born: w.guard.Host().Born, Starts: []msg.RunStart{{
+	w.guard.Received(from, &msg.StartRuns{Epoch: epoch, Instance: "i", StartedAtMS: w.guard.Host().StartedAtMS, Starts: []msg.RunStart{{
 		Size: msg.RunSize{Run: run(index), Charge: workload.Resources{MilliCPU: cpu}},
 	}}})
 	w.settle()
@@ -148,16 +148,16 @@
 	w.ready()
 	w.start(owner, 1, 0, 1500)
 	first := w.last()
-	w.answer(first, 0, runner.ErrUnknown)
+	w.answer(first, 0, runner.ErrOutcomeUnknown)
 	look := w.last()
 	require.NotNil(t, look.Look)
 	require.Greater(t, look.Target.Token, first.Target.Token)
 
 	// A watch call with the old token does not settle it.
-	w.guard.HoldAnswered(first.Target, 1, runner.Listing{ClockMS: w.clockMS() + 1, Born: 1}, nil)
+	w.guard.HoldAnswered(first.Target, 1, runner.PollResponse{ClockMS: w.clockMS() + 1, StartedAtMS: 1}, nil)
 	w.settle()
 	require.Empty(t, w.refused())
-	w.guard.Answered(Answer{Call: look, ClockMS: w.clockMS() + 2, Listing: runner.Listing{ClockMS: w.clockMS() + 2, Born: 1}})
+	w.guard.Answered(Answer{Call: look, ClockMS: w.clockMS() + 2, Listing: runner.PollResponse{ClockMS: w.clockMS() + 2, StartedAtMS: 1}})
 	w.settle()
 	require.Equal(t, []workload.RunID{run(0)}, w.refused())
 }
@@ -167,7 +167,7 @@
 	w := newWorld(t)
 	w.ready()
 	w.start(owner, 1, 0, 1500)
-	w.answer(w.last(), 0, runner.ErrUnknown)
+	w.answer(w.last(), 0, runner.ErrOutcomeUnknown)
 	w.list([]msg.RunStatus{{Run: run(0)}})
 	changed := w.sends[len(w.sends)-1].(*msg.RunsChanged)
 	require.Equal(t, []workload.RunID{run(0)}, changed.Started)
@@ -182,9 +182,9 @@
 	require.Zero(t, w.guard.Watch().Pause)
 	w.list(nil, msg.RunEnd{Number: 1, Run: run(7)})
 	require.Equal(t, untakenPause, w.guard.Watch().Pause)
-	w.guard.Received(owner, &msg.EndsTaken{Epoch: 1, Instance: "i", Born: 1, Upto: 1})
+	w.guard.Received(owner, &msg.EndsAcknowledged{Epoch: 1, Instance: "i", StartedAtMS: 1, LastNumber: 1})
 	require.Zero(t, w.guard.Watch().Pause)
-	require.EqualValues(t, 1, w.guard.Watch().Hold.Taken)
+	require.EqualValues(t, 1, w.guard.Watch().Hold.Acknowledged)
 }
 
 // Guards against runs that outlive the owner's word: without a new grant the
@@ -195,7 +195,7 @@
 	granted := w.clockMS() + 6000
 	w.advance(3 * time.Second)
 	require.LessOrEqual(t, w.guard.Watch().Hold.LeaseMS, granted)
-	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, Born: 1, ClockMS: w.clockMS()})
+	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, StartedAtMS: 1, ClockMS: w.clockMS()})
 	require.Greater(t, w.guard.Watch().Hold.LeaseMS, granted)
 	w.guard.Unlinked(owner)
 	w.advance(8 * time.Second)
@@ -211,7 +211,7 @@
 	w.advance(4900 * time.Millisecond)
 	require.Equal(t, workload.HostReady, w.guard.Host().State)
 	w.advance(500 * time.Millisecond)
-	require.Equal(t, workload.HostAway, w.guard.Host().State)
+	require.Equal(t, workload.HostUnavailable, w.guard.Host().State)
 	inventory := w.sends[len(w.sends)-1].(*msg.HostInventory)
 	require.Empty(t, inventory.Runs)
 }
@@ -221,7 +221,7 @@
 	w := newWorld(t)
 	w.announce(2, workload.HostReady, 1)
 	w.announce(1, workload.HostReady, 9)
-	require.EqualValues(t, 2, w.guard.Host().Born)
+	require.EqualValues(t, 2, w.guard.Host().StartedAtMS)
 	w.announce(2, workload.HostDraining, 3)
 	w.announce(2, workload.HostReady, 2)
 	require.Equal(t, workload.HostDraining, w.guard.Host().State)
@@ -259,14 +259,14 @@
 	w.claim(owner, 1)
 	listed := []msg.RunStatus{{Run: run(0)}}
 	w.list(listed)
-	w.guard.Received(owner, &msg.InventoryTaken{Epoch: 1, ClockMS: w.clockMS(), Sizes: []msg.RunSize{{Run: run(0), Filler: true, Image: "m"}}})
+	w.guard.Received(owner, &msg.InventoryAccepted{Epoch: 1, ClockMS: w.clockMS(), Sizes: []msg.RunSize{{Run: run(0), BestEffort: true, Image: "m"}}})
 	w.advance(time.Second)
 	w.list(listed)
 	call := w.last()
 	require.NotNil(t, call.Pace)
 	require.Equal(t, fullPace, call.Pace.Percent)
 	paces := len(w.calls)
-	w.answer(call, 0, runner.ErrUnknown)
+	w.answer(call, 0, runner.ErrOutcomeUnknown)
 	w.list(listed)
 	require.Len(t, w.calls, paces+1, "a call that failed is repeated")
 	w.answer(w.last(), w.clockMS(), nil)
--- a/internal/hostguard/held.go
+++ b/internal/hostguard/held.go
@@ -122,16 +122,16 @@
 
 func (r *held) status() msg.RunStatus {
 	s := r.latest
-	s.Run, s.Pace = r.id, r.pace
+	s.Run, s.CPULimitPercent = r.id, r.pace
 	if r.pace == unknownPace {
-		s.Pace = fullPace
+		s.CPULimitPercent = fullPace
 	}
-	s.InDoubt = r.state == heldStarting || r.state == heldDoubtful
+	s.Unconfirmed = r.state == heldStarting || r.state == heldDoubtful
 	return s
 }
 
 // visibleTo reports whether a listing would show the run if it ran.
-func (r *held) visibleTo(t runner.Target, l runner.Listing) bool {
+func (r *held) visibleTo(t runner.Target, l runner.PollResponse) bool {
 	switch r.state {
 	case heldDoubtful:
 		return t.Token >= r.doubt
@@ -160,7 +160,7 @@
 }
 
 func (r *held) reportEnd() {
-	r.core.changed.Ends = append(r.core.changed.Ends, r.end)
+	r.core.changed.Ended = append(r.core.changed.Ended, r.end)
 }
 
 // raiseToken makes the backend server ignore the unanswered start once it has
@@ -172,5 +172,5 @@
 }
 
 func (r *held) look() {
-	r.core.call(Call{Look: &runner.Hold{Taken: r.core.cursor, LeaseMS: r.core.leaseMS()}})
+	r.core.call(Call{Look: &runner.PollRequest{Acknowledged: r.core.cursor, LeaseMS: r.core.leaseMS()}})
 }
--- a/internal/hostguard/life.go
+++ b/internal/hostguard/life.go
@@ -13,17 +13,17 @@
 // Announced takes an announcement of the backend server. Late ones of former
 // lives are ignored.
 func (c *Core) Announced(a runner.Announcement) {
-	same := a.Host.Instance == c.host.Instance && a.Host.Born == c.host.Born
+	same := a.Host.Instance == c.host.Instance && a.Host.StartedAtMS == c.host.StartedAtMS
 	switch {
 	case same && (a.Sequence <= c.sequence || c.ended):
 		return
-	case !same && c.host.Instance != "" && a.Host.Born < c.host.Born && !c.ended:
+	case !same && c.host.Instance != "" && a.Host.StartedAtMS < c.host.StartedAtMS && !c.ended:
 		return
 	}
 	before := c.host
 	if !same {
 		c.beginLife()
-	} else if before.State == workload.HostAway {
+	} else if before.State == workload.HostUnavailable {
 		c.listed, c.told, c.taken = false, false, false // it was silent, not dead
 	}
 	c.sequence = a.Sequence
@@ -64,7 +64,7 @@
 func (c *Core) endLife(why string) {
 	c.note(Decision{Kind: LifeEnded, Detail: why})
 	c.dropRuns()
-	c.host.State = workload.HostAway
+	c.host.State = workload.HostUnavailable
 	c.announce()
 	c.told, c.taken = false, false
 	c.tell()
@@ -92,17 +92,17 @@
 
 // Watch is the next call of the loop that watches the backend server.
 type Watch struct {
-	Target runner.Target
-	Hold   runner.Hold
-	Born   int64
-	Pause  time.Duration // before the call
+	Target      runner.Target
+	Hold        runner.PollRequest
+	StartedAtMS int64
+	Pause       time.Duration // before the call
 }
 
 // Watch returns the next call of the loop that watches the backend server. A
 // backend server answers at once while it lists ends that are not taken, so
 // the calls are spaced until the owner has stored them.
 func (c *Core) Watch() Watch {
-	w := Watch{Target: c.target(), Hold: runner.Hold{Taken: c.cursor, LeaseMS: c.leaseMS(), Wait: holdWait}, Born: c.host.Born}
+	w := Watch{Target: c.target(), Hold: runner.PollRequest{Acknowledged: c.cursor, LeaseMS: c.leaseMS(), Wait: holdWait}, StartedAtMS: c.host.StartedAtMS}
 	if len(c.ends) > 0 {
 		w.Pause = untakenPause
 	}
@@ -114,9 +114,9 @@
 const untakenPause = 50 * time.Millisecond
 
 // HoldAnswered takes the answer to Watch.
-func (c *Core) HoldAnswered(t runner.Target, born int64, l runner.Listing, err error) {
+func (c *Core) HoldAnswered(t runner.Target, born int64, l runner.PollResponse, err error) {
 	c.answered(born, l.ClockMS, err)
-	if err == nil && born == c.host.Born && !c.ended {
+	if err == nil && born == c.host.StartedAtMS && !c.ended {
 		c.list(t, l)
 	}
 }
@@ -127,7 +127,7 @@
 
 // answered takes what every answer tells.
 func (c *Core) answered(born, clockMS int64, err error) {
-	if born != c.host.Born || c.ended {
+	if born != c.host.StartedAtMS || c.ended {
 		return
 	}
 	if clockMS > 0 {
@@ -136,7 +136,7 @@
 	switch {
 	case err == nil:
 		c.refusals = 0
-	case errors.Is(err, runner.ErrOtherLife):
+	case errors.Is(err, runner.ErrOtherIncarnation):
 		c.ended = true
 		c.endLife("another life answered")
 	case errors.Is(err, runner.ErrFenced):
@@ -161,21 +161,21 @@
 func FirstToken(unixMS int64) uint64 { return uint64(unixMS) << tokenShift }
 
 // list takes a listing of what runs and what has ended.
-func (c *Core) list(t runner.Target, l runner.Listing) {
-	if l.Born != 0 && l.Born != c.host.Born || l.ClockMS < c.listedMS {
+func (c *Core) list(t runner.Target, l runner.PollResponse) {
+	if l.StartedAtMS != 0 && l.StartedAtMS != c.host.StartedAtMS || l.ClockMS < c.listedMS {
 		return
 	}
 	c.listedMS = l.ClockMS
-	if c.host.State == workload.HostAway {
+	if c.host.State == workload.HostUnavailable {
 		return // the next announcement brings it back
 	}
-	c.takeEnds(l.Ends)
+	c.takeEnds(l.Ended)
 	running := map[workload.RunID]bool{}
 	for _, s := range l.Runs {
 		running[s.Run] = true
 		c.takeRun(s)
 	}
-	complete := len(l.Ends) < maxEnds
+	complete := len(l.Ended) < maxEnds
 	for _, r := range c.sorted() {
 		if complete && !running[r.id] && r.visibleTo(t, l) {
 			r.step(evUnlisted)
@@ -203,7 +203,7 @@
 			r.end = e
 			r.step(evEnded)
 		} else {
-			c.changed.Ends = append(c.changed.Ends, e)
+			c.changed.Ended = append(c.changed.Ended, e)
 		}
 	}
 }
--- a/internal/hostguard/owner.go
+++ b/internal/hostguard/owner.go
@@ -13,7 +13,7 @@
 	switch m := m.(type) {
 	case *msg.OwnerClaim:
 		c.claimed(from, m)
-	case *msg.InventoryTaken:
+	case *msg.InventoryAccepted:
 		if c.owns(from, m.Epoch) {
 			c.inventoryTaken(m)
 		}
@@ -24,13 +24,13 @@
 			c.stopRuns(m)
 		}
 	case *msg.LeaseGrant:
-		if c.owns(from, m.Epoch) && m.Born == c.host.Born {
+		if c.owns(from, m.Epoch) && m.StartedAtMS == c.host.StartedAtMS {
 			c.grant(m.ClockMS)
-			c.pacer.learned(m.Harms)
+			c.pacer.learned(m.Interference)
 		}
-	case *msg.EndsTaken:
-		if m.Instance == c.host.Instance && m.Born == c.host.Born {
-			c.endsTaken(m.Upto)
+	case *msg.EndsAcknowledged:
+		if m.Instance == c.host.Instance && m.StartedAtMS == c.host.StartedAtMS {
+			c.endsTaken(m.LastNumber)
 		}
 	}
 }
@@ -80,20 +80,20 @@
 
 // tell sends the inventory as soon as it is known.
 func (c *Core) tell() {
-	known := c.host.Instance != "" && (c.listed || c.host.State == workload.HostAway)
+	known := c.host.Instance != "" && (c.listed || c.host.State == workload.HostUnavailable)
 	if c.owner == 0 || c.told || !known {
 		return
 	}
 	c.told = true
 	c.changed = msg.RunsChanged{}
-	m := &msg.HostInventory{Epoch: c.epoch, Host: c.host, ClockMS: c.clock.least(c.now), Ends: append([]msg.RunEnd(nil), c.ends...)}
+	m := &msg.HostInventory{Epoch: c.epoch, Host: c.host, ClockMS: c.clock.least(c.now), Ended: append([]msg.RunEnd(nil), c.ends...)}
 	for _, r := range c.sorted() {
 		m.Runs = append(m.Runs, r.status())
 	}
 	c.sends = append(c.sends, Send{c.owner, m})
 }
 
-func (c *Core) inventoryTaken(m *msg.InventoryTaken) {
+func (c *Core) inventoryTaken(m *msg.InventoryAccepted) {
 	for _, s := range m.Sizes {
 		if r, ok := c.runs[s.Run]; ok {
 			c.used = c.used.Sub(r.size.Charge).Add(s.Charge)
@@ -114,7 +114,7 @@
 			continue
 		}
 		r := c.hold(s.Size)
-		c.call(Call{Start: &runner.Start{Run: r.id, Specification: s.Specification, Checkpoint: s.Checkpoint, LeaseMS: c.leaseMS()}})
+		c.call(Call{Start: &runner.StartRequest{Run: r.id, Specification: s.Specification, Checkpoint: s.Checkpoint, LeaseMS: c.leaseMS()}})
 	}
 }
 
@@ -126,7 +126,7 @@
 		return "owner has been replaced"
 	case !c.taken:
 		return "inventory is under way"
-	case m.Instance != c.host.Instance || m.Born != c.host.Born:
+	case m.Instance != c.host.Instance || m.StartedAtMS != c.host.StartedAtMS:
 		return "meant for another life of the backend server"
 	case c.host.State != workload.HostReady:
 		return "backend server is " + c.host.State.String()
@@ -174,8 +174,8 @@
 
 // Answered takes the answer to a call.
 func (c *Core) Answered(a Answer) {
-	c.answered(a.Call.born, a.ClockMS, a.Err)
-	if a.Call.born != c.host.Born || c.ended {
+	c.answered(a.Call.startedAtMS, a.ClockMS, a.Err)
+	if a.Call.startedAtMS != c.host.StartedAtMS || c.ended {
 		return
 	}
 	switch {
@@ -197,7 +197,7 @@
 	switch {
 	case a.Err == nil:
 		r.step(evAccepted)
-	case errors.Is(a.Err, runner.ErrUnknown):
+	case errors.Is(a.Err, runner.ErrOutcomeUnknown):
 		r.step(evUnanswered)
 	case errors.Is(a.Err, runner.ErrFenced):
 		r.step(evUnanswered) // the token was raised; look whether it runs
--- a/internal/hostguard/pace.go
+++ b/internal/hostguard/pace.go
@@ -40,9 +40,9 @@
 func newPacer() pacer { return pacer{model: contention.NewTaughtModel()} }
 
 // learned takes what the owner knows of pairs of images.
-func (p *pacer) learned(harms []msg.Harm) {
+func (p *pacer) learned(harms []msg.Interference) {
 	for _, h := range harms {
-		p.model.Teach(contention.Pair{Serving: contention.Image(h.Serving), Filler: contention.Image(h.Filler)}, h.Value)
+		p.model.Teach(contention.Pair{Serving: contention.Image(h.ServingImage), Filler: contention.Image(h.BestEffortImage)}, h.Coefficient)
 	}
 }
 
@@ -117,11 +117,11 @@
 	var list []*pressing
 	most := map[*pressing]float64{}
 	for _, r := range c.sorted() {
-		if !r.size.Filler {
+		if !r.size.BestEffort {
 			continue
 		}
 		p := &pressing{run: r, pressure: make([]float64, len(neighbours))}
-		share := c.share(contention.DemandShare * float64(r.size.CPU))
+		share := c.share(contention.DemandShare * float64(r.size.MilliCPU))
 		for i, n := range neighbours {
 			p.pressure[i] = share * c.pacer.model.Harm(contention.Pair{Serving: n.image, Filler: contention.Image(r.size.Image)})
 			most[p] = max(most[p], p.pressure[i]/max(n.room, leastRoom))
@@ -151,7 +151,7 @@
 	shares := c.fillerShares()
 	worst := 0.0
 	for _, r := range c.sorted() {
-		if r.size.Target == 0 || r.latest.Usage <= 0 {
+		if r.size.TargetLatency == 0 || r.latest.Usage <= 0 {
 			continue
 		}
 		worst = max(worst, c.observe(r, shares))
@@ -176,17 +176,17 @@
 		r.observed = r.latest.Usage
 		c.pacer.model.Observe(c.now, contention.Sample{
 			Image: contention.Image(r.size.Image), Group: contention.Group(r.id.Task.Job),
-			Latency: latency, Target: r.size.Target, Shares: shares,
+			Latency: latency, Target: r.size.TargetLatency, Shares: shares,
 		})
 	}
-	return float64(latency) / float64(r.size.Target)
+	return float64(latency) / float64(r.size.TargetLatency)
 }
 
 // fillerShares returns the parts of the processors that fillers use.
 func (c *Core) fillerShares() map[contention.Image]float64 {
 	shares := map[contention.Image]float64{}
 	for _, r := range c.runs {
-		if r.size.Filler {
+		if r.size.BestEffort {
 			shares[contention.Image(r.size.Image)] += c.share(float64(r.latest.Usage))
 		}
 	}
--- a/internal/hostguard/pace_test.go
+++ b/internal/hostguard/pace_test.go
@@ -12,17 +12,17 @@
 
 // beside brings a guard to where a serving task with a target of 100 ms and
 // two fillers, calm and loud, run.
-func beside(t *testing.T, harms ...msg.Harm) *world {
+func beside(t *testing.T, harms ...msg.Interference) *world {
 	w := newWorld(t)
 	w.announce(1, workload.HostReady, 1)
 	w.claim(owner, 1)
 	w.list([]msg.RunStatus{{Run: run(0)}, {Run: run(1)}, {Run: run(2)}})
-	w.guard.Received(owner, &msg.InventoryTaken{Epoch: 1, ClockMS: w.clockMS(), Sizes: []msg.RunSize{
-		{Run: run(0), Image: "desk", Target: 100 * time.Millisecond, CPU: 500},
-		{Run: run(1), Filler: true, Image: "calm", CPU: 1000},
-		{Run: run(2), Filler: true, Image: "loud", CPU: 1000},
+	w.guard.Received(owner, &msg.InventoryAccepted{Epoch: 1, ClockMS: w.clockMS(), Sizes: []msg.RunSize{
+		{Run: run(0), Image: "desk", TargetLatency: 100 * time.Millisecond, MilliCPU: 500},
+		{Run: run(1), BestEffort: true, Image: "calm", MilliCPU: 1000},
+		{Run: run(2), BestEffort: true, Image: "loud", MilliCPU: 1000},
 	}})
-	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, Born: 1, ClockMS: w.clockMS(), Harms: harms})
+	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, StartedAtMS: 1, ClockMS: w.clockMS(), Interference: harms})
 	w.settle()
 	return w
 }
@@ -30,7 +30,7 @@
 // figures renews the lease, lists the serving task at a latency in
 // milliseconds, and answers the calls that this leads to.
 func (w *world) figures(latency int64, calmUse, loudUse int64) {
-	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, Born: 1, ClockMS: w.clockMS()})
+	w.guard.Received(owner, &msg.LeaseGrant{Epoch: 1, StartedAtMS: 1, ClockMS: w.clockMS()})
 	before := len(w.calls)
 	w.list([]msg.RunStatus{{Run: run(0), Usage: latency}, {Run: run(1), Usage: calmUse}, {Run: run(2), Usage: loudUse}})
 	for _, c := range w.calls[before:] {
@@ -43,13 +43,13 @@
 // Guards against serving tasks that miss their target because of fillers, and
 // against cutting a filler that does no harm before one that does.
 func TestHarmfulFillersAreCutFirst(t *testing.T) {
-	w := beside(t, msg.Harm{Serving: "desk", Filler: "loud", Value: 2}, msg.Harm{Serving: "desk", Filler: "calm", Value: 0.02})
+	w := beside(t, msg.Interference{ServingImage: "desk", BestEffortImage: "loud", Coefficient: 2}, msg.Interference{ServingImage: "desk", BestEffortImage: "calm", Coefficient: 0.02})
 	for range 10 {
 		w.advance(400 * time.Millisecond)
 		w.figures(150, 850, 850*int64(max(0, w.pace(2)))/100)
 	}
 	require.Zero(t, w.pace(2))
-	w = beside(t, msg.Harm{Serving: "desk", Filler: "loud", Value: 2}, msg.Harm{Serving: "desk", Filler: "calm", Value: 0.02})
+	w = beside(t, msg.Interference{ServingImage: "desk", BestEffortImage: "loud", Coefficient: 2}, msg.Interference{ServingImage: "desk", BestEffortImage: "calm", Coefficient: 0.02})
 	for range 10 {
 		w.advance(400 * time.Millisecond)
 		w.figures(70, 850, 0)
@@ -61,7 +61,7 @@
 // Guards against fillers that are held for ever: they work at full pace again
 // when the serving task has room.
 func TestFillersSpeedUpWhenTheLoadFalls(t *testing.T) {
-	w := beside(t, msg.Harm{Serving: "desk", Filler: "loud", Value: 0.5}, msg.Harm{Serving: "desk", Filler: "calm", Value: 0.1})
+	w := beside(t, msg.Interference{ServingImage: "desk", BestEffortImage: "loud", Coefficient: 0.5}, msg.Interference{ServingImage: "desk", BestEffortImage: "calm", Coefficient: 0.1})
 	for range 10 {
 		w.advance(400 * time.Millisecond)
 		w.figures(150, 0, 0)
@@ -81,7 +81,7 @@
 
 // Guards against a model that takes the fillers for harmless.
 func TestFillersAreHeldWithinTheTimeThatUsersBear(t *testing.T) {
-	w := beside(t, msg.Harm{Serving: "desk", Filler: "loud", Value: 0.02}, msg.Harm{Serving: "desk", Filler: "calm", Value: 0.02})
+	w := beside(t, msg.Interference{ServingImage: "desk", BestEffortImage: "loud", Coefficient: 0.02}, msg.Interference{ServingImage: "desk", BestEffortImage: "calm", Coefficient: 0.02})
 	for began := w.now; w.pace(1) != 0 || w.pace(2) != 0; {
 		w.advance(400 * time.Millisecond)
 		w.figures(104, 850, 850)
--- a/internal/jobnode/agent.go
+++ b/internal/jobnode/agent.go
@@ -74,7 +74,7 @@
 	callAnswered struct{ answer hostguard.Answer }
 	holdAnswered struct {
 		order   hostguard.Watch
-		listing runner.Listing
+		listing runner.PollResponse
 		err     error
 	}
 	lastRenewal struct{ taken actor.Reply[hostguard.Watch] }
@@ -176,7 +176,7 @@
 		a.guard.Answered(m.answer)
 	case *holdAnswered:
 		a.holding = false
-		a.guard.HoldAnswered(m.order.Target, m.order.Born, m.listing, m.err)
+		a.guard.HoldAnswered(m.order.Target, m.order.StartedAtMS, m.listing, m.err)
 		if m.err != nil {
 			a.nextHold(holdRetry)
 		}
@@ -291,7 +291,7 @@
 	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostguard.Watch]) any { return &lastRenewal{r} })
 	if err == nil && o.Target.Instance != "" {
 		o.Hold.Wait = 0
-		_, err = a.runner.Hold(limited, o.Target, o.Hold)
+		_, err = a.runner.Poll(limited, o.Target, o.Hold)
 	}
 	event.Log(a.log, event.NodeStopping, log.Fields{"role": "agent", "renewed": err == nil})
 }
--- a/internal/jobnode/agent_calls.go
+++ b/internal/jobnode/agent_calls.go
@@ -38,9 +38,9 @@
 	case c.Stop != nil:
 		ans.ClockMS, ans.Err = r.Stop(limited, c.Target, *c.Stop)
 	case c.Pace != nil:
-		ans.ClockMS, ans.Err = r.Pace(limited, c.Target, c.Pace.Run, c.Pace.Percent)
+		ans.ClockMS, ans.Err = r.Throttle(limited, c.Target, c.Pace.Run, c.Pace.Percent)
 	case c.Look != nil:
-		ans.Listing, ans.Err = r.Hold(limited, c.Target, *c.Look)
+		ans.Listing, ans.Err = r.Poll(limited, c.Target, *c.Look)
 		ans.ClockMS = ans.Listing.ClockMS
 	}
 	return ans
@@ -54,7 +54,7 @@
 				return nil
 			}
 			limited, cancel := context.WithTimeout(ctx, o.Hold.Wait+holdMargin)
-			l, err := r.Hold(limited, o.Target, o.Hold)
+			l, err := r.Poll(limited, o.Target, o.Hold)
 			cancel()
 			_ = a.address.Send(ctx, &holdAnswered{o, l, err}) // an error means that the process ends
 		case <-ctx.Done():
--- a/internal/jobnode/controller_links.go
+++ b/internal/jobnode/controller_links.go
@@ -37,7 +37,7 @@
 	}
 	if c.jobs != nil {
 		c.send(l, &msg.OwnerClaim{Epoch: c.jobs.Epoch(), Owner: c.self.Name})
-		c.send(l, &msg.JobPhases{Epoch: c.jobs.Epoch(), All: true, Jobs: c.jobs.AllPhases()})
+		c.send(l, &msg.JobPhases{Epoch: c.jobs.Epoch(), Full: true, Jobs: c.jobs.AllPhases()})
 	}
 }
 
--- a/internal/jobnode/desk.go
+++ b/internal/jobnode/desk.go
@@ -40,7 +40,7 @@
 	metrics    *entryMetrics
 }
 
-var _ jobdesk.Desk = (*desk)(nil)
+var _ jobdesk.Handler = (*desk)(nil)
 
 // RetryAfter implements jobdesk.Desk: callers come back later the longer the
 // table service is away, so that their last try is not spent in an outage.
@@ -95,7 +95,7 @@
 // Submit implements jobdesk.Desk.
 func (d *desk) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
-	j.Stretch, j.TargetLatency = q.Stretch, q.TargetLatency
+	j.TargetSlowdown, j.TargetLatency = q.TargetSlowdown, q.TargetLatency
 	err := d.submit(ctx, j)
 	d.metrics.submitted(string(q.Name), err)
 	if err != nil {
@@ -160,7 +160,7 @@
 		case !doubt && !time.Now().Before(definite):
 			return fmt.Errorf("%w: the table service is unavailable", jobdesk.ErrNotAccepted)
 		case doubt && time.Until(deadline) < answerMargin, !actor.Sleep(ctx, submitRetry):
-			return fmt.Errorf("%w: the table service did not answer", jobdesk.ErrUnknown)
+			return fmt.Errorf("%w: the table service did not answer", jobdesk.ErrOutcomeUnknown)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 func (d *desk) Phase(ctx context.Context, _ workload.Queue, id workload.JobID) (workload.Phase, error) {
 	k, err := d.known(ctx, id)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", jobdesk.ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
 	}
 	if k.known {
 		return k.phase, nil
@@ -192,7 +192,7 @@
 			return phase, err
 		}
 		if !actor.Sleep(ctx, submitRetry) {
-			return 0, fmt.Errorf("%w: %w", jobdesk.ErrUnknown, err)
+			return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 		return 0, err
 	}
 	p, err := wire.DecodeProgress(row.Value)
-	if cancelled && !p.Phase.Over() {
+	if cancelled && !p.Phase.Final() {
 		p.Phase = workload.Cancelled
 	}
 	return p.Phase, err
@@ -233,13 +233,13 @@
 	if err != nil {
 		return err
 	}
-	if phase.Over() {
+	if phase.Final() {
 		return nil
 	}
 	key := cancelKey(id)
 	if err := d.persist(ctx, table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: []byte{1}}}}); err != nil {
 		if errors.Is(err, jobdesk.ErrNotAccepted) {
-			return fmt.Errorf("%w: %w", jobdesk.ErrUnknown, err)
+			return fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
 		}
 		return err
 	}
@@ -249,10 +249,10 @@
 }
 
 // Waiting implements jobdesk.Desk.
-func (d *desk) Waiting(ctx context.Context, q workload.Queue) (int, error) {
+func (d *desk) QueueLength(ctx context.Context, q workload.Queue) (int, error) {
 	n, err := actor.Ask(ctx, d.controller.address, func(r actor.Reply[int]) any { return &waitingQuery{q.Name, r} })
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", jobdesk.ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
 	}
 	return n, nil
 }
--- a/internal/jobnode/entry.go
+++ b/internal/jobnode/entry.go
@@ -32,8 +32,8 @@
 	Store      Store
 	Config     ConfigSource
 	// The handlers translate the callers' protocol.
-	CallerHandler    func(jobdesk.Desk) http.Handler
-	ReadinessHandler func(jobdesk.Desk) http.Handler
+	CallerHandler    func(jobdesk.Handler) http.Handler
+	ReadinessHandler func(jobdesk.Handler) http.Handler
 	Log              log.Interface
 }
 
--- a/internal/jobnode/gateway_test.go
+++ b/internal/jobnode/gateway_test.go
@@ -92,7 +92,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		err := d.persist(ctx, table.Txn{})
-		require.ErrorIs(t, err, jobdesk.ErrUnknown)
+		require.ErrorIs(t, err, jobdesk.ErrOutcomeUnknown)
 		require.NotErrorIs(t, err, jobdesk.ErrNotAccepted)
 	})
 }
--- a/internal/jobnode/load.go
+++ b/internal/jobnode/load.go
@@ -24,7 +24,7 @@
 	cancelled []workload.JobID
 	progress  map[workload.JobID]*workload.Progress
 	hosts     []workload.HostName
-	harms     []msg.Harm
+	harms     []msg.Interference
 	revision  table.Revision // of the oldest read
 }
 
@@ -102,7 +102,7 @@
 			l.hosts = append(l.hosts, workload.HostName(name))
 		}
 	case row.Key == harmsKey:
-		harms, err := wire.DecodeHarms(row.Value)
+		harms, err := wire.DecodeInterference(row.Value)
 		if err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 			c.jobs.Inventory(e)
 		}
 	}
-	c.toEntries(&msg.JobPhases{Epoch: m.epoch, All: true, Jobs: c.jobs.AllPhases()})
+	c.toEntries(&msg.JobPhases{Epoch: m.epoch, Full: true, Jobs: c.jobs.AllPhases()})
 }
 
 const (
--- a/internal/jobnode/metrics.go
+++ b/internal/jobnode/metrics.go
@@ -19,7 +19,7 @@
 func (m *entryMetrics) submitted(queue string, err error) {
 	outcome := "accepted"
 	switch {
-	case errors.Is(err, jobdesk.ErrUnknown):
+	case errors.Is(err, jobdesk.ErrOutcomeUnknown):
 		outcome = "unknown"
 	case errors.Is(err, jobdesk.ErrInvalid):
 		outcome = "invalid"
--- a/internal/jobnode/mirror.go
+++ b/internal/jobnode/mirror.go
@@ -41,7 +41,7 @@
 	}
 	j.phase = p
 	m.count(p, 1)
-	if p.Phase.Over() {
+	if p.Phase.Final() {
 		j.overAt = now
 	}
 }
@@ -63,7 +63,7 @@
 // prune forgets jobs that have been over for long.
 func (m *mirror) prune(now time.Duration) {
 	for id, j := range m.jobs {
-		if j.phase.Phase.Over() && now-j.overAt > keepMirrored {
+		if j.phase.Phase.Final() && now-j.overAt > keepMirrored {
 			delete(m.jobs, id)
 		}
 	}
--- a/internal/jobnode/writer.go
+++ b/internal/jobnode/writer.go
@@ -120,7 +120,7 @@
 		txn.Deletes = append(txn.Deletes, progressKey(id))
 	}
 	if b.Harms != nil {
-		value, err := wire.EncodeHarms(b.Harms)
+		value, err := wire.EncodeInterference(b.Harms)
 		if err != nil {
 			return txn, err
 		}
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -133,11 +133,11 @@
 // runs nothing of the former one.
 func (h *host) meet(info workload.Host) {
 	old := h.info
-	reborn := old.Instance != "" && (old.Instance != info.Instance || old.Born != info.Born)
+	reborn := old.Instance != "" && (old.Instance != info.Instance || old.StartedAtMS != info.StartedAtMS)
 	if info.Instance == "" {
 		return // the agent has not heard of its backend server yet
 	}
-	if reborn || info.State == workload.HostAway && old.State != workload.HostAway {
+	if reborn || info.State == workload.HostUnavailable && old.State != workload.HostUnavailable {
 		h.core.note(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "ended"})
 		h.loseRuns()
 		h.takenBorn = 0
@@ -193,7 +193,7 @@
 			sizes = append(sizes, r.size())
 		}
 	}
-	for _, e := range m.Ends {
+	for _, e := range m.Ended {
 		listed[e.Run] = true
 	}
 	for _, r := range h.sortedRuns() {
@@ -201,9 +201,9 @@
 			r.step(evLost)
 		}
 	}
-	h.applyEnds(m.Ends)
-	h.core.send(h, &msg.InventoryTaken{Epoch: h.core.epoch, ClockMS: m.ClockMS, Sizes: sizes})
-	h.lastGrant, h.takenBorn = h.core.now, h.info.Born
+	h.applyEnds(m.Ended)
+	h.core.send(h, &msg.InventoryAccepted{Epoch: h.core.epoch, ClockMS: m.ClockMS, Sizes: sizes})
+	h.lastGrant, h.takenBorn = h.core.now, h.info.StartedAtMS
 	for _, r := range h.sortedRuns() {
 		if r.state == runStopping {
 			r.orderStop()
@@ -213,7 +213,7 @@
 
 func (h *host) adoptRun(s msg.RunStatus) *run {
 	if r, ok := h.runs[s.Run]; ok {
-		if !s.InDoubt {
+		if !s.Unconfirmed {
 			r.step(evStarted)
 		}
 		return r
@@ -229,11 +229,11 @@
 	if s.Run.Number&numberMask > t.starts && s.Run.Number>>epochShift == h.core.epoch-1 {
 		t.starts = s.Run.Number & numberMask
 	}
-	if !s.InDoubt {
+	if !s.Unconfirmed {
 		r.step(evStarted)
 	}
 	delete(h.core.ready, t)
-	if t.done || t.step.job.phase().Over() || (len(t.live) > 1 && !t.step.spec.Copies) {
+	if t.done || t.step.job.phase().Final() || (len(t.live) > 1 && !t.step.spec.AllowConcurrentRuns) {
 		r.stop("not-wanted")
 	}
 	return r
@@ -261,7 +261,7 @@
 	h.used.MilliCPU += sign * c.MilliCPU
 	h.used.MemoryMB += sign * c.MemoryMB
 	h.used.Accelerators += sign * c.Accelerators
-	if s.Filler {
+	if s.BestEffort {
 		h.fillerCPU += sign * s.Need.MilliCPU
 	}
 	if s.Serves() {
@@ -271,7 +271,7 @@
 
 func (r *run) size() msg.RunSize {
 	s := r.task.step.spec
-	return msg.RunSize{Run: r.id, Charge: s.Charge(), Target: s.TargetLatency, Filler: s.Filler, Image: s.Image, CPU: s.Need.MilliCPU}
+	return msg.RunSize{Run: r.id, Charge: s.Charge(), TargetLatency: s.TargetLatency, BestEffort: s.BestEffort, Image: s.Image, MilliCPU: s.Need.MilliCPU}
 }
 
 func (h *host) loseRuns() {
@@ -285,7 +285,7 @@
 // Changed takes what an agent reports of its runs.
 func (c *Core) Changed(name workload.HostName, m *msg.RunsChanged) {
 	h, ok := c.hosts[name]
-	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.Born != h.info.Born {
+	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
 		return
 	}
 	for _, id := range m.Started {
@@ -298,7 +298,7 @@
 			r.step(evRefused)
 		}
 	}
-	h.applyEnds(m.Ends)
+	h.applyEnds(m.Ended)
 }
 
 func (h *host) applyEnds(ends []msg.RunEnd) {
@@ -319,11 +319,11 @@
 // Progress takes the report of an agent's runs and grants their lease.
 func (c *Core) Progress(name workload.HostName, m *msg.RunsProgress) {
 	h, ok := c.hosts[name]
-	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.Born != h.info.Born {
+	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
 		return
 	}
 	h.lastGrant = c.now
-	c.send(h, &msg.LeaseGrant{Epoch: c.epoch, Born: m.Born, ClockMS: m.ClockMS, Harms: h.harms()})
+	c.send(h, &msg.LeaseGrant{Epoch: c.epoch, StartedAtMS: m.StartedAtMS, ClockMS: m.ClockMS, Interference: h.harms()})
 	h.learn(m)
 	for _, s := range m.Runs {
 		if r, ok := h.runs[s.Run]; ok {
@@ -344,7 +344,7 @@
 func (r *run) remaining() time.Duration {
 	const trustworthy = 5 // percent
 	ran := r.core().now - r.ordered
-	if p := r.status.Percent; p >= trustworthy {
+	if p := r.status.ProgressPercent; p >= trustworthy {
 		return time.Duration(float64(ran) * float64(100-p) / float64(p))
 	}
 	return max(0, r.task.step.spec.Estimate-ran)
--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -23,7 +23,7 @@
 	if len(h.runs) > 0 || h.state == hostSilent {
 		return true
 	}
-	if h.info.Instance == "" || h.info.State == workload.HostAway || h.state == hostAway {
+	if h.info.Instance == "" || h.info.State == workload.HostUnavailable || h.state == hostAway {
 		return h.core.now-h.idleSince < forgetAfter && h.core.list.stored[h.info.Name]
 	}
 	return true
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -16,7 +16,7 @@
 func (h *host) learn(m *msg.RunsProgress) {
 	shares := map[contention.Image]float64{}
 	for _, s := range m.Runs {
-		if r, ok := h.runs[s.Run]; ok && r.task.step.spec.Filler {
+		if r, ok := h.runs[s.Run]; ok && r.task.step.spec.BestEffort {
 			shares[contention.Image(r.task.step.spec.Image)] += h.share(float64(s.Usage))
 		}
 	}
@@ -85,7 +85,7 @@
 func (h *host) pressureUpTo(n neighbour, limit float64) float64 {
 	sum := 0.0
 	for _, r := range h.runs {
-		if !r.task.step.spec.Filler {
+		if !r.task.step.spec.BestEffort {
 			continue
 		}
 		harm := h.core.contention.Harm(contention.Pair{Serving: n.image, Filler: contention.Image(r.task.step.spec.Image)})
@@ -107,7 +107,7 @@
 
 // harms lists what is known of the pairs with images that serve on the host,
 // while fillers run beside them.
-func (h *host) harms() []msg.Harm {
+func (h *host) harms() []msg.Interference {
 	if h.serving == 0 || h.fillerCPU == 0 {
 		return nil
 	}
@@ -121,16 +121,16 @@
 }
 
 // knownHarms lists the pairs that were measured and that want accepts.
-func (c *Core) knownHarms(want func(contention.Pair) bool) []msg.Harm {
-	var list []msg.Harm
+func (c *Core) knownHarms(want func(contention.Pair) bool) []msg.Interference {
+	var list []msg.Interference
 	c.contention.Harms(func(p contention.Pair, value float64) {
 		if want(p) {
-			list = append(list, msg.Harm{Serving: string(p.Serving), Filler: string(p.Filler), Value: value})
+			list = append(list, msg.Interference{ServingImage: string(p.Serving), BestEffortImage: string(p.Filler), Coefficient: value})
 		}
 	})
 	sort.Slice(list, func(i, k int) bool {
 		a, b := list[i], list[k]
-		return a.Serving < b.Serving || a.Serving == b.Serving && a.Filler < b.Filler
+		return a.ServingImage < b.ServingImage || a.ServingImage == b.ServingImage && a.BestEffortImage < b.BestEffortImage
 	})
 	return list
 }
@@ -145,7 +145,7 @@
 
 // harmsToStore returns the harms for the next batch, or nil while the stored
 // ones are young.
-func (c *Core) harmsToStore() []msg.Harm {
+func (c *Core) harmsToStore() []msg.Interference {
 	if c.now-c.harmsStored < harmsInterval {
 		return nil
 	}
@@ -155,8 +155,8 @@
 }
 
 // RestoreHarms takes what a former owner had learned.
-func (c *Core) RestoreHarms(harms []msg.Harm) {
+func (c *Core) RestoreHarms(harms []msg.Interference) {
 	for _, h := range harms {
-		c.contention.Restore(contention.Pair{Serving: contention.Image(h.Serving), Filler: contention.Image(h.Filler)}, h.Value)
+		c.contention.Restore(contention.Pair{Serving: contention.Image(h.ServingImage), Filler: contention.Image(h.BestEffortImage)}, h.Coefficient)
 	}
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -104,7 +104,7 @@
 		chain[i] += s.spec.Estimate
 		longest = max(longest, chain[i])
 	}
-	return time.Duration(max(1, j.spec.Stretch)*float64(longest)) + j.spec.TargetLatency
+	return time.Duration(max(1, j.spec.TargetSlowdown)*float64(longest)) + j.spec.TargetLatency
 }
 
 func (j *job) phase() workload.Phase { return workload.Phase(j.state) }
@@ -112,7 +112,7 @@
 // shown is the phase that callers may see: a final one only when it is stored.
 func (j *job) shown() msg.JobPhase {
 	p := j.phase()
-	if p.Over() && p != workload.Cancelled && j.stored != p {
+	if p.Final() && p != workload.Cancelled && j.stored != p {
 		p = workload.Running
 	}
 	return msg.JobPhase{ID: j.spec.ID, Queue: j.spec.Queue, Phase: p}
@@ -167,7 +167,7 @@
 		return
 	}
 	j.publish()
-	if !j.phase().Over() {
+	if !j.phase().Final() {
 		j.release()
 	}
 }
@@ -206,7 +206,7 @@
 
 func (t *task) release() {
 	j := t.step.job
-	if t.done || len(t.live) > 0 || j.phase().Over() {
+	if t.done || len(t.live) > 0 || j.phase().Final() {
 		return
 	}
 	if _, already := j.core.ready[t]; already {
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -27,8 +27,8 @@
 	require.Equal(t, workload.Running, w.last("j"))
 	w.store()
 	require.Equal(t, workload.Completed, w.last("j"))
-	taken := w.inbox["a"][len(w.inbox["a"])-1].(*msg.EndsTaken)
-	require.EqualValues(t, 3, taken.Upto, "ends are acknowledged after they are stored")
+	taken := w.inbox["a"][len(w.inbox["a"])-1].(*msg.EndsAcknowledged)
+	require.EqualValues(t, 3, taken.LastNumber, "ends are acknowledged after they are stored")
 }
 
 // Guards against a host that gets more than it holds, also while a run stops.
@@ -61,7 +61,7 @@
 	next.core.Restore(newSpec("j", tasks(1, 1000)), &b.Writes[0].Progress)
 	next.core.Linked(readyHost("a", 4000))
 	next.listHosts()
-	next.core.Inventory(&msg.HostInventory{Epoch: 2, Host: readyHost("a", 4000), Ends: []msg.RunEnd{
+	next.core.Inventory(&msg.HostInventory{Epoch: 2, Host: readyHost("a", 4000), Ended: []msg.RunEnd{
 		{Number: 1, Run: runID("j", 0, 0, 1), Reason: workload.EndFailed},
 	}})
 	next.settle()
@@ -82,8 +82,8 @@
 	w.link(readyHost("a", 4000))
 	w.core.Submit(newSpec("j", s))
 	w.settle()
-	w.core.Progress("a", &msg.RunsProgress{Epoch: 1, Instance: "i-a", Born: 1, Runs: []msg.RunStatus{
-		{Run: runID("j", 0, 0, 1), Checkpoint: "half", Percent: 50, Pace: 100},
+	w.core.Progress("a", &msg.RunsProgress{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Runs: []msg.RunStatus{
+		{Run: runID("j", 0, 0, 1), Checkpoint: "half", ProgressPercent: 50, CPULimitPercent: 100},
 	}})
 	w.link(readyHost("b", 4000))
 	w.core.Unlinked("a")
@@ -103,7 +103,7 @@
 	w.core.Submit(newSpec("j", tasks(1, 1000)))
 	w.settle()
 	again := readyHost("a", 4000)
-	again.Born = 2
+	again.StartedAtMS = 2
 	w.core.Announced(again)
 	w.settle()
 	require.Len(t, w.started, 1, "nothing starts before the inventory of the new life")
@@ -228,7 +228,7 @@
 	w.link(readyHost("a", 4000))
 	w.core.Submit(newSpec("j", tasks(1, 1000)))
 	w.settle()
-	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", Born: 1, Refused: []workload.RunID{runID("j", 0, 0, 1)}})
+	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Refused: []workload.RunID{runID("j", 0, 0, 1)}})
 	w.settle()
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
@@ -259,7 +259,7 @@
 	w.link(readyHost("a", 4000))
 	w.link(readyHost("b", 4000))
 	gone := readyHost("b", 4000)
-	gone.State = workload.HostAway
+	gone.State = workload.HostUnavailable
 	w.core.Announced(gone)
 	w.advance(forgetAfter - time.Second)
 	_, changed := w.core.hostsToStore()
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -21,7 +21,7 @@
 // noteHeld records since when a filler is held back.
 func (r *run) noteHeld(s msg.RunStatus) {
 	switch {
-	case s.Pace > heldPace:
+	case s.CPULimitPercent > heldPace:
 		r.heldSince = 0
 	case r.heldSince == 0:
 		r.heldSince = r.core().now
@@ -32,7 +32,7 @@
 // goes on from a checkpoint elsewhere.
 func (r *run) movable() bool {
 	spec := r.task.step.spec
-	return spec.Filler && spec.Checkpointing && r.state == runRunning && r.heldSince != 0 && r.core().now-r.heldSince >= moveAfter
+	return spec.BestEffort && spec.Checkpointing && r.state == runRunning && r.heldSince != 0 && r.core().now-r.heldSince >= moveAfter
 }
 
 // moveHeld stops fillers that are held back where another host would let them
--- a/internal/jobs/move_test.go
+++ b/internal/jobs/move_test.go
@@ -19,7 +19,7 @@
 
 func filling(image string, checkpointing bool) workload.Step {
 	s := tasks(1, 1000)
-	s.Filler, s.Image, s.Checkpointing = true, image, checkpointing
+	s.BestEffort, s.Image, s.Checkpointing = true, image, checkpointing
 	return s
 }
 
@@ -37,7 +37,7 @@
 	w.advance(2 * time.Second) // no host bears the filler; it starts after its patience
 	filler := runID("f", 0, 0, 1)
 	require.EqualValues(t, "a", w.started[filler])
-	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", Born: 1, Started: []workload.RunID{filler, runID("s1", 0, 0, 1)}})
+	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Started: []workload.RunID{filler, runID("s1", 0, 0, 1)}})
 	return w, filler
 }
 
@@ -54,8 +54,8 @@
 // report tells that the filler works at a share of its speed.
 func (w *world) report(filler workload.RunID, pace int) {
 	w.core.Progress("a", &msg.RunsProgress{
-		Epoch: 1, Instance: "i-a", Born: 1, ClockMS: w.now.Milliseconds(),
-		Runs: []msg.RunStatus{{Run: filler, Pace: pace, Checkpoint: "c1"}, {Run: runID("s1", 0, 0, 1), Usage: 60}},
+		Epoch: 1, Instance: "i-a", StartedAtMS: 1, ClockMS: w.now.Milliseconds(),
+		Runs: []msg.RunStatus{{Run: filler, CPULimitPercent: pace, Checkpoint: "c1"}, {Run: runID("s1", 0, 0, 1), Usage: 60}},
 	})
 	w.advance(500 * time.Millisecond)
 }
@@ -126,7 +126,7 @@
 	w.advance(harmsInterval)
 	stored := w.core.NextBatch().Harms
 	w.core.Committed()
-	require.Contains(t, stored, msg.Harm{Serving: "desk", Filler: "batch", Value: 2})
+	require.Contains(t, stored, msg.Interference{ServingImage: "desk", BestEffortImage: "batch", Coefficient: 2})
 	require.Nil(t, w.core.NextBatch().Harms, "they are young")
 	w.core.Committed()
 
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -91,10 +91,10 @@
 
 func (h *host) view(t *task) spread.Host {
 	v := spread.Host{
-		Info: &h.info, Reachable: h.state == hostReady && h.takenBorn == h.info.Born && h.core.list.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), FillerCPU: h.fillerCPU, Serving: h.serving,
+		Info: &h.info, Reachable: h.state == hostReady && h.takenBorn == h.info.StartedAtMS && h.core.list.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), FillerCPU: h.fillerCPU, Serving: h.serving,
 		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.avoid[h.info.Name],
 	}
-	if t.step.spec.Filler && h.serving > 0 {
+	if t.step.spec.BestEffort && h.serving > 0 {
 		v.FillersFit = h.fillersFit(t)
 	}
 	for _, r := range h.runs {
@@ -142,7 +142,7 @@
 		h.stops = nil
 	}
 	if len(h.starts) > 0 {
-		h.core.send(h, &msg.StartRuns{Epoch: h.core.epoch, Instance: h.info.Instance, Born: h.info.Born, Starts: h.starts})
+		h.core.send(h, &msg.StartRuns{Epoch: h.core.epoch, Instance: h.info.Instance, StartedAtMS: h.info.StartedAtMS, Starts: h.starts})
 		h.starts = nil
 	}
 }
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -23,7 +23,7 @@
 	Writes  []Write
 	Removed []workload.JobID
 	Hosts   []workload.HostName // the list of hosts; nil: as it is stored
-	Harms   []msg.Harm          // of fillers; nil: as they are stored
+	Harms   []msg.Interference  // of fillers; nil: as they are stored
 	ends    map[workload.HostName]takenEnds
 }
 
@@ -44,7 +44,7 @@
 	}
 	for j := range c.dirty {
 		pending = true
-		if j.phase().Over() {
+		if j.phase().Final() {
 			return true, true
 		}
 	}
@@ -76,7 +76,7 @@
 	c.removals = c.removals[n:]
 	for name, h := range c.hosts {
 		if all && h.endsSeen > h.endsTaken {
-			b.ends[name] = takenEnds{h.info.Instance, h.info.Born, h.endsSeen}
+			b.ends[name] = takenEnds{h.info.Instance, h.info.StartedAtMS, h.endsSeen}
 		}
 	}
 	if hosts, changed := c.hostsToStore(); changed {
@@ -112,11 +112,11 @@
 	}
 	for name, e := range b.ends {
 		h := c.hosts[name]
-		if h == nil || h.info.Instance != e.instance || h.info.Born != e.born {
+		if h == nil || h.info.Instance != e.instance || h.info.StartedAtMS != e.born {
 			continue
 		}
 		h.endsTaken = e.upto
-		c.send(h, &msg.EndsTaken{Epoch: c.epoch, Instance: e.instance, Born: e.born, Upto: e.upto})
+		c.send(h, &msg.EndsAcknowledged{Epoch: c.epoch, Instance: e.instance, StartedAtMS: e.born, LastNumber: e.upto})
 	}
 }
 
@@ -140,8 +140,8 @@
 
 // progress returns the row of the job.
 func (j *job) progress() workload.Progress {
-	p := workload.Progress{Phase: j.phase(), OverAtMS: j.overAtMS}
-	if j.phase().Over() {
+	p := workload.Progress{Phase: j.phase(), EndedAtMS: j.overAtMS}
+	if j.phase().Final() {
 		return p
 	}
 	n := 0
@@ -167,8 +167,8 @@
 // restore sets the job to a stored row.
 func (j *job) restore(p *workload.Progress) {
 	j.stored = p.Phase
-	j.overAtMS = p.OverAtMS
-	if p.Phase.Over() {
+	j.overAtMS = p.EndedAtMS
+	if p.Phase.Final() {
 		j.removeAt = j.core.now + keepOver
 		j.state = chart.State(p.Phase)
 		return
--- a/internal/jobs/world_test.go
+++ b/internal/jobs/world_test.go
@@ -32,13 +32,13 @@
 
 func readyHost(name string, cpu int64) workload.Host {
 	return workload.Host{
-		Name: workload.HostName(name), Instance: workload.Instance("i-" + name), Born: 1, Service: "desk", State: workload.HostReady,
+		Name: workload.HostName(name), Instance: workload.Instance("i-" + name), StartedAtMS: 1, Service: "desk", State: workload.HostReady,
 		Capacity: workload.Resources{MilliCPU: cpu, MemoryMB: 1000},
 	}
 }
 
 func newSpec(id string, steps ...workload.Step) workload.Job {
-	return workload.Job{ID: workload.JobID(id), Queue: "q", Service: "desk", MaxAttempts: 2, Stretch: 2, TargetLatency: time.Second, Steps: steps}
+	return workload.Job{ID: workload.JobID(id), Queue: "q", Service: "desk", MaxAttempts: 2, TargetSlowdown: 2, TargetLatency: time.Second, Steps: steps}
 }
 
 func tasks(count int, cpu int64, after ...int) workload.Step {
@@ -96,8 +96,8 @@
 	name := w.started[run]
 	w.ends[name]++
 	w.core.Changed(name, &msg.RunsChanged{
-		Epoch: w.core.epoch, Instance: workload.Instance("i-" + string(name)), Born: 1,
-		Ends: []msg.RunEnd{{Number: w.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
+		Epoch: w.core.epoch, Instance: workload.Instance("i-" + string(name)), StartedAtMS: 1,
+		Ended: []msg.RunEnd{{Number: w.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
 	})
 	w.settle()
 }
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -23,16 +23,16 @@
 
 // JobRow is the durable state of a job.
 type JobRow struct {
-	Spec       JobSpec  `json:"spec"`
-	Phase      Phase    `json:"phase"`
-	Attempt    uint32   `json:"attempt"` // number of the latest attempt; 0 before the first
-	Worker     WorkerID `json:"worker,omitempty"`
-	Checkpoint string   `json:"checkpoint,omitempty"` // object name of the latest committed checkpoint
-	Result     string   `json:"result,omitempty"`     // object name
-	Reason     string   `json:"reason,omitempty"`     // why it waits, failed or is parked
-	Cancel     bool     `json:"cancel,omitempty"`     // a client asked to cancel
-	Evictions  uint32   `json:"evictions,omitempty"`
-	Failures   uint32   `json:"failures,omitempty"`
+	Spec            JobSpec  `json:"spec"`
+	Phase           Phase    `json:"phase"`
+	Attempt         uint32   `json:"attempt"` // number of the latest attempt; 0 before the first
+	Worker          WorkerID `json:"worker,omitempty"`
+	Checkpoint      string   `json:"checkpoint,omitempty"` // object name of the latest committed checkpoint
+	Result          string   `json:"result,omitempty"`     // object name
+	Reason          string   `json:"reason,omitempty"`     // why it waits, failed or is parked
+	CancelRequested bool     `json:"cancel,omitempty"`     // a client asked to cancel
+	Evictions       uint32   `json:"evictions,omitempty"`
+	Failures        uint32   `json:"failures,omitempty"`
 }
 
 // TaskState is the state of a task as its worker reports it.
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -48,7 +48,7 @@
 	Backend    model.BackendID
 	Generation uint64
 	Count      int
-	Long       int // how many of the entry's credits may be spent on long classes; replaces the last value
+	MaxLong    int // how many of the entry's credits may be spent on long classes; replaces the last value
 }
 
 // CreditRecall asks an entry to return idle credits.
@@ -68,10 +68,10 @@
 // Demand reports the queue of one service at an entry. The newest replaces
 // all earlier ones.
 type Demand struct {
-	Service  model.Service
-	Queued   int
-	Short    int           // queued requests of short classes
-	Tightest time.Duration // time left for the queued request with the earliest deadline; 0 when none is queued
+	Service      model.Service
+	Queued       int
+	Short        int           // queued requests of short classes
+	MinRemaining time.Duration // time left for the queued request with the earliest deadline; 0 when none is queued
 }
 
 // OutcomeQuery asks what became of a request that was sent over a link that
@@ -90,7 +90,7 @@
 
 // States of an exchange, as reported by OutcomeReply.
 const (
-	ExchangeForgotten  ExchangeState = iota // no record: it may or may not have run
+	ExchangeUnknown    ExchangeState = iota // no record: it may or may not have run
 	ExchangeNotStarted                      // it did not start and never will
 	ExchangeStarted                         // it is running at the backend server
 	ExchangeFinished                        // it was started and has ended
--- a/internal/msg/fleet.go
+++ b/internal/msg/fleet.go
@@ -38,12 +38,12 @@
 
 // RunStatus is a run that an agent's backend server lists.
 type RunStatus struct {
-	Run        workload.RunID
-	Checkpoint string
-	Percent    int   // of the task's work
-	Usage      int64 // tail latency in milliseconds of a task that serves, else processor use in thousandths of a core
-	Pace       int   // percent at which it may work
-	InDoubt    bool  // its start has no answer yet
+	Run             workload.RunID
+	Checkpoint      string
+	ProgressPercent int   // of the task's work
+	Usage           int64 // tail latency in milliseconds of a task that serves, else processor use in thousandths of a core
+	CPULimitPercent int   // percent at which it may work
+	Unconfirmed     bool  // its start has no answer yet
 }
 
 // RunEnd is the end of a run. Number rises within one life of a backend server.
@@ -60,29 +60,29 @@
 	Host    workload.Host
 	ClockMS int64 // of the backend server when the message was sent
 	Runs    []RunStatus
-	Ends    []RunEnd
+	Ended   []RunEnd
 }
 
 // RunSize gives an agent the size of a run that it adopted.
 type RunSize struct {
-	Run    workload.RunID
-	Charge workload.Resources
-	Target time.Duration // of a task that serves
-	Filler bool
-	Image  string
-	CPU    int64 // declared thousandths of a core, of fillers too
+	Run           workload.RunID
+	Charge        workload.Resources
+	TargetLatency time.Duration // of a task that serves
+	BestEffort    bool
+	Image         string
+	MilliCPU      int64 // declared thousandths of a core, of fillers too
 }
 
 // Harm is what a filler of one image is known to do to serving tasks of
 // another: the pressure on them if it had a whole host (policy/contention).
-type Harm struct {
-	Serving, Filler string // images
-	Value           float64
+type Interference struct {
+	ServingImage, BestEffortImage string // images
+	Coefficient                   float64
 }
 
-// InventoryTaken tells an agent that the owner has its inventory, and grants
+// InventoryAccepted tells an agent that the owner has its inventory, and grants
 // the lease from ClockMS of the inventory. The agent starts nothing before it.
-type InventoryTaken struct {
+type InventoryAccepted struct {
 	Epoch   uint64
 	ClockMS int64
 	Sizes   []RunSize
@@ -97,10 +97,10 @@
 
 // StartRuns orders starts on one life of a backend server.
 type StartRuns struct {
-	Epoch    uint64
-	Instance workload.Instance
-	Born     int64
-	Starts   []RunStart
+	Epoch       uint64
+	Instance    workload.Instance
+	StartedAtMS int64
+	Starts      []RunStart
 }
 
 // StopRuns orders stops.
@@ -112,38 +112,38 @@
 // RunsChanged reports runs that started or ended at an agent, and starts that
 // did not happen and never will.
 type RunsChanged struct {
-	Epoch    uint64
-	Instance workload.Instance
-	Born     int64
-	Started  []workload.RunID
-	Refused  []workload.RunID
-	Ends     []RunEnd
+	Epoch       uint64
+	Instance    workload.Instance
+	StartedAtMS int64
+	Started     []workload.RunID
+	Refused     []workload.RunID
+	Ended       []RunEnd
 }
 
 // RunsProgress reports the runs of a backend server and asks for a lease.
 type RunsProgress struct {
-	Epoch    uint64
-	Instance workload.Instance
-	Born     int64
-	ClockMS  int64 // of the backend server when the message was sent
-	Runs     []RunStatus
+	Epoch       uint64
+	Instance    workload.Instance
+	StartedAtMS int64
+	ClockMS     int64 // of the backend server when the message was sent
+	Runs        []RunStatus
 }
 
 // LeaseGrant extends the lease of everything on a backend server: it lasts for
 // the longest lease from ClockMS of the request.
 type LeaseGrant struct {
-	Epoch   uint64
-	Born    int64
-	ClockMS int64
-	Harms   []Harm
+	Epoch        uint64
+	StartedAtMS  int64
+	ClockMS      int64
+	Interference []Interference
 }
 
-// EndsTaken acknowledges the ends up to Upto. They are stored.
-type EndsTaken struct {
-	Epoch    uint64
-	Instance workload.Instance
-	Born     int64
-	Upto     uint64
+// EndsAcknowledged acknowledges the ends up to Upto. They are stored.
+type EndsAcknowledged struct {
+	Epoch       uint64
+	Instance    workload.Instance
+	StartedAtMS int64
+	LastNumber  uint64
 }
 
 // JobSubmitted passes a stored job to the owner.
@@ -163,7 +163,7 @@
 // not listed are unknown to the owner.
 type JobPhases struct {
 	Epoch uint64
-	All   bool
+	Full  bool
 	Jobs  []JobPhase
 }
 
@@ -188,21 +188,21 @@
 	Rows     []table.Row // of a conflict: the rows of the failed checks
 }
 
-func (*PeerHello) isControl()       {}
-func (*Members) isControl()         {}
-func (*HostAnnounced) isControl()   {}
-func (*OwnerClaim) isControl()      {}
-func (*HostInventory) isControl()   {}
-func (*InventoryTaken) isControl()  {}
-func (*StartRuns) isControl()       {}
-func (*StopRuns) isControl()        {}
-func (*RunsChanged) isControl()     {}
-func (*RunsProgress) isControl()    {}
-func (*LeaseGrant) isControl()      {}
-func (*EndsTaken) isControl()       {}
-func (*JobSubmitted) isControl()    {}
-func (*JobCancelled) isControl()    {}
-func (*JobPhases) isControl()       {}
-func (*ConfigAnnounced) isControl() {}
-func (*StoreCall) isControl()       {}
-func (*StoreResult) isControl()     {}
+func (*PeerHello) isControl()         {}
+func (*Members) isControl()           {}
+func (*HostAnnounced) isControl()     {}
+func (*OwnerClaim) isControl()        {}
+func (*HostInventory) isControl()     {}
+func (*InventoryAccepted) isControl() {}
+func (*StartRuns) isControl()         {}
+func (*StopRuns) isControl()          {}
+func (*RunsChanged) isControl()       {}
+func (*RunsProgress) isControl()      {}
+func (*LeaseGrant) isControl()        {}
+func (*EndsAcknowledged) isControl()  {}
+func (*JobSubmitted) isControl()      {}
+func (*JobCancelled) isControl()      {}
+func (*JobPhases) isControl()         {}
+func (*ConfigAnnounced) isControl()   {}
+func (*StoreCall) isControl()         {}
+func (*StoreResult) isControl()       {}
--- a/internal/msg/request.go
+++ b/internal/msg/request.go
@@ -27,7 +27,7 @@
 	Header        []Field
 	ContentLength int64         // -1: unknown
 	Deadline      time.Duration // time left when the frame was sent
-	Long          bool          // belongs to a long class
+	LongClass     bool          // belongs to a long class
 }
 
 // BodyChunk carries body bytes of a request or response. Data is valid until
--- a/internal/msg/task.go
+++ b/internal/msg/task.go
@@ -24,8 +24,8 @@
 	Command
 	Sequence uint64
 	TTL      time.Duration
-	// LongTTL is the TTL for long-running attempts, which have a longer hold.
-	LongTTL time.Duration
+	// LongRunningTTL is the TTL for long-running attempts, which have a longer hold.
+	LongRunningTTL time.Duration
 }
 
 // StartTask starts an attempt. Starting an attempt that is known already has
--- a/internal/operator/jobs.go
+++ b/internal/operator/jobs.go
@@ -168,10 +168,10 @@
 	if row, err = rows.Decode[model.JobRow](stored.Value); err != nil {
 		return row, false, fmt.Errorf("%w: row %s cannot be decoded: %v", storage.ErrUnavailable, key, err)
 	}
-	if row.Cancel || (j.final != nil && j.final(row.Phase)) {
+	if row.CancelRequested || (j.final != nil && j.final(row.Phase)) {
 		return row, true, nil
 	}
-	row.Cancel = true
+	row.CancelRequested = true
 	_, err = j.table.Commit(ctx, storage.Txn{
 		Operation: operation("cancel", key),
 		Checks:    []storage.Check{{Key: key, Version: stored.Version}},
--- a/internal/policy/spread/spread.go
+++ b/internal/policy/spread/spread.go
@@ -89,7 +89,7 @@
 // Check returns why t may not run on h, or Fits.
 func Check(t Task, h Host) Reason {
 	switch {
-	case !h.Reachable || h.Info.State == workload.HostAway:
+	case !h.Reachable || h.Info.State == workload.HostUnavailable:
 		return Unreachable
 	case h.Info.State != workload.HostReady:
 		return Draining
@@ -105,13 +105,13 @@
 		return Avoided
 	}
 	room := h.Free
-	if t.Priority > 0 && !t.Step.Filler {
+	if t.Priority > 0 && !t.Step.BestEffort {
 		room.MilliCPU -= int64(reservedShare * float64(h.Info.Capacity.MilliCPU))
 	}
 	if !t.Step.Charge().Fits(room) {
 		return NoRoom
 	}
-	if t.Step.Filler && t.Patient && Speed(t, h) < leastSpeed {
+	if t.Step.BestEffort && t.Patient && Speed(t, h) < leastSpeed {
 		return Crowded
 	}
 	return Fits
@@ -147,7 +147,7 @@
 		score -= otherRackWeight
 	}
 	switch {
-	case t.Step.Filler:
+	case t.Step.BestEffort:
 		return score + fillerScore(t, h)
 	case t.Step.Serves():
 		score -= servingBesideFiller * float64(h.FillerCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
--- a/internal/policy/spread/spread_test.go
+++ b/internal/policy/spread/spread_test.go
@@ -48,7 +48,7 @@
 	serving, free := ready("a", 8000), ready("b", 4000)
 	serving.Serving, serving.FillersFit = 1, 1
 	task := want(1000)
-	task.Step.Filler = true
+	task.Step.BestEffort = true
 	i, _ := Choose(task, []Host{serving, free})
 	require.Equal(t, 1, i)
 }
@@ -57,7 +57,7 @@
 func TestChoiceAlwaysFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		task := want(rapid.Int64Range(0, 5000).Draw(t, "cpu"))
-		task.Step.Filler = rapid.Bool().Draw(t, "filler")
+		task.Step.BestEffort = rapid.Bool().Draw(t, "filler")
 		task.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 		var hosts []Host
 		for range rapid.IntRange(0, 5).Draw(t, "hosts") {
@@ -89,7 +89,7 @@
 	robust.Serving, robust.FillersFit = 4, 9
 	robust.Free.MilliCPU, robust.FillerCPU = 1000, 3000
 	task := want(1000)
-	task.Step.Filler = true
+	task.Step.BestEffort = true
 	i, _ := Choose(task, []Host{sensitive, robust})
 	require.Equal(t, 1, i)
 }
@@ -100,7 +100,7 @@
 	host := ready("a", 8000)
 	host.Serving, host.FillersFit = 4, 0.1
 	task := want(1000)
-	task.Step.Filler = true
+	task.Step.BestEffort = true
 	task.Patient = true
 	require.Equal(t, Crowded, Check(task, host))
 	task.Patient = false
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -22,8 +22,8 @@
 	Address string        `json:"address"` // where agents reach the owner
 }
 
-// CellBeat is the value of the row that the owner of a cell renews.
-type CellBeat struct {
+// CellHeartbeat is the value of the row that the owner of a cell renews.
+type CellHeartbeat struct {
 	Owner   model.EntryID `json:"owner"`
 	Boot    model.Boot    `json:"boot"`
 	Counter uint64        `json:"counter"`
@@ -56,8 +56,8 @@
 // CellEpochKey is the key of a CellEpoch.
 func CellEpochKey(c model.Cell) string { return "cell/" + string(c) + "/epoch" }
 
-// CellBeatKey is the key of a CellBeat.
-func CellBeatKey(c model.Cell) string { return "cell/" + string(c) + "/beat" }
+// CellHeartbeatKey is the key of a CellHeartbeat.
+func CellHeartbeatKey(c model.Cell) string { return "cell/" + string(c) + "/beat" }
 
 // JobPrefix is the prefix of the job rows of a cell.
 func JobPrefix(c model.Cell) string { return "job/" + string(c) + "/" }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -12,18 +12,18 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Errors of orders. After ErrUnknown the order may have been executed, or may
+// Errors of orders. After ErrOutcomeUnknown the order may have been executed, or may
 // still be; after the others it was not and will not be.
 var (
-	ErrFenced       = errors.New("the backend server has seen a higher fencing token")
-	ErrOld          = errors.New("the run, or a later one, was stopped or has ended")
-	ErrLate         = errors.New("the lease of the start is over")
-	ErrNoRoom       = errors.New("the backend server has no room")
-	ErrOtherLife    = errors.New("another life of the backend server answered")
-	ErrUnavailable  = errors.New("the backend server refused the order")
-	ErrNotListening = errors.New("the backend server does not run")
-	ErrUnknown      = errors.New("the backend server did not answer")
-	ErrInvalid      = errors.New("the backend server calls the order invalid")
+	ErrFenced           = errors.New("the backend server has seen a higher fencing token")
+	ErrRunEnded         = errors.New("the run, or a later one, was stopped or has ended")
+	ErrLeaseExpired     = errors.New("the lease of the start is over")
+	ErrNoCapacity       = errors.New("the backend server has no room")
+	ErrOtherIncarnation = errors.New("another life of the backend server answered")
+	ErrUnavailable      = errors.New("the backend server refused the order")
+	ErrNotListening     = errors.New("the backend server does not run")
+	ErrOutcomeUnknown   = errors.New("the backend server did not answer")
+	ErrInvalid          = errors.New("the backend server calls the order invalid")
 )
 
 // Target names the life of a backend server that is meant, and the fencing
@@ -35,7 +35,7 @@
 
 // Start is an order to start a run. The lease of everything on the backend
 // server is extended to Lease, in milliseconds of its clock.
-type Start struct {
+type StartRequest struct {
 	Run           workload.RunID
 	Specification string
 	Checkpoint    string
@@ -45,27 +45,27 @@
 // Hold asks for what runs and what has ended. Ends up to Taken are forgotten.
 // LeaseMS extends the lease of everything that runs; 0 leaves it. The answer
 // waits for an end for at most Wait.
-type Hold struct {
-	Taken   uint64
-	LeaseMS int64
-	Wait    time.Duration
+type PollRequest struct {
+	Acknowledged uint64
+	LeaseMS      int64
+	Wait         time.Duration
 }
 
 // Listing is the answer to a Hold.
-type Listing struct {
-	ClockMS int64
-	Born    int64 // 0: not told
-	Runs    []msg.RunStatus
-	Ends    []msg.RunEnd
+type PollResponse struct {
+	ClockMS     int64
+	StartedAtMS int64 // 0: not told
+	Runs        []msg.RunStatus
+	Ended       []msg.RunEnd
 }
 
 // Runner orders runs. Start, Stop and Pace return the clock of the backend
 // server in milliseconds where it answered.
 type Runner interface {
-	Start(ctx context.Context, t Target, s Start) (clockMS int64, err error)
+	Start(ctx context.Context, t Target, s StartRequest) (clockMS int64, err error)
 	Stop(ctx context.Context, t Target, run workload.RunID) (clockMS int64, err error)
-	Pace(ctx context.Context, t Target, run workload.RunID, percent int) (clockMS int64, err error)
-	Hold(ctx context.Context, t Target, h Hold) (Listing, error)
+	Throttle(ctx context.Context, t Target, run workload.RunID, percent int) (clockMS int64, err error)
+	Poll(ctx context.Context, t Target, h PollRequest) (PollResponse, error)
 }
 
 // Announcement is what a backend server tells of itself.
--- a/internal/tasks/commands.go
+++ b/internal/tasks/commands.go
@@ -18,7 +18,7 @@
 			c.sendInventory(from)
 		}
 	case *msg.LeaseRenew:
-		if c.admit(from, m.Command) && c.lease.Receive(c.now, m.Sequence, m.TTL, m.LongTTL) {
+		if c.admit(from, m.Command) && c.lease.Receive(c.now, m.Sequence, m.TTL, m.LongRunningTTL) {
 			c.send(&msg.LeaseAck{Cell: c.cell, Epoch: c.epoch, Sequence: m.Sequence})
 			c.renewAdopted()
 		}
--- a/internal/tasks/core_test.go
+++ b/internal/tasks/core_test.go
@@ -51,7 +51,7 @@
 func (s *script) renew(entry model.EntryID, epoch model.Epoch) *script {
 	for range 2 {
 		s.seq++
-		s.from(entry, &msg.LeaseRenew{Command: cmd(epoch), Sequence: s.seq, TTL: lease.TTL, LongTTL: lease.TTL})
+		s.from(entry, &msg.LeaseRenew{Command: cmd(epoch), Sequence: s.seq, TTL: lease.TTL, LongRunningTTL: lease.TTL})
 	}
 	return s
 }
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -165,13 +165,13 @@
 
 func grantToProto(m *msg.CreditGrant) *pb.Credit {
 	p := creditToProto(m.Backend, m.Generation, m.Count)
-	p.Long = int64(m.Long)
+	p.Long = int64(m.MaxLong)
 	return p
 }
 
 func grantFromProto(p *pb.Credit) *msg.CreditGrant {
 	c := creditFromProto(p)
-	return &msg.CreditGrant{Backend: c.Backend, Generation: c.Generation, Count: c.Count, Long: int(p.GetLong())}
+	return &msg.CreditGrant{Backend: c.Backend, Generation: c.Generation, Count: c.Count, MaxLong: int(p.GetLong())}
 }
 
 func creditFromProto(p *pb.Credit) *msg.CreditReturn {
@@ -182,14 +182,14 @@
 
 func demandToProto(m *msg.Demand) *pb.Demand {
 	return &pb.Demand{
-		Service: string(m.Service), Queued: int64(m.Queued), Short: int64(m.Short), TightestNs: int64(m.Tightest),
+		Service: string(m.Service), Queued: int64(m.Queued), Short: int64(m.Short), TightestNs: int64(m.MinRemaining),
 	}
 }
 
 func demandFromProto(p *pb.Demand) *msg.Demand {
 	return &msg.Demand{
 		Service: model.Service(p.GetService()), Queued: int(p.GetQueued()), Short: int(p.GetShort()),
-		Tightest: time.Duration(p.GetTightestNs()),
+		MinRemaining: time.Duration(p.GetTightestNs()),
 	}
 }
 
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -27,40 +27,40 @@
 	case *msg.HostInventory:
 		p.Kind = &pb.Control_HostInventory{HostInventory: &pb.HostInventory{
 			Epoch: m.Epoch, Host: hostToProto(m.Host), ClockMs: m.ClockMS,
-			Runs: each(m.Runs, runStatusToProto), Ends: each(m.Ends, runEndToProto),
+			Runs: each(m.Runs, runStatusToProto), Ends: each(m.Ended, runEndToProto),
 		}}
-	case *msg.InventoryTaken:
+	case *msg.InventoryAccepted:
 		p.Kind = &pb.Control_InventoryTaken{InventoryTaken: &pb.InventoryTaken{
 			Epoch: m.Epoch, ClockMs: m.ClockMS, Sizes: each(m.Sizes, runSizeToProto),
 		}}
 	case *msg.StartRuns:
 		p.Kind = &pb.Control_StartRuns{StartRuns: &pb.StartRuns{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.Born, Starts: each(m.Starts, runStartToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Starts: each(m.Starts, runStartToProto),
 		}}
 	case *msg.StopRuns:
 		p.Kind = &pb.Control_StopRuns{StopRuns: &pb.StopRuns{Epoch: m.Epoch, Runs: each(m.Runs, runToProto)}}
 	case *msg.RunsChanged:
 		p.Kind = &pb.Control_RunsChanged{RunsChanged: &pb.RunsChanged{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.Born, Started: each(m.Started, runToProto),
-			Refused: each(m.Refused, runToProto), Ends: each(m.Ends, runEndToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Started: each(m.Started, runToProto),
+			Refused: each(m.Refused, runToProto), Ends: each(m.Ended, runEndToProto),
 		}}
 	case *msg.RunsProgress:
 		p.Kind = &pb.Control_RunsProgress{RunsProgress: &pb.RunsProgress{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.Born, ClockMs: m.ClockMS, Runs: each(m.Runs, runStatusToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, ClockMs: m.ClockMS, Runs: each(m.Runs, runStatusToProto),
 		}}
 	case *msg.LeaseGrant:
 		p.Kind = &pb.Control_LeaseGrant{LeaseGrant: &pb.LeaseGrant{
-			Epoch: m.Epoch, Born: m.Born, ClockMs: m.ClockMS,
-			Harms: each(m.Harms, harmToProto),
+			Epoch: m.Epoch, Born: m.StartedAtMS, ClockMs: m.ClockMS,
+			Harms: each(m.Interference, harmToProto),
 		}}
-	case *msg.EndsTaken:
-		p.Kind = &pb.Control_EndsTaken{EndsTaken: &pb.EndsTaken{Epoch: m.Epoch, Instance: string(m.Instance), Born: m.Born, Upto: m.Upto}}
+	case *msg.EndsAcknowledged:
+		p.Kind = &pb.Control_EndsTaken{EndsTaken: &pb.EndsTaken{Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Upto: m.LastNumber}}
 	case *msg.JobSubmitted:
 		p.Kind = &pb.Control_JobSubmitted{JobSubmitted: jobToProto(&m.Job)}
 	case *msg.JobCancelled:
 		p.Kind = &pb.Control_JobCancelled{JobCancelled: string(m.ID)}
 	case *msg.JobPhases:
-		p.Kind = &pb.Control_JobPhases{JobPhases: &pb.JobPhases{Epoch: m.Epoch, All: m.All, Jobs: each(m.Jobs, jobPhaseToProto)}}
+		p.Kind = &pb.Control_JobPhases{JobPhases: &pb.JobPhases{Epoch: m.Epoch, All: m.Full, Jobs: each(m.Jobs, jobPhaseToProto)}}
 	case *msg.ConfigAnnounced:
 		p.Kind = &pb.Control_ConfigAnnounced{ConfigAnnounced: &pb.ConfigAnnounced{Version: m.Version, Raw: m.Raw}}
 	case *msg.StoreCall:
@@ -95,11 +95,11 @@
 		return inventoryFromFleet(k.HostInventory)
 	case *pb.Control_InventoryTaken:
 		t := k.InventoryTaken
-		return &msg.InventoryTaken{Epoch: t.GetEpoch(), ClockMS: t.GetClockMs(), Sizes: each(t.GetSizes(), runSizeFromProto)}, nil
+		return &msg.InventoryAccepted{Epoch: t.GetEpoch(), ClockMS: t.GetClockMs(), Sizes: each(t.GetSizes(), runSizeFromProto)}, nil
 	case *pb.Control_StartRuns:
 		s := k.StartRuns
 		return &msg.StartRuns{
-			Epoch: s.GetEpoch(), Instance: workload.Instance(s.GetInstance()), Born: s.GetBorn(), Starts: each(s.GetStarts(), runStartFromProto),
+			Epoch: s.GetEpoch(), Instance: workload.Instance(s.GetInstance()), StartedAtMS: s.GetBorn(), Starts: each(s.GetStarts(), runStartFromProto),
 		}, nil
 	case *pb.Control_StopRuns:
 		return &msg.StopRuns{Epoch: k.StopRuns.GetEpoch(), Runs: each(k.StopRuns.GetRuns(), runFromProto)}, nil
@@ -108,18 +108,18 @@
 	case *pb.Control_RunsProgress:
 		r := k.RunsProgress
 		return &msg.RunsProgress{
-			Epoch: r.GetEpoch(), Instance: workload.Instance(r.GetInstance()), Born: r.GetBorn(), ClockMS: r.GetClockMs(),
+			Epoch: r.GetEpoch(), Instance: workload.Instance(r.GetInstance()), StartedAtMS: r.GetBorn(), ClockMS: r.GetClockMs(),
 			Runs: each(r.GetRuns(), runStatusFromProto),
 		}, nil
 	case *pb.Control_LeaseGrant:
 		g := k.LeaseGrant
 		return &msg.LeaseGrant{
-			Epoch: g.GetEpoch(), Born: g.GetBorn(), ClockMS: g.GetClockMs(),
-			Harms: each(g.GetHarms(), harmFromProto),
+			Epoch: g.GetEpoch(), StartedAtMS: g.GetBorn(), ClockMS: g.GetClockMs(),
+			Interference: each(g.GetHarms(), harmFromProto),
 		}, nil
 	case *pb.Control_EndsTaken:
 		e := k.EndsTaken
-		return &msg.EndsTaken{Epoch: e.GetEpoch(), Instance: workload.Instance(e.GetInstance()), Born: e.GetBorn(), Upto: e.GetUpto()}, nil
+		return &msg.EndsAcknowledged{Epoch: e.GetEpoch(), Instance: workload.Instance(e.GetInstance()), StartedAtMS: e.GetBorn(), LastNumber: e.GetUpto()}, nil
 	case *pb.Control_JobSubmitted:
 		return &msg.JobSubmitted{Job: jobFromProto(k.JobSubmitted)}, nil
 	case *pb.Control_JobCancelled:
@@ -151,8 +151,8 @@
 
 func hostToProto(h workload.Host) *pb.FleetHost {
 	return &pb.FleetHost{
-		Name: string(h.Name), Instance: string(h.Instance), Born: h.Born, Service: string(h.Service), DataCentre: string(h.DataCentre),
-		State: uint32(h.State), RemainingNs: int64(h.Remaining), Capacity: roomToProto(h.Capacity), Labels: h.Labels, Guards: h.Guards,
+		Name: string(h.Name), Instance: string(h.Instance), Born: h.StartedAtMS, Service: string(h.Service), DataCentre: string(h.DataCentre),
+		State: uint32(h.State), RemainingNs: int64(h.Remaining), Capacity: roomToProto(h.Capacity), Labels: h.Labels, Guards: h.AdmissionCheck,
 	}
 }
 
@@ -161,10 +161,10 @@
 		return workload.Host{}, malformed("host %q has the unknown state %d", p.GetName(), p.GetState())
 	}
 	return workload.Host{
-		Name: workload.HostName(p.GetName()), Instance: workload.Instance(p.GetInstance()), Born: p.GetBorn(),
+		Name: workload.HostName(p.GetName()), Instance: workload.Instance(p.GetInstance()), StartedAtMS: p.GetBorn(),
 		Service: workload.Service(p.GetService()), DataCentre: workload.DataCentre(p.GetDataCentre()),
 		State: workload.HostState(p.GetState()), Remaining: time.Duration(p.GetRemainingNs()),
-		Capacity: roomFromProto(p.GetCapacity()), Labels: p.GetLabels(), Guards: p.GetGuards(),
+		Capacity: roomFromProto(p.GetCapacity()), Labels: p.GetLabels(), AdmissionCheck: p.GetGuards(),
 	}, nil
 }
 
@@ -183,14 +183,14 @@
 
 func runStatusToProto(s msg.RunStatus) *pb.RunStatus {
 	return &pb.RunStatus{
-		Run: runToProto(s.Run), Checkpoint: s.Checkpoint, Percent: int64(s.Percent), Usage: s.Usage, Pace: int64(s.Pace), InDoubt: s.InDoubt,
+		Run: runToProto(s.Run), Checkpoint: s.Checkpoint, Percent: int64(s.ProgressPercent), Usage: s.Usage, Pace: int64(s.CPULimitPercent), InDoubt: s.Unconfirmed,
 	}
 }
 
 func runStatusFromProto(p *pb.RunStatus) msg.RunStatus {
 	return msg.RunStatus{
-		Run: runFromProto(p.GetRun()), Checkpoint: p.GetCheckpoint(), Percent: int(p.GetPercent()), Usage: p.GetUsage(),
-		Pace: int(p.GetPace()), InDoubt: p.GetInDoubt(),
+		Run: runFromProto(p.GetRun()), Checkpoint: p.GetCheckpoint(), ProgressPercent: int(p.GetPercent()), Usage: p.GetUsage(),
+		CPULimitPercent: int(p.GetPace()), Unconfirmed: p.GetInDoubt(),
 	}
 }
 
@@ -221,18 +221,18 @@
 	}
 	ends, err := runEndsFromProto(p.GetEnds())
 	return &msg.HostInventory{
-		Epoch: p.GetEpoch(), Host: host, ClockMS: p.GetClockMs(), Runs: each(p.GetRuns(), runStatusFromProto), Ends: ends,
+		Epoch: p.GetEpoch(), Host: host, ClockMS: p.GetClockMs(), Runs: each(p.GetRuns(), runStatusFromProto), Ended: ends,
 	}, err
 }
 
 func runSizeToProto(s msg.RunSize) *pb.RunSize {
-	return &pb.RunSize{Run: runToProto(s.Run), Charge: roomToProto(s.Charge), TargetNs: int64(s.Target), Filler: s.Filler, Image: s.Image, Cpu: s.CPU}
+	return &pb.RunSize{Run: runToProto(s.Run), Charge: roomToProto(s.Charge), TargetNs: int64(s.TargetLatency), Filler: s.BestEffort, Image: s.Image, Cpu: s.MilliCPU}
 }
 
 func runSizeFromProto(p *pb.RunSize) msg.RunSize {
 	return msg.RunSize{
-		Run: runFromProto(p.GetRun()), Charge: roomFromProto(p.GetCharge()), Target: time.Duration(p.GetTargetNs()), Filler: p.GetFiller(),
-		Image: p.GetImage(), CPU: p.GetCpu(),
+		Run: runFromProto(p.GetRun()), Charge: roomFromProto(p.GetCharge()), TargetLatency: time.Duration(p.GetTargetNs()), BestEffort: p.GetFiller(),
+		Image: p.GetImage(), MilliCPU: p.GetCpu(),
 	}
 }
 
@@ -247,8 +247,8 @@
 func runsChangedFromProto(p *pb.RunsChanged) (msg.Control, error) {
 	ends, err := runEndsFromProto(p.GetEnds())
 	return &msg.RunsChanged{
-		Epoch: p.GetEpoch(), Instance: workload.Instance(p.GetInstance()), Born: p.GetBorn(),
-		Started: each(p.GetStarted(), runFromProto), Refused: each(p.GetRefused(), runFromProto), Ends: ends,
+		Epoch: p.GetEpoch(), Instance: workload.Instance(p.GetInstance()), StartedAtMS: p.GetBorn(),
+		Started: each(p.GetStarted(), runFromProto), Refused: each(p.GetRefused(), runFromProto), Ended: ends,
 	}, err
 }
 
@@ -257,7 +257,7 @@
 }
 
 func jobPhasesFromProto(p *pb.JobPhases) (msg.Control, error) {
-	m := &msg.JobPhases{Epoch: p.GetEpoch(), All: p.GetAll()}
+	m := &msg.JobPhases{Epoch: p.GetEpoch(), Full: p.GetAll()}
 	for _, j := range p.GetJobs() {
 		if j.GetPhase() > uint32(workload.Cancelled) {
 			return nil, malformed("job %q has the unknown phase %d", j.GetId(), j.GetPhase())
@@ -307,10 +307,10 @@
 	}, nil
 }
 
-func harmToProto(h msg.Harm) *pb.Harm {
-	return &pb.Harm{Serving: h.Serving, Filler: h.Filler, Value: h.Value}
+func harmToProto(h msg.Interference) *pb.Harm {
+	return &pb.Harm{Serving: h.ServingImage, Filler: h.BestEffortImage, Value: h.Coefficient}
 }
 
-func harmFromProto(p *pb.Harm) msg.Harm {
-	return msg.Harm{Serving: p.GetServing(), Filler: p.GetFiller(), Value: p.GetValue()}
+func harmFromProto(p *pb.Harm) msg.Interference {
+	return msg.Interference{ServingImage: p.GetServing(), BestEffortImage: p.GetFiller(), Coefficient: p.GetValue()}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -117,7 +117,7 @@
 		Id: requestIDToProto(h.ID), Generation: h.Generation,
 		Service: string(h.Service), Class: string(h.Class), Tenant: string(h.Tenant),
 		Method: h.Method, Uri: h.URI, Host: h.Host, Header: fieldsToProto(h.Header),
-		ContentLength: h.ContentLength, DeadlineNs: int64(h.Deadline), Long: h.Long,
+		ContentLength: h.ContentLength, DeadlineNs: int64(h.Deadline), Long: h.LongClass,
 	}
 }
 
@@ -126,7 +126,7 @@
 		ID: requestIDFromProto(p.GetId()), Generation: p.GetGeneration(),
 		Service: model.Service(p.GetService()), Class: model.Class(p.GetClass()), Tenant: model.Tenant(p.GetTenant()),
 		Method: p.GetMethod(), URI: p.GetUri(), Host: p.GetHost(), Header: fieldsFromProto(p.GetHeader()),
-		ContentLength: p.GetContentLength(), Deadline: time.Duration(p.GetDeadlineNs()), Long: p.GetLong(),
+		ContentLength: p.GetContentLength(), Deadline: time.Duration(p.GetDeadlineNs()), LongClass: p.GetLong(),
 	}
 }
 
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -66,13 +66,13 @@
 	register[msg.HostAnnounced]("HostAnnounced")
 	register[msg.OwnerClaim]("OwnerClaim")
 	register[msg.HostInventory]("HostInventory")
-	register[msg.InventoryTaken]("InventoryTaken")
+	register[msg.InventoryAccepted]("InventoryTaken")
 	register[msg.StartRuns]("StartRuns")
 	register[msg.StopRuns]("StopRuns")
 	register[msg.RunsChanged]("RunsChanged")
 	register[msg.RunsProgress]("RunsProgress")
 	register[msg.LeaseGrant]("LeaseGrant")
-	register[msg.EndsTaken]("EndsTaken")
+	register[msg.EndsAcknowledged]("EndsTaken")
 	register[msg.JobSubmitted]("JobSubmitted")
 	register[msg.JobCancelled]("JobCancelled")
 	register[msg.JobPhases]("JobPhases")
@@ -93,7 +93,7 @@
 func message[M any]() *rapid.Generator[any] {
 	text := rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 12), func(b []byte) string { return string(b) })
 	reason := rapid.Uint8Range(uint8(msg.RefusedNoCredit), uint8(msg.RefusedCancelled))
-	state := rapid.Uint8Range(uint8(msg.ExchangeForgotten), uint8(msg.ExchangeFinished))
+	state := rapid.Uint8Range(uint8(msg.ExchangeUnknown), uint8(msg.ExchangeFinished))
 	g := rapid.MakeCustom[M](rapid.MakeConfig{
 		Kinds: map[reflect.Kind]*rapid.Generator[any]{reflect.String: text.AsAny()},
 		Types: map[reflect.Type]*rapid.Generator[any]{
--- a/internal/wire/task.go
+++ b/internal/wire/task.go
@@ -103,13 +103,13 @@
 
 func leaseRenewToProto(m *msg.LeaseRenew) *pb.LeaseRenew {
 	return &pb.LeaseRenew{
-		Cell: string(m.Cell), Epoch: uint64(m.Epoch), Sequence: m.Sequence, TtlNs: int64(m.TTL), LongTtlNs: int64(m.LongTTL),
+		Cell: string(m.Cell), Epoch: uint64(m.Epoch), Sequence: m.Sequence, TtlNs: int64(m.TTL), LongTtlNs: int64(m.LongRunningTTL),
 	}
 }
 
 func leaseRenewFromProto(p *pb.LeaseRenew) *msg.LeaseRenew {
 	return &msg.LeaseRenew{
-		Command: command(p), Sequence: p.GetSequence(), TTL: time.Duration(p.GetTtlNs()), LongTTL: time.Duration(p.GetLongTtlNs()),
+		Command: command(p), Sequence: p.GetSequence(), TTL: time.Duration(p.GetTtlNs()), LongRunningTTL: time.Duration(p.GetLongTtlNs()),
 	}
 }
 
--- a/internal/wire/workload.go
+++ b/internal/wire/workload.go
@@ -25,7 +25,7 @@
 // EncodeProgress encodes the progress of a job as it is stored.
 func EncodeProgress(j *workload.Progress) ([]byte, error) {
 	return proto.Marshal(&pb.JobProgress{
-		Phase: uint32(j.Phase), Done: j.Done, OverAtMs: j.OverAtMS,
+		Phase: uint32(j.Phase), Done: j.Done, OverAtMs: j.EndedAtMS,
 		Attempts: each(j.Attempts, func(a workload.TaskAttempts) *pb.TaskAttempts {
 			return &pb.TaskAttempts{Step: int64(a.Step), Index: int64(a.Index), Failed: int64(a.Failed), Checkpoint: a.Checkpoint, LastFailed: a.LastFailed}
 		}),
@@ -42,7 +42,7 @@
 		return workload.Progress{}, malformed("progress has the unknown phase %d", p.GetPhase())
 	}
 	return workload.Progress{
-		Phase: workload.Phase(p.GetPhase()), Done: p.GetDone(), OverAtMS: p.GetOverAtMs(),
+		Phase: workload.Phase(p.GetPhase()), Done: p.GetDone(), EndedAtMS: p.GetOverAtMs(),
 		Attempts: each(p.GetAttempts(), func(a *pb.TaskAttempts) workload.TaskAttempts {
 			return workload.TaskAttempts{
 				Step: int(a.GetStep()), Index: int(a.GetIndex()), Failed: int(a.GetFailed()), LastFailed: a.GetLastFailed(),
@@ -66,14 +66,14 @@
 	return workload.Owner{Name: p.GetName(), Boot: p.GetBoot(), Epoch: p.GetEpoch(), Sequence: p.GetSequence()}, nil
 }
 
-// EncodeHarms encodes what an owner has learned of the harm of fillers as it
+// EncodeInterference encodes what an owner has learned of the harm of fillers as it
 // is stored.
-func EncodeHarms(harms []msg.Harm) ([]byte, error) {
+func EncodeInterference(harms []msg.Interference) ([]byte, error) {
 	return proto.Marshal(&pb.HarmsRow{Harms: each(harms, harmToProto)})
 }
 
-// DecodeHarms is the inverse of EncodeHarms.
-func DecodeHarms(raw []byte) ([]msg.Harm, error) {
+// DecodeInterference is the inverse of EncodeInterference.
+func DecodeInterference(raw []byte) ([]msg.Interference, error) {
 	var p pb.HarmsRow
 	if err := proto.Unmarshal(raw, &p); err != nil {
 		return nil, malformed("harms: %v", err)
@@ -84,7 +84,7 @@
 func jobToProto(j *workload.Job) *pb.FleetJob {
 	return &pb.FleetJob{
 		Id: string(j.ID), Queue: string(j.Queue), Service: string(j.Service), Priority: int64(j.Priority), MaxAttempts: int64(j.MaxAttempts),
-		Stretch: j.Stretch, TargetNs: int64(j.TargetLatency), Specification: j.Specification, Steps: each(j.Steps, stepToProto),
+		Stretch: j.TargetSlowdown, TargetNs: int64(j.TargetLatency), Specification: j.Specification, Steps: each(j.Steps, stepToProto),
 		Repetitions: int64(j.Repetitions), FirstRunMs: j.FirstRunMS, IntervalMs: j.IntervalMS,
 	}
 }
@@ -92,7 +92,7 @@
 func jobFromProto(p *pb.FleetJob) workload.Job {
 	return workload.Job{
 		ID: workload.JobID(p.GetId()), Queue: workload.QueueName(p.GetQueue()), Service: workload.Service(p.GetService()),
-		Priority: int(p.GetPriority()), MaxAttempts: int(p.GetMaxAttempts()), Stretch: p.GetStretch(), TargetLatency: time.Duration(p.GetTargetNs()),
+		Priority: int(p.GetPriority()), MaxAttempts: int(p.GetMaxAttempts()), TargetSlowdown: p.GetStretch(), TargetLatency: time.Duration(p.GetTargetNs()),
 		Specification: p.GetSpecification(), Steps: each(p.GetSteps(), stepFromProto),
 		Repetitions: int(p.GetRepetitions()), FirstRunMS: p.GetFirstRunMs(), IntervalMS: p.GetIntervalMs(),
 	}
@@ -103,8 +103,8 @@
 		Count: int64(s.Count), Need: roomToProto(s.Need), EstimateNs: int64(s.Estimate),
 		After:         each(s.After, func(n int) int64 { return int64(n) }),
 		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, DataRack: s.DataRack,
-		MaxPerHost: int64(s.MaxPerHost), Copies: s.Copies, LongRunning: s.LongRunning, Image: s.Image,
-		TargetNs: int64(s.TargetLatency), Filler: s.Filler, MayMiss: int64(s.MayMiss),
+		MaxPerHost: int64(s.MaxPerHost), Copies: s.AllowConcurrentRuns, LongRunning: s.LongRunning, Image: s.Image,
+		TargetNs: int64(s.TargetLatency), Filler: s.BestEffort, MayMiss: int64(s.MaxUnavailable),
 	}
 }
 
@@ -113,7 +113,7 @@
 		Count: int(p.GetCount()), Need: roomFromProto(p.GetNeed()), Estimate: time.Duration(p.GetEstimateNs()),
 		After:         each(p.GetAfter(), func(n int64) int { return int(n) }),
 		Checkpointing: p.GetCheckpointing(), Gang: p.GetGang(), SameRack: p.GetSameRack(), Label: p.GetLabel(), DataRack: p.GetDataRack(),
-		MaxPerHost: int(p.GetMaxPerHost()), Copies: p.GetCopies(), LongRunning: p.GetLongRunning(), Image: p.GetImage(),
-		TargetLatency: time.Duration(p.GetTargetNs()), Filler: p.GetFiller(), MayMiss: int(p.GetMayMiss()),
+		MaxPerHost: int(p.GetMaxPerHost()), AllowConcurrentRuns: p.GetCopies(), LongRunning: p.GetLongRunning(), Image: p.GetImage(),
+		TargetLatency: time.Duration(p.GetTargetNs()), BestEffort: p.GetFiller(), MaxUnavailable: int(p.GetMayMiss()),
 	}
 }
--- a/internal/workload/validate.go
+++ b/internal/workload/validate.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// MaxSpecification is the largest specification of a job in bytes.
-const MaxSpecification = 4000
+// MaxSpecificationBytes is the largest specification of a job in bytes.
+const MaxSpecificationBytes = 4000
 
 // ErrUnsupported is wrapped by the errors of jobs that are well formed but ask
 // for what this version does not run.
@@ -19,8 +19,8 @@
 	if !validJobID(string(j.ID)) {
 		found = append(found, fmt.Errorf("job id %q is not 16 hexadecimal digits", j.ID))
 	}
-	if len(j.Specification) > MaxSpecification {
-		found = append(found, fmt.Errorf("specification has %d bytes, the limit is %d", len(j.Specification), MaxSpecification))
+	if len(j.Specification) > MaxSpecificationBytes {
+		found = append(found, fmt.Errorf("specification has %d bytes, the limit is %d", len(j.Specification), MaxSpecificationBytes))
 	}
 	if len(j.Steps) == 0 {
 		found = append(found, errors.New("job has no steps"))
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -44,28 +44,28 @@
 
 // Step is a group of tasks of a job.
 type Step struct {
-	Count         int
-	Need          Resources // of each task
-	Estimate      time.Duration
-	After         []int // earlier steps that must be done first
-	Checkpointing bool
-	Gang          bool
-	SameRack      bool
-	Label         string // the host must have it; empty: any host
-	DataRack      string // rack on which the tasks run fastest; empty: any
-	MaxPerHost    int    // 0: no bound
-	Copies        bool   // several runs of a task may overlap
-	LongRunning   bool   // runs until the job is cancelled
-	Image         string
-	TargetLatency time.Duration // of the users of a long-running task; 0: none
-	Filler        bool          // uses processor time that other tasks leave unused
-	MayMiss       int           // tasks that may be away at once by the scheduler's doing
+	Count               int
+	Need                Resources // of each task
+	Estimate            time.Duration
+	After               []int // earlier steps that must be done first
+	Checkpointing       bool
+	Gang                bool
+	SameRack            bool
+	Label               string // the host must have it; empty: any host
+	DataRack            string // rack on which the tasks run fastest; empty: any
+	MaxPerHost          int    // 0: no bound
+	AllowConcurrentRuns bool   // several runs of a task may overlap
+	LongRunning         bool   // runs until the job is cancelled
+	Image               string
+	TargetLatency       time.Duration // of the users of a long-running task; 0: none
+	BestEffort          bool          // uses processor time that other tasks leave unused
+	MaxUnavailable      int           // tasks that may be away at once by the scheduler's doing
 }
 
 // Charge returns the room that a run of the step takes on a host.
 func (s *Step) Charge() Resources {
 	r := s.Need
-	if s.Filler {
+	if s.BestEffort {
 		r.MilliCPU = 0
 	}
 	return r
@@ -76,18 +76,18 @@
 
 // Job is a submitted job with the attributes of its queue at that time.
 type Job struct {
-	ID            JobID
-	Queue         QueueName
-	Service       Service
-	Priority      int // 0 comes first
-	MaxAttempts   int // failed runs of a task that fail the job
-	Stretch       float64
-	TargetLatency time.Duration
-	Specification string
-	Steps         []Step
-	Repetitions   int   // 0: the steps run once
-	FirstRunMS    int64 // Unix time in milliseconds
-	IntervalMS    int64
+	ID             JobID
+	Queue          QueueName
+	Service        Service
+	Priority       int // 0 comes first
+	MaxAttempts    int // failed runs of a task that fail the job
+	TargetSlowdown float64
+	TargetLatency  time.Duration
+	Specification  string
+	Steps          []Step
+	Repetitions    int   // 0: the steps run once
+	FirstRunMS     int64 // Unix time in milliseconds
+	IntervalMS     int64
 }
 
 // LongRunning reports whether the job has a step that never ends by itself.
@@ -113,7 +113,7 @@
 )
 
 // Over reports whether p is final.
-func (p Phase) Over() bool { return p >= Completed }
+func (p Phase) Final() bool { return p >= Completed }
 
 func (p Phase) String() string {
 	return [...]string{"queued", "running", "completed", "failed", "cancelled"}[p]
@@ -161,7 +161,7 @@
 
 // States of a backend server.
 const (
-	HostAway HostState = iota // none is announced, or it has left
+	HostUnavailable HostState = iota // none is announced, or it has left
 	HostReady
 	HostDraining
 )
@@ -170,16 +170,16 @@
 
 // Host is what an agent knows of its backend server.
 type Host struct {
-	Name       HostName
-	Instance   Instance
-	Born       int64 // Unix milliseconds; tells apart lives with one Instance
-	Service    Service
-	DataCentre DataCentre
-	State      HostState
-	Remaining  time.Duration // while draining: the least time that is left
-	Capacity   Resources
-	Labels     []string
-	Guards     bool // the backend server itself rejects what does not fit
+	Name           HostName
+	Instance       Instance
+	StartedAtMS    int64 // Unix milliseconds; tells apart lives with one Instance
+	Service        Service
+	DataCentre     DataCentre
+	State          HostState
+	Remaining      time.Duration // while draining: the least time that is left
+	Capacity       Resources
+	Labels         []string
+	AdmissionCheck bool // the backend server itself rejects what does not fit
 }
 
 // HasLabel reports whether l is one of h's labels.
@@ -200,7 +200,7 @@
 	EndDone EndReason = iota
 	EndFailed
 	EndStopped
-	EndLapsed
+	EndLeaseExpired
 	EndBroken
 	EndAlone
 	EndLost // the backend server ended or never started the run
@@ -212,30 +212,30 @@
 
 // Queue routes submitted jobs to a service.
 type Queue struct {
-	Name          QueueName
-	Host          string
-	PathPrefix    string
-	Service       Service
-	Priority      int
-	MaxAttempts   int
-	Stretch       float64
-	TargetLatency time.Duration
-	Timeout       time.Duration
+	Name           QueueName
+	Host           string
+	PathPrefix     string
+	Service        Service
+	Priority       int
+	MaxAttempts    int
+	TargetSlowdown float64
+	TargetLatency  time.Duration
+	Timeout        time.Duration
 }
 
 // ServiceConfig is what the configuration says of a service.
 type ServiceConfig struct {
-	Name   Service
-	Guards bool // its backend servers reject what does not fit
-	Spare  bool // its hosts are switched off
+	Name           Service
+	AdmissionCheck bool // its backend servers reject what does not fit
+	PoweredOff     bool // its hosts are switched off
 }
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	Version  uint64
-	Queues   []Queue
-	Services []ServiceConfig
-	MaxBody  int64 // bytes of a submitted job
+	Version      uint64
+	Queues       []Queue
+	Services     []ServiceConfig
+	MaxBodyBytes int64 // bytes of a submitted job
 }
 
 // Match returns the queue with the host and the longest prefix of path.
@@ -255,10 +255,10 @@
 
 // Progress is what is stored of a job that has begun.
 type Progress struct {
-	Phase    Phase
-	Done     []byte // one bit for each task, in the order of the steps
-	Attempts []TaskAttempts
-	OverAtMS int64 // Unix time in milliseconds at which the phase became final; 0 before
+	Phase     Phase
+	Done      []byte // one bit for each task, in the order of the steps
+	Attempts  []TaskAttempts
+	EndedAtMS int64 // Unix time in milliseconds at which the phase became final; 0 before
 }
 
 // TaskAttempts is what is stored of a task with failed runs or a checkpoint.
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -10,7 +10,7 @@
 // Guards against a bad job that is accepted and then blocks or ends the
 // scheduler; every finding is reported.
 func TestValidateReportsEveryFinding(t *testing.T) {
-	j := Job{ID: "xyz", Specification: strings.Repeat("s", MaxSpecification+1), Steps: []Step{
+	j := Job{ID: "xyz", Specification: strings.Repeat("s", MaxSpecificationBytes+1), Steps: []Step{
 		{Count: 0}, {Count: 1, After: []int{1}}, {Count: 1, After: []int{2}, Need: Resources{MilliCPU: -1}},
 	}}
 	err := j.Validate()
