--- a/cmd/bamboojobd/main.go
+++ b/cmd/bamboojobd/main.go
@@ -23,8 +23,8 @@
 
 	"github.com/bambooscale/bambooscale/internal/actor"
 	"github.com/bambooscale/bambooscale/internal/event"
-	"github.com/bambooscale/bambooscale/internal/hostguard"
-	"github.com/bambooscale/bambooscale/internal/jobnode"
+	"github.com/bambooscale/bambooscale/internal/hostagent"
+	"github.com/bambooscale/bambooscale/internal/jobdaemon"
 	"github.com/bambooscale/bambooscale/internal/logsink"
 	"github.com/bambooscale/bambooscale/internal/runner"
 	"github.com/bambooscale/bambooscale/internal/settings"
@@ -98,10 +98,10 @@
 }
 
 func startEntry(g *actor.Group, n *settings.JobNode) (drainer, error) {
-	return jobnode.StartEntry(g, jobnode.EntryConfig{
+	return jobdaemon.StartEntry(g, jobdaemon.EntryConfig{
 		Name: n.Name, DataCentre: workload.DataCentre(n.DataCentre), Links: n.LinkAddress(), Callers: n.Callers, Readiness: n.Readiness,
 		Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(), Boot: newBoot(), Store: platform.NewStore(n.Store, callTimeout),
-		Config:        jobnode.ConfigSource{Key: platform.ConfigKey, Prefix: platform.ConfigPrefix, Decode: platform.DecodeConfig},
+		Config:        jobdaemon.ConfigSource{Key: platform.ConfigKey, Prefix: platform.ConfigPrefix, Decode: platform.DecodeConfig},
 		CallerHandler: platform.CallerHandler, ReadinessHandler: platform.ReadinessHandler, Log: log.Log,
 	})
 }
@@ -110,10 +110,10 @@
 	refused := func(id string, err error) {
 		event.Log(log.Log, event.AnnounceRefused, log.Fields{"instance": id, "error": err.Error()})
 	}
-	return jobnode.StartAgent(g, jobnode.AgentConfig{
-		Guard: hostguard.Config{
+	return jobdaemon.StartAgent(g, jobdaemon.AgentConfig{
+		Guard: hostagent.Config{
 			Name: workload.HostName(n.Name), DataCentre: workload.DataCentre(n.DataCentre), OwnerLease: n.MaxLease, RunLease: runLease,
-			Token: hostguard.FirstToken(time.Now().UnixMilli()),
+			Token: hostagent.FirstToken(time.Now().UnixMilli()),
 		},
 		Boot: newBoot(), Registry: n.Registry, Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(),
 		Runner: platform.NewRunner(n.Backend, callTimeout), Store: platform.NewStore(n.Store, callTimeout),
--- a/cmd/bambooscaled/run_test.go
+++ b/cmd/bambooscaled/run_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/bambooscale/bambooscale/internal/model"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // silentWorker does not answer the first call.
 type silentWorker struct {
-	tasks.Worker
+	taskagent.Worker
 	calls *int
 }
 
--- a/internal/agent/lending.go
+++ b/internal/agent/lending.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/bambooscale/bambooscale/internal/msg"
-	"github.com/bambooscale/bambooscale/internal/policy/lend"
+	"github.com/bambooscale/bambooscale/internal/policy/credits"
 )
 
 // linkRTT is assumed for the look-ahead: between data centres it is 3 ms.
@@ -31,16 +31,16 @@
 // kept for short ones.
 func (s *slots) longFree() int { return max(1, s.backend.Slots/2) - s.longRunning() }
 
-// lend carries out the plan of package lend.
+// lend carries out the plan of package credits.
 func (s *slots) lend() {
-	look := lend.LookAhead(s.backend.Slots, linkRTT, time.Duration(s.mean))
+	look := credits.LookAhead(s.backend.Slots, linkRTT, time.Duration(s.mean))
 	s.flat = s.flat[:0]
 	for _, b := range s.borrowers {
 		s.count(b)
 		s.flat = append(s.flat, b.Borrower)
 	}
-	state := lend.Slots{Total: s.backend.Slots - s.withoutBorrower(), LookAhead: look, Open: s.backend.open}
-	s.grants = lend.Plan(state, s.flat, s.grants[:0])
+	state := credits.Slots{Total: s.backend.Slots - s.withoutBorrower(), LookAhead: look, Open: s.backend.open}
+	s.grants = credits.Plan(state, s.flat, s.grants[:0])
 	for i, b := range s.borrowers {
 		b.Granted = s.flat[i].Granted
 	}
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,8 +8,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/msg"
 	"github.com/bambooscale/bambooscale/internal/peer"
+	"github.com/bambooscale/bambooscale/internal/policy/credits"
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
-	"github.com/bambooscale/bambooscale/internal/policy/lend"
 )
 
 // credit is one unit of what the agent lends.
@@ -20,7 +20,7 @@
 
 // borrower is an entry with a link.
 type borrower struct {
-	lend.Borrower
+	credits.Borrower
 	generation uint64
 	out        peer.Out
 	longSent   int // last Long that the entry was told
@@ -56,8 +56,8 @@
 	worker     model.WorkerID
 	timers     *actor.Timers[timerKey]
 	now        time.Time
-	grants     []lend.Grant // scratch
-	flat       []lend.Borrower
+	grants     []credits.Grant // scratch
+	flat       []credits.Borrower
 }
 
 func newSlots(host model.Worker) *slots {
--- a/internal/capacity/host_test.go
+++ b/internal/capacity/host_test.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/rows"
 	"github.com/bambooscale/bambooscale/internal/storage"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // host is a worker whose tasks run until they are stopped.
@@ -26,7 +26,7 @@
 	return len(h.tasks)
 }
 
-func (h *host) Start(_ context.Context, r tasks.StartRequest) error {
+func (h *host) Start(_ context.Context, r taskagent.StartRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tasks[r.Attempt] = time.Now()
@@ -40,12 +40,12 @@
 	return nil
 }
 
-func (h *host) List(context.Context) ([]tasks.Task, error) {
+func (h *host) List(context.Context) ([]taskagent.Task, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var list []tasks.Task
+	var list []taskagent.Task
 	for id, began := range h.tasks {
-		list = append(list, tasks.Task{Attempt: id, State: model.TaskRunning, RanFor: time.Since(began),
+		list = append(list, taskagent.Task{Attempt: id, State: model.TaskRunning, RanFor: time.Since(began),
 			Usage: model.Usage{Resources: model.Resources{CPU: 900, Memory: 1 << 30}, Age: 10 * time.Second}})
 	}
 	return list, nil
@@ -53,7 +53,7 @@
 
 func (h *host) Renew(context.Context, model.AttemptID, time.Duration) error { return nil }
 func (h *host) Checkpoint(_ context.Context, id model.AttemptID) (string, error) {
-	return tasks.CheckpointPrefix(id) + "1", nil
+	return taskagent.CheckpointPrefix(id) + "1", nil
 }
 func (h *host) Throttle(context.Context, model.AttemptID, int) error { return nil }
 func (h *host) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -14,7 +14,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/rows"
 	"github.com/bambooscale/bambooscale/internal/storage"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // table is an in-memory table service with faults.
@@ -187,7 +187,7 @@
 	}
 }
 
-func (w *host) Start(ctx context.Context, s tasks.StartRequest) error {
+func (w *host) Start(ctx context.Context, s taskagent.StartRequest) error {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	if w.away {
@@ -226,7 +226,7 @@
 	}
 	r := w.runs[id]
 	if r == nil {
-		return tasks.ErrNoTask
+		return taskagent.ErrNoTask
 	}
 	r.settle()
 	do(r)
@@ -244,7 +244,7 @@
 func (w *host) Checkpoint(ctx context.Context, id model.AttemptID) (name string, err error) {
 	err = w.on(id, func(r *task) {
 		r.points++
-		name = fmt.Sprintf("%s%d", tasks.CheckpointPrefix(id), r.points)
+		name = fmt.Sprintf("%s%d", taskagent.CheckpointPrefix(id), r.points)
 		r.newest = name
 		w.all.saved[name] = r.from + time.Since(r.began)
 	})
@@ -277,16 +277,16 @@
 	})
 }
 
-func (w *host) List(context.Context) ([]tasks.Task, error) {
+func (w *host) List(context.Context) ([]taskagent.Task, error) {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	if w.away {
 		return nil, context.DeadlineExceeded
 	}
-	var list []tasks.Task
+	var list []taskagent.Task
 	for _, r := range w.runs {
 		r.settle()
-		list = append(list, tasks.Task{Attempt: r.id, State: r.state, Result: tasks.ResultName(r.id), Checkpoint: r.newest, RanFor: time.Since(r.began)})
+		list = append(list, taskagent.Task{Attempt: r.id, State: r.state, Result: taskagent.ResultName(r.id), Checkpoint: r.newest, RanFor: time.Since(r.began)})
 	}
 	return list, nil
 }
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -18,7 +18,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/msg"
 	"github.com/bambooscale/bambooscale/internal/policy/place"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 const cellName = "c1"
@@ -47,7 +47,7 @@
 	worker model.Worker
 	host   *host
 	group  *actor.Group
-	owner  actor.Address[tasks.Message]
+	owner  actor.Address[taskagent.Message]
 	boot   model.Boot
 	links  map[model.EntryID]*wire
 	pause  atomic.Pointer[chan struct{}] // when set, the next log entry waits for it
@@ -126,7 +126,7 @@
 func (w *world) startAgent(a *agent) {
 	w.boots++
 	a.boot, a.group, a.links = w.boots, actor.NewGroup(w.ctx, w.failed), map[model.EntryID]*wire{}
-	a.owner = tasks.Start(a.group, tasks.Config{Worker: a.worker, Cell: cellName, Host: a.host,
+	a.owner = taskagent.Start(a.group, taskagent.Config{Worker: a.worker, Cell: cellName, Host: a.host,
 		Log: &log.Logger{Level: log.DebugLevel, Handler: log.HandlerFunc(func(l *log.Entry) error {
 			if pause := a.pause.Swap(nil); pause != nil {
 				<-*pause
@@ -164,10 +164,10 @@
 		_ = ctl.Send(ctx, control.FromAgent{Worker: id, Msg: m})
 	})
 	l.toAgent = pump(l.group, &l.loseDown, &l.delayDown, func(ctx context.Context, m msg.Control) {
-		_ = owner.Send(ctx, tasks.FromEntry{Entry: e.id, Msg: m})
+		_ = owner.Send(ctx, taskagent.FromEntry{Entry: e.id, Msg: m})
 	})
 	a.links[e.id] = l
-	_ = owner.Send(w.ctx, tasks.EntryUp{Entry: e.id, Link: l.toEntry})
+	_ = owner.Send(w.ctx, taskagent.EntryUp{Entry: e.id, Link: l.toEntry})
 	_ = ctl.Send(w.ctx, control.AgentUp{Worker: a.worker, Cell: cellName, Boot: a.boot, Link: l.toAgent})
 }
 
@@ -175,7 +175,7 @@
 	l := a.links[e.id]
 	delete(a.links, e.id)
 	l.group.Stop()
-	_ = a.owner.Send(w.ctx, tasks.EntryDown{Entry: e.id, Link: l.toEntry})
+	_ = a.owner.Send(w.ctx, taskagent.EntryDown{Entry: e.id, Link: l.toEntry})
 	_ = e.ctl.Send(w.ctx, control.AgentDown{Worker: a.worker.ID, Link: l.toAgent})
 }
 
@@ -205,7 +205,7 @@
 	a := w.agents[id]
 	pause := make(chan struct{})
 	a.pause.Store(&pause)
-	_ = a.owner.Send(w.ctx, tasks.FromEntry{Entry: "x", Msg: &msg.CellClaim{Command: msg.Command{Cell: "other"}}})
+	_ = a.owner.Send(w.ctx, taskagent.FromEntry{Entry: "x", Msg: &msg.CellClaim{Command: msg.Command{Cell: "other"}}})
 	return func() { close(pause) }
 }
 
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -18,7 +18,7 @@
 	"github.com/bambooscale/bambooscale/internal/peer"
 	"github.com/bambooscale/bambooscale/internal/rows"
 	"github.com/bambooscale/bambooscale/internal/storage"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // AgentConfig is what an agent process needs.
@@ -29,8 +29,8 @@
 	Entries  []string // addresses for agents, to connect to first
 	Announce net.Listener
 	Dialer   link.Dialer
-	Host     tasks.Worker  // nil: the host runs no tasks
-	Table    storage.Table // nil: only Entries are connected to
+	Host     taskagent.Worker // nil: the host runs no tasks
+	Table    storage.Table    // nil: only Entries are connected to
 	Log      log.Interface
 }
 
@@ -67,7 +67,7 @@
 		},
 	}
 	if c.Host != nil {
-		owner := tasks.Start(g, tasks.Config{Worker: c.Worker, Cell: c.Cell, Host: c.Host, Log: c.Log})
+		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Host: c.Host, Log: c.Log})
 		links.Subscribers = append(links.Subscribers, agentTasks{g.Context(), owner})
 	}
 	connector := spawnConnector(g, links, c.Region, c.Entries)
@@ -194,17 +194,17 @@
 // agentTasks passes commands of controllers to the owner of the attempts.
 type agentTasks struct {
 	ctx   context.Context
-	owner actor.Address[tasks.Message]
+	owner actor.Address[taskagent.Message]
 }
 
 // EntryUp implements agent.Subscriber.
 func (s agentTasks) EntryUp(hello msg.EntryHello, out peer.Out) {
-	_ = s.owner.Send(s.ctx, tasks.EntryUp{Entry: hello.Entry, Boot: hello.Boot, Link: out})
+	_ = s.owner.Send(s.ctx, taskagent.EntryUp{Entry: hello.Entry, Boot: hello.Boot, Link: out})
 }
 
 // EntryDown implements agent.Subscriber.
 func (s agentTasks) EntryDown(entry model.EntryID, out peer.Out) {
-	_ = s.owner.Send(s.ctx, tasks.EntryDown{Entry: entry, Link: out})
+	_ = s.owner.Send(s.ctx, taskagent.EntryDown{Entry: entry, Link: out})
 }
 
 // FromEntry implements agent.Subscriber.
@@ -212,6 +212,6 @@
 	switch m.(type) {
 	case *msg.ConfigDelta, *msg.ConfigRequest, *msg.ConfigApplied:
 	default:
-		_ = s.owner.Send(s.ctx, tasks.FromEntry{Entry: entry, Msg: m})
+		_ = s.owner.Send(s.ctx, taskagent.FromEntry{Entry: entry, Msg: m})
 	}
 }
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -13,7 +13,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/settings"
 	"github.com/bambooscale/bambooscale/internal/standin"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // DevConfig are the options of a whole system in one process.
@@ -103,7 +103,7 @@
 		Worker: model.Worker{ID: devWorker, DataCentre: devDataCentre, Rack: "rack-1", Capacity: capacity},
 		Cell:   devCell, Entries: []string{entry}, Announce: announce,
 		Dialer: link.NewDialer(g, link.Config{}), Log: c.Log,
-		Host: tasks.NewHTTPWorker("http://"+tasksListener.Addr().String(), http.DefaultClient),
+		Host: taskagent.NewHTTPWorker("http://"+tasksListener.Addr().String(), http.DefaultClient),
 	})
 	return nil
 }
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/control"
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/policy/lease"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // Kind is a kind of fault or of disturbance.
@@ -124,7 +124,7 @@
 		if a.frozen = on; on {
 			a.since = w.now
 		} else if w.now-a.since > lease.PauseGap && a.core != nil {
-			a.inbox = append([]tasks.Event{tasks.Paused{}}, a.inbox...)
+			a.inbox = append([]taskagent.Event{taskagent.Paused{}}, a.inbox...)
 		}
 	case KillController:
 		w.killController(f.c, on)
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -12,7 +12,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/msg"
 	"github.com/bambooscale/bambooscale/internal/storage"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // sum is a fingerprint of the state. Two states with the same one have the
@@ -123,11 +123,11 @@
 	for _, f := range a.calls {
 		b = fmt.Appendf(b, "call %T", f)
 		switch f := f.(type) {
-		case tasks.CallStart:
+		case taskagent.CallStart:
 			b = fmt.Appendf(b, "%s %d", f.Request.Attempt, f.Until-w.now)
-		case tasks.CallRenew:
+		case taskagent.CallRenew:
 			b = fmt.Appendf(b, "%s %d", f.Attempt, f.Until-w.now)
-		case tasks.CallStop:
+		case taskagent.CallStop:
 			b = append(b, f.Attempt.String()...)
 		}
 	}
@@ -137,22 +137,22 @@
 	return b
 }
 
-func (w *world) appendTaskEvent(b []byte, i int, e tasks.Event, scale control.Scale) []byte {
+func (w *world) appendTaskEvent(b []byte, i int, e taskagent.Event, scale control.Scale) []byte {
 	b = fmt.Appendf(b, "in %T", e)
 	switch e := e.(type) {
-	case tasks.Received:
+	case taskagent.Received:
 		b = append(b, e.Entry...)
 		b = w.appendMessages(b, i, []msg.Control{e.Msg}, scale)
-	case tasks.Answer:
+	case taskagent.Answer:
 		b = fmt.Appendf(b, "%d %s %v %v %s", e.Call, e.Attempt, e.Err != nil, e.Refused, e.Checkpoint)
-	case tasks.Listed:
+	case taskagent.Listed:
 		b = fmt.Appendf(b, "%v", e.Err != nil)
 		for _, t := range e.Tasks {
 			b = fmt.Appendf(b, "%s %s", t.Attempt, t.State)
 		}
-	case tasks.LinkUp:
+	case taskagent.LinkUp:
 		b = append(b, e.Entry...)
-	case tasks.LinkDown:
+	case taskagent.LinkDown:
 		b = append(b, e.Entry...)
 	}
 	return b
--- a/internal/explore/worker.go
+++ b/internal/explore/worker.go
@@ -8,7 +8,7 @@
 
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/policy/lease"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 // task is a task on a worker.
@@ -54,46 +54,46 @@
 	}
 }
 
-func lost(e tasks.Event) tasks.Event {
+func lost(e taskagent.Event) taskagent.Event {
 	switch e := e.(type) {
-	case tasks.Answer:
-		return tasks.Answer{Call: e.Call, Attempt: e.Attempt, Err: context.DeadlineExceeded}
+	case taskagent.Answer:
+		return taskagent.Answer{Call: e.Call, Attempt: e.Attempt, Err: context.DeadlineExceeded}
 	default:
-		return tasks.Listed{Err: context.DeadlineExceeded}
+		return taskagent.Listed{Err: context.DeadlineExceeded}
 	}
 }
 
-func (w *world) answer(a *agent, f tasks.Effect) tasks.Event {
+func (w *world) answer(a *agent, f taskagent.Effect) taskagent.Event {
 	switch f := f.(type) {
-	case tasks.CallStart:
+	case taskagent.CallStart:
 		return w.start(a, f)
-	case tasks.CallRenew:
+	case taskagent.CallRenew:
 		t := a.task(f.Attempt)
 		if d := min(lease.WorkerTTL, f.Until-w.now); t != nil && t.state == model.TaskRunning && d > 0 {
 			t.lease = w.now + d
 		}
-		return tasks.Answer{Call: tasks.DidRenew, Attempt: f.Attempt}
-	case tasks.CallCheckpoint:
-		ans := tasks.Answer{Call: tasks.DidCheckpoint, Attempt: f.Attempt}
+		return taskagent.Answer{Call: taskagent.DidRenew, Attempt: f.Attempt}
+	case taskagent.CallCheckpoint:
+		ans := taskagent.Answer{Call: taskagent.DidCheckpoint, Attempt: f.Attempt}
 		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
 			t.saved++
-			ans.Checkpoint = tasks.CheckpointPrefix(f.Attempt) + string(rune('0'+t.saved))
+			ans.Checkpoint = taskagent.CheckpointPrefix(f.Attempt) + string(rune('0'+t.saved))
 		}
 		return ans
-	case tasks.CallThrottle:
-		return tasks.Answer{Call: tasks.DidThrottle, Attempt: f.Attempt}
-	case tasks.CallStop:
+	case taskagent.CallThrottle:
+		return taskagent.Answer{Call: taskagent.DidThrottle, Attempt: f.Attempt}
+	case taskagent.CallStop:
 		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
 			t.state = model.TaskStopped
 			w.note("%s stops %s", a.id, f.Attempt)
 		}
-		return tasks.Answer{Call: tasks.DidStop, Attempt: f.Attempt}
+		return taskagent.Answer{Call: taskagent.DidStop, Attempt: f.Attempt}
 	}
-	var list []tasks.Task
+	var list []taskagent.Task
 	for _, t := range a.runs {
-		list = append(list, tasks.Task{Attempt: t.id, State: t.state, Result: tasks.ResultName(t.id)})
+		list = append(list, taskagent.Task{Attempt: t.id, State: t.state, Result: taskagent.ResultName(t.id)})
 	}
-	return tasks.Listed{Tasks: list}
+	return taskagent.Listed{Tasks: list}
 }
 
 // taskCPU is the size of every job, capacityCPU that of a worker.
@@ -101,14 +101,14 @@
 
 // start runs a task and checks that no other attempt of the job is live and
 // that the worker has room.
-func (w *world) start(a *agent, f tasks.CallStart) tasks.Event {
+func (w *world) start(a *agent, f taskagent.CallStart) taskagent.Event {
 	id := f.Request.Attempt
 	d := min(lease.WorkerTTL, f.Until-w.now)
 	if d <= 0 {
-		return tasks.Answer{Call: tasks.DidStart, Attempt: id, Refused: true, Err: errors.New("the lease ended")}
+		return taskagent.Answer{Call: taskagent.DidStart, Attempt: id, Refused: true, Err: errors.New("the lease ended")}
 	}
 	if a.task(id) != nil {
-		return tasks.Answer{Call: tasks.DidStart, Attempt: id}
+		return taskagent.Answer{Call: taskagent.DidStart, Attempt: id}
 	}
 	w.note("%s starts %s", a.id, id)
 	for i := range w.agent {
@@ -123,7 +123,7 @@
 		w.failure = string(a.id) + " has no room for " + id.String()
 	}
 	a.runs = append(a.runs, task{id: id, began: w.now, lease: w.now + d, state: model.TaskRunning})
-	return tasks.Answer{Call: tasks.DidStart, Attempt: id}
+	return taskagent.Answer{Call: taskagent.DidStart, Attempt: id}
 }
 
 // running counts the tasks that run, once each is settled.
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -11,7 +11,7 @@
 	"github.com/bambooscale/bambooscale/internal/control"
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/msg"
-	"github.com/bambooscale/bambooscale/internal/tasks"
+	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
 const (
@@ -61,12 +61,12 @@
 // agent is an agent with its worker.
 type agent struct {
 	id     model.WorkerID
-	core   *tasks.Core // nil: killed
+	core   *taskagent.Core // nil: killed
 	boot   model.Boot
 	frozen bool
 	since  time.Duration
-	inbox  []tasks.Event
-	calls  []tasks.Effect
+	inbox  []taskagent.Event
+	calls  []taskagent.Effect
 	lossy  bool // answers of the worker are lost
 	runs   []task
 }
@@ -108,13 +108,13 @@
 func (w *world) startAgent(i int) {
 	w.boots++
 	a := &w.agent[i]
-	a.core = tasks.NewCore(model.Worker{ID: a.id, Capacity: model.Resources{CPU: capacityCPU}}, cellName)
+	a.core = taskagent.NewCore(model.Worker{ID: a.id, Capacity: model.Resources{CPU: capacityCPU}}, cellName)
 	if w.model.Charts != nil {
 		if err := a.core.UseCharts(w.model.Charts); err != nil {
 			w.failure = err.Error()
 		}
 	}
-	a.boot, a.inbox, a.calls, a.frozen = w.boots, []tasks.Event{tasks.Tick{}}, nil, false
+	a.boot, a.inbox, a.calls, a.frozen = w.boots, []taskagent.Event{taskagent.Tick{}}, nil, false
 }
 
 func (w *world) connect(c, a int) {
@@ -125,7 +125,7 @@
 	l.up, l.down, l.upward = true, nil, nil
 	w.ctl[c].inbox = append(w.ctl[c].inbox, control.PeerUp{
 		Worker: model.Worker{ID: workerID(a), Capacity: model.Resources{CPU: capacityCPU}}, Boot: w.agent[a].boot})
-	w.agent[a].inbox = append(w.agent[a].inbox, tasks.LinkUp{Entry: entryID(c)})
+	w.agent[a].inbox = append(w.agent[a].inbox, taskagent.LinkUp{Entry: entryID(c)})
 }
 
 func (w *world) disconnect(c, a int) {
@@ -135,7 +135,7 @@
 	}
 	l.up, l.down, l.upward = false, nil, nil
 	w.ctl[c].inbox = append(w.ctl[c].inbox, control.PeerDown{Worker: workerID(a)})
-	w.agent[a].inbox = append(w.agent[a].inbox, tasks.LinkDown{Entry: entryID(c)})
+	w.agent[a].inbox = append(w.agent[a].inbox, taskagent.LinkDown{Entry: entryID(c)})
 }
 
 func (w *world) note(format string, args ...any) {
@@ -173,7 +173,7 @@
 		w.ctl[i].inbox = append(w.ctl[i].inbox, control.Tick{})
 	}
 	for i := range w.agent {
-		w.agent[i].inbox = append(w.agent[i].inbox, tasks.Tick{})
+		w.agent[i].inbox = append(w.agent[i].inbox, taskagent.Tick{})
 	}
 }
 
@@ -236,29 +236,29 @@
 		w.stepAgent(i, e)
 	}
 	if a.core.Next() <= w.now {
-		w.stepAgent(i, tasks.Tick{})
+		w.stepAgent(i, taskagent.Tick{})
 	}
 	if a.core.Next() <= w.now && w.failure == "" {
 		w.failure = "an agent's timer stays due: its actor would spin"
 	}
 }
 
-func (w *world) stepAgent(i int, e tasks.Event) {
+func (w *world) stepAgent(i int, e taskagent.Event) {
 	for _, f := range w.agent[i].core.Step(w.now, e) {
 		w.agentEffect(i, f)
 	}
 }
 
-func (w *world) agentEffect(i int, f tasks.Effect) {
+func (w *world) agentEffect(i int, f taskagent.Effect) {
 	switch f := f.(type) {
-	case tasks.Send:
+	case taskagent.Send:
 		for c := range w.ctl {
 			if l := &w.link[c][i]; entryID(c) == f.Entry && l.up {
 				l.upward = append(l.upward, f.Msg)
 				w.noteMessage(string(w.agent[i].id), string(f.Entry), f.Msg)
 			}
 		}
-	case tasks.Log:
+	case taskagent.Log:
 		w.note("%s: %s", w.agent[i].id, f.Event.Name)
 	default:
 		w.agent[i].calls = append(w.agent[i].calls, f)
@@ -286,7 +286,7 @@
 	if !l.holdDown && len(l.down) > 0 {
 		w.events = true
 		for _, m := range l.down {
-			w.agent[a].inbox = append(w.agent[a].inbox, tasks.Received{Entry: entryID(c), Msg: m})
+			w.agent[a].inbox = append(w.agent[a].inbox, taskagent.Received{Entry: entryID(c), Msg: m})
 		}
 		l.down = nil
 	}
--- a/internal/hostguard/core.go
+++ b/internal/hostagent/core.go
@@ -1,9 +1,9 @@
-// Package hostguard decides for the agent of a host: it guards the host's
+// Package hostagent decides for the agent of a host: it guards the host's
 // capacity, refuses owners that have been replaced, keeps the lease of what
 // runs, and settles what became of orders without an answer. It does no input
 // or output: events come in, messages and calls to the backend server come
 // out.
-package hostguard
+package hostagent
 
 import (
 	"sort"
--- a/internal/hostguard/pace.go
+++ b/internal/hostagent/pace.go
@@ -1,4 +1,4 @@
-package hostguard
+package hostagent
 
 import (
 	"fmt"
--- a/internal/jobdesk/desk.go
+++ b/internal/jobapi/jobapi.go
@@ -1,6 +1,6 @@
-// Package jobdesk defines what callers may ask of the job scheduler. It does
+// Package jobapi defines what callers may ask of the job scheduler. It does
 // not know the callers' protocol.
-package jobdesk
+package jobapi
 
 import (
 	"context"
--- a/internal/jobnode/agent.go
+++ b/internal/jobdaemon/agent.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/bambooscale/bambooscale/internal/actor"
 	"github.com/bambooscale/bambooscale/internal/event"
-	"github.com/bambooscale/bambooscale/internal/hostguard"
+	"github.com/bambooscale/bambooscale/internal/hostagent"
 	"github.com/bambooscale/bambooscale/internal/link"
 	"github.com/bambooscale/bambooscale/internal/metrics"
 	"github.com/bambooscale/bambooscale/internal/msg"
@@ -20,7 +20,7 @@
 
 // AgentConfig holds what an agent is started with.
 type AgentConfig struct {
-	Guard    hostguard.Config
+	Guard    hostagent.Config
 	Boot     uint64
 	Registry string // address at which the backend server announces itself
 	Metrics  string
@@ -34,15 +34,15 @@
 
 // agent is the actor that owns the guard of a host.
 type agent struct {
-	guard   *hostguard.Core
+	guard   *hostagent.Core
 	log     log.Interface
 	address actor.Address[any]
 	began   time.Time
 	links   map[linkID]peer.Out
 	entries map[linkID]*msg.PeerHello
 	known   map[string]msg.Member
-	calls   actor.Address[hostguard.Call]
-	holds   actor.Address[hostguard.Watch]
+	calls   actor.Address[hostagent.Call]
+	holds   actor.Address[hostagent.Watch]
 	holding bool
 
 	published *published
@@ -71,13 +71,13 @@
 		instance workload.Instance
 		taken    actor.Reply[bool]
 	}
-	callAnswered struct{ answer hostguard.Answer }
+	callAnswered struct{ answer hostagent.Answer }
 	holdAnswered struct {
-		order   hostguard.Watch
+		order   hostagent.Watch
 		listing runner.PollResponse
 		err     error
 	}
-	lastRenewal struct{ taken actor.Reply[hostguard.Watch] }
+	lastRenewal struct{ taken actor.Reply[hostagent.Watch] }
 )
 
 // Agent is a running agent.
@@ -90,13 +90,13 @@
 // StartAgent starts an agent. It ends with g.
 func StartAgent(g *actor.Group, cfg AgentConfig) (*Agent, error) {
 	a := &agent{
-		guard: hostguard.New(cfg.Guard), log: cfg.Log, began: time.Now(), links: map[linkID]peer.Out{},
+		guard: hostagent.New(cfg.Guard), log: cfg.Log, began: time.Now(), links: map[linkID]peer.Out{},
 		entries: map[linkID]*msg.PeerHello{}, known: map[string]msg.Member{}, published: &published{},
 	}
-	a.calls = actor.Spawn(g, actor.Spec[hostguard.Call]{Name: "callers", Mailbox: callMailbox, Run: func(ctx context.Context, in <-chan hostguard.Call) error {
+	a.calls = actor.Spawn(g, actor.Spec[hostagent.Call]{Name: "callers", Mailbox: callMailbox, Run: func(ctx context.Context, in <-chan hostagent.Call) error {
 		return a.runCallers(ctx, cfg.Runner, in)
 	}})
-	a.holds = actor.Spawn(g, actor.Spec[hostguard.Watch]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostguard.Watch) error {
+	a.holds = actor.Spawn(g, actor.Spec[hostagent.Watch]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostagent.Watch) error {
 		return a.runHolds(ctx, cfg.Runner, in)
 	}})
 	a.address = actor.Spawn(g, actor.Spec[any]{Name: "guard", Mailbox: agentMailbox, Run: a.run})
@@ -234,7 +234,7 @@
 	delete(a.links, m.id)
 	delete(a.entries, m.id)
 	logLinkDown(a.log, hello.Member.Name, m.err)
-	a.guard.Unlinked(hostguard.LinkID(m.id))
+	a.guard.Unlinked(hostagent.LinkID(m.id))
 	a.setLinked()
 }
 
@@ -254,7 +254,7 @@
 		a.meet(members.Entries)
 		return
 	}
-	a.guard.Received(hostguard.LinkID(m.id), m.message)
+	a.guard.Received(hostagent.LinkID(m.id), m.message)
 }
 
 func (a *agent) meet(entries []msg.Member) {
@@ -288,7 +288,7 @@
 func (a *Agent) Drain(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostguard.Watch]) any { return &lastRenewal{r} })
+	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostagent.Watch]) any { return &lastRenewal{r} })
 	if err == nil && o.Target.Instance != "" {
 		o.Hold.Wait = 0
 		_, err = a.runner.Poll(limited, o.Target, o.Hold)
--- a/internal/jobnode/agent_calls.go
+++ b/internal/jobdaemon/agent_calls.go
@@ -1,15 +1,15 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
 
 	"github.com/bambooscale/bambooscale/internal/actor"
-	"github.com/bambooscale/bambooscale/internal/hostguard"
+	"github.com/bambooscale/bambooscale/internal/hostagent"
 	"github.com/bambooscale/bambooscale/internal/runner"
 )
 
 // runCallers performs calls, a few at a time, in the order given.
-func (a *agent) runCallers(ctx context.Context, r runner.Runner, in <-chan hostguard.Call) error {
+func (a *agent) runCallers(ctx context.Context, r runner.Runner, in <-chan hostagent.Call) error {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
 	for range callers {
@@ -28,10 +28,10 @@
 	return nil
 }
 
-func perform(ctx context.Context, r runner.Runner, c hostguard.Call) hostguard.Answer {
+func perform(ctx context.Context, r runner.Runner, c hostagent.Call) hostagent.Answer {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	ans := hostguard.Answer{Call: c}
+	ans := hostagent.Answer{Call: c}
 	switch {
 	case c.Start != nil:
 		ans.ClockMS, ans.Err = r.Start(limited, c.Target, *c.Start)
@@ -46,7 +46,7 @@
 	return ans
 }
 
-func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostguard.Watch) error {
+func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostagent.Watch) error {
 	for {
 		select {
 		case o := <-in:
--- a/internal/jobnode/decisions.go
+++ b/internal/jobdaemon/decisions.go
@@ -1,10 +1,10 @@
-package jobnode
+package jobdaemon
 
 import (
 	"github.com/apex/log"
 
 	"github.com/bambooscale/bambooscale/internal/event"
-	"github.com/bambooscale/bambooscale/internal/hostguard"
+	"github.com/bambooscale/bambooscale/internal/hostagent"
 	"github.com/bambooscale/bambooscale/internal/jobs"
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
@@ -30,14 +30,14 @@
 	event.Log(c.log, ownerEvents[d.Kind], fields)
 }
 
-var guardEvents = map[hostguard.DecisionKind]event.Event{
-	hostguard.OwnerAdopted: event.GuardOwner, hostguard.OwnerRefused: event.GuardRefused, hostguard.RunRefused: event.GuardRunRefused,
-	hostguard.RunDoubtful: event.GuardRunDoubtful, hostguard.LifeBegan: event.GuardLifeBegan, hostguard.LifeEnded: event.GuardLifeEnded,
-	hostguard.RunPaced: event.GuardRunPaced,
+var guardEvents = map[hostagent.DecisionKind]event.Event{
+	hostagent.OwnerAdopted: event.GuardOwner, hostagent.OwnerRefused: event.GuardRefused, hostagent.RunRefused: event.GuardRunRefused,
+	hostagent.RunDoubtful: event.GuardRunDoubtful, hostagent.LifeBegan: event.GuardLifeBegan, hostagent.LifeEnded: event.GuardLifeEnded,
+	hostagent.RunPaced: event.GuardRunPaced,
 }
 
 // logDecision writes the line of a decision of the guard.
-func (a *agent) logDecision(d hostguard.Decision) {
+func (a *agent) logDecision(d hostagent.Decision) {
 	fields := log.Fields{"epoch": d.Epoch, "detail": d.Detail}
 	if (d.Run != workload.RunID{}) {
 		fields["run"] = d.Run.String()
--- a/internal/jobnode/desk.go
+++ b/internal/jobdaemon/desk.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/bambooscale/bambooscale/internal/actor"
 	"github.com/bambooscale/bambooscale/internal/event"
-	"github.com/bambooscale/bambooscale/internal/jobdesk"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
 	"github.com/bambooscale/bambooscale/internal/msg"
 	"github.com/bambooscale/bambooscale/internal/storage"
 	"github.com/bambooscale/bambooscale/internal/table"
@@ -40,29 +40,29 @@
 	metrics    *entryMetrics
 }
 
-var _ jobdesk.Handler = (*desk)(nil)
+var _ jobapi.Handler = (*desk)(nil)
 
-// RetryAfter implements jobdesk.Desk: callers come back later the longer the
+// RetryAfter implements jobapi.Handler: callers come back later the longer the
 // table service is away, so that their last try is not spent in an outage.
 func (d *desk) RetryAfter() time.Duration {
 	return min(mostRetryAfter, max(leastRetryAfter, d.controller.gateway.away()))
 }
 
-// Ready implements jobdesk.Desk.
+// Ready implements jobapi.Handler.
 func (d *desk) Ready() bool {
 	retiring := d.controller.published.retiring.Get()
 	return d.config.Get() != nil && (retiring == nil || !*retiring)
 }
 
-// Queue implements jobdesk.Desk.
+// Queue implements jobapi.Handler.
 func (d *desk) Queue(host, path string) (workload.Queue, error) {
 	c := d.config.Get()
 	if c == nil {
-		return workload.Queue{}, jobdesk.ErrNotReady
+		return workload.Queue{}, jobapi.ErrNotReady
 	}
 	q, ok := c.Match(host, path)
 	if !ok {
-		return workload.Queue{}, jobdesk.ErrNoQueue
+		return workload.Queue{}, jobapi.ErrNoQueue
 	}
 	return *q, nil
 }
@@ -92,7 +92,7 @@
 	}
 )
 
-// Submit implements jobdesk.Desk.
+// Submit implements jobapi.Handler.
 func (d *desk) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
 	j.TargetSlowdown, j.TargetLatency = q.TargetSlowdown, q.TargetLatency
@@ -107,16 +107,16 @@
 func (d *desk) submit(ctx context.Context, j workload.Job) error {
 	if err := j.Validate(); err != nil {
 		if errors.Is(err, workload.ErrUnsupported) {
-			return fmt.Errorf("%w: %w", jobdesk.ErrNotAccepted, err)
+			return fmt.Errorf("%w: %w", jobapi.ErrNotAccepted, err)
 		}
-		return fmt.Errorf("%w: %w", jobdesk.ErrInvalid, err)
+		return fmt.Errorf("%w: %w", jobapi.ErrInvalid, err)
 	}
 	if known, err := d.known(ctx, j.ID); err == nil && known.known {
 		return nil // submitted before
 	}
 	value, err := wire.EncodeJob(&j)
 	if err != nil {
-		return fmt.Errorf("%w: %w", jobdesk.ErrInvalid, err)
+		return fmt.Errorf("%w: %w", jobapi.ErrInvalid, err)
 	}
 	key := jobKey(j.ID)
 	txn := table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: value}}}
@@ -152,15 +152,15 @@
 		case table.Committed, table.Conflict:
 			return nil // a row of the same key is the same change
 		case table.Refused:
-			return fmt.Errorf("%w: the table service refused it", jobdesk.ErrNotAccepted)
+			return fmt.Errorf("%w: the table service refused it", jobapi.ErrNotAccepted)
 		case table.Unknown:
 			doubt = true
 		}
 		switch {
 		case !doubt && !time.Now().Before(definite):
-			return fmt.Errorf("%w: the table service is unavailable", jobdesk.ErrNotAccepted)
+			return fmt.Errorf("%w: the table service is unavailable", jobapi.ErrNotAccepted)
 		case doubt && time.Until(deadline) < answerMargin, !actor.Sleep(ctx, submitRetry):
-			return fmt.Errorf("%w: the table service did not answer", jobdesk.ErrOutcomeUnknown)
+			return fmt.Errorf("%w: the table service did not answer", jobapi.ErrOutcomeUnknown)
 		}
 	}
 }
@@ -169,11 +169,11 @@
 	return actor.Ask(ctx, d.controller.address, func(r actor.Reply[phaseKnown]) any { return &phaseQuery{id, r} })
 }
 
-// Phase implements jobdesk.Desk.
+// Phase implements jobapi.Handler.
 func (d *desk) Phase(ctx context.Context, _ workload.Queue, id workload.JobID) (workload.Phase, error) {
 	k, err := d.known(ctx, id)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
+		return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
 	}
 	if k.known {
 		return k.phase, nil
@@ -184,15 +184,15 @@
 // storedPhase reads a job that this entry has not heard of.
 func (d *desk) storedPhase(ctx context.Context, id workload.JobID) (workload.Phase, error) {
 	if id == "" {
-		return 0, jobdesk.ErrNoJob
+		return 0, jobapi.ErrNoJob
 	}
 	for {
 		phase, err := d.readPhase(ctx, id)
-		if err == nil || errors.Is(err, jobdesk.ErrNoJob) {
+		if err == nil || errors.Is(err, jobapi.ErrNoJob) {
 			return phase, err
 		}
 		if !actor.Sleep(ctx, submitRetry) {
-			return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
+			return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	_, err := g.read(ctx, jobKey(id))
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
-		return 0, jobdesk.ErrNoJob
+		return 0, jobapi.ErrNoJob
 	case err != nil:
 		return 0, err
 	}
@@ -227,7 +227,7 @@
 	return p.Phase, err
 }
 
-// Cancel implements jobdesk.Desk.
+// Cancel implements jobapi.Handler.
 func (d *desk) Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error {
 	phase, err := d.Phase(ctx, q, id)
 	if err != nil {
@@ -238,8 +238,8 @@
 	}
 	key := cancelKey(id)
 	if err := d.persist(ctx, table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: []byte{1}}}}); err != nil {
-		if errors.Is(err, jobdesk.ErrNotAccepted) {
-			return fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
+		if errors.Is(err, jobapi.ErrNotAccepted) {
+			return fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
 		}
 		return err
 	}
@@ -248,11 +248,11 @@
 	return nil
 }
 
-// Waiting implements jobdesk.Desk.
+// QueueLength implements jobapi.Handler.
 func (d *desk) QueueLength(ctx context.Context, q workload.Queue) (int, error) {
 	n, err := actor.Ask(ctx, d.controller.address, func(r actor.Reply[int]) any { return &waitingQuery{q.Name, r} })
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", jobdesk.ErrOutcomeUnknown, err)
+		return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
 	}
 	return n, nil
 }
--- a/internal/jobnode/entry.go
+++ b/internal/jobdaemon/entry.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/bambooscale/bambooscale/internal/actor"
 	"github.com/bambooscale/bambooscale/internal/event"
-	"github.com/bambooscale/bambooscale/internal/jobdesk"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
 	"github.com/bambooscale/bambooscale/internal/link"
 	"github.com/bambooscale/bambooscale/internal/metrics"
 	"github.com/bambooscale/bambooscale/internal/msg"
@@ -32,8 +32,8 @@
 	Store      Store
 	Config     ConfigSource
 	// The handlers translate the callers' protocol.
-	CallerHandler    func(jobdesk.Handler) http.Handler
-	ReadinessHandler func(jobdesk.Handler) http.Handler
+	CallerHandler    func(jobapi.Handler) http.Handler
+	ReadinessHandler func(jobapi.Handler) http.Handler
 	Log              log.Interface
 }
 
--- a/internal/jobnode/gateway_test.go
+++ b/internal/jobdaemon/gateway_test.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/stretchr/testify/require"
 
-	"github.com/bambooscale/bambooscale/internal/jobdesk"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
 	"github.com/bambooscale/bambooscale/internal/storage"
 	"github.com/bambooscale/bambooscale/internal/table"
 )
@@ -53,10 +53,10 @@
 		d := newDesk(store, nobody)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		require.ErrorIs(t, d.persist(ctx, table.Txn{}), jobdesk.ErrNotAccepted)
+		require.ErrorIs(t, d.persist(ctx, table.Txn{}), jobapi.ErrNotAccepted)
 		time.Sleep(time.Second)
 		began := time.Now()
-		require.ErrorIs(t, d.persist(ctx, table.Txn{}), jobdesk.ErrNotAccepted)
+		require.ErrorIs(t, d.persist(ctx, table.Txn{}), jobapi.ErrNotAccepted)
 		// The shortest latency objective of a queue is 250 ms; a quarter of an
 		// objective is how long a refusal may take.
 		require.LessOrEqual(t, time.Since(began), 63*time.Millisecond)
@@ -92,8 +92,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		err := d.persist(ctx, table.Txn{})
-		require.ErrorIs(t, err, jobdesk.ErrOutcomeUnknown)
-		require.NotErrorIs(t, err, jobdesk.ErrNotAccepted)
+		require.ErrorIs(t, err, jobapi.ErrOutcomeUnknown)
+		require.NotErrorIs(t, err, jobapi.ErrNotAccepted)
 	})
 }
 
--- a/internal/jobnode/keys.go
+++ b/internal/jobdaemon/keys.go
@@ -1,7 +1,7 @@
-// Package jobnode assembles the processes of the job scheduler: the entry,
+// Package jobdaemon assembles the processes of the job scheduler: the entry,
 // which serves submitters and may own the jobs, and the agent, which guards a
-// host. Decisions are made in jobs, hostguard, ownership and policy/spread.
-package jobnode
+// host. Decisions are made in jobs, hostagent, ownership and policy/hostselect.
+package jobdaemon
 
 import (
 	"strings"
--- a/internal/jobnode/links.go
+++ b/internal/jobdaemon/links.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
--- a/internal/jobnode/metrics.go
+++ b/internal/jobdaemon/metrics.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	tally "github.com/uber-go/tally/v4"
 
-	"github.com/bambooscale/bambooscale/internal/jobdesk"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
 	"github.com/bambooscale/bambooscale/internal/jobs"
 	"github.com/bambooscale/bambooscale/internal/metrics"
 )
@@ -19,9 +19,9 @@
 func (m *entryMetrics) submitted(queue string, err error) {
 	outcome := "accepted"
 	switch {
-	case errors.Is(err, jobdesk.ErrOutcomeUnknown):
+	case errors.Is(err, jobapi.ErrOutcomeUnknown):
 		outcome = "unknown"
-	case errors.Is(err, jobdesk.ErrInvalid):
+	case errors.Is(err, jobapi.ErrInvalid):
 		outcome = "invalid"
 	case err != nil:
 		outcome = "not-accepted"
--- a/internal/jobnode/metrics_test.go
+++ b/internal/jobdaemon/metrics_test.go
@@ -1,4 +1,4 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/bambooscale/bambooscale/internal/actor"
-	"github.com/bambooscale/bambooscale/internal/jobdesk"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
 	"github.com/bambooscale/bambooscale/internal/jobs"
 	"github.com/bambooscale/bambooscale/internal/metrics"
 )
@@ -22,7 +22,7 @@
 		defer g.Stop()
 		r := metrics.Start(g)
 		m := newEntryMetrics(r)
-		m.submitted("q", jobdesk.ErrNotAccepted)
+		m.submitted("q", jobapi.ErrNotAccepted)
 		m.decided(jobs.Decision{Kind: jobs.RunOrdered, Age: time.Millisecond})
 		m.decided(jobs.Decision{Kind: jobs.RunOver, Detail: "done"})
 		m.decided(jobs.Decision{Kind: jobs.JobOver, Detail: "completed", Age: time.Second})
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/bambooscale/bambooscale/internal/msg"
-	"github.com/bambooscale/bambooscale/internal/policy/spread"
+	"github.com/bambooscale/bambooscale/internal/policy/hostselect"
 )
 
 const (
@@ -59,13 +59,13 @@
 			others = append(others, h)
 		}
 	}
-	views := make([]spread.Host, len(others))
+	views := make([]hostselect.Host, len(others))
 	for i, h := range others {
 		views[i] = h.view(r.task)
 	}
 	want := r.task.wanted()
 	want.Patient = true
-	if i, _ := spread.Choose(want, views); i >= 0 {
+	if i, _ := hostselect.Choose(want, views); i >= 0 {
 		return others[i]
 	}
 	return nil
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/bambooscale/bambooscale/internal/msg"
-	"github.com/bambooscale/bambooscale/internal/policy/spread"
+	"github.com/bambooscale/bambooscale/internal/policy/hostselect"
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
@@ -63,18 +63,18 @@
 }
 
 func (c *Core) place(t *task, hosts []*host) {
-	views := make([]spread.Host, len(hosts))
+	views := make([]hostselect.Host, len(hosts))
 	for i, h := range hosts {
 		views[i] = h.view(t)
 	}
 	want := t.wanted()
-	want.Patient = c.now-t.readySince < spread.Patience
-	i, against := spread.Choose(want, views)
-	if i < 0 && len(t.avoid) > 0 && against[spread.Avoided] > 0 {
+	want.Patient = c.now-t.readySince < hostselect.Patience
+	i, against := hostselect.Choose(want, views)
+	if i < 0 && len(t.avoid) > 0 && against[hostselect.Avoided] > 0 {
 		for k := range views {
 			views[k].Avoided = false
 		}
-		i, against = spread.Choose(want, views)
+		i, against = hostselect.Choose(want, views)
 	}
 	if i < 0 {
 		t.noteWaiting(against)
@@ -84,13 +84,13 @@
 }
 
 // wanted is what a choice of hosts knows of the task.
-func (t *task) wanted() spread.Task {
+func (t *task) wanted() hostselect.Task {
 	j := &t.step.job.spec
-	return spread.Task{Step: t.step.spec, Service: j.Service, Priority: j.Priority}
+	return hostselect.Task{Step: t.step.spec, Service: j.Service, Priority: j.Priority}
 }
 
-func (h *host) view(t *task) spread.Host {
-	v := spread.Host{
+func (h *host) view(t *task) hostselect.Host {
+	v := hostselect.Host{
 		Info: &h.info, Reachable: h.state == hostReady && h.takenBorn == h.info.StartedAtMS && h.core.list.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), FillerCPU: h.fillerCPU, Serving: h.serving,
 		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.avoid[h.info.Name],
 	}
@@ -108,13 +108,13 @@
 	return v
 }
 
-func (t *task) noteWaiting(against map[spread.Reason]int) {
+func (t *task) noteWaiting(against map[hostselect.Reason]int) {
 	if t.waits {
 		return
 	}
 	t.waits = true
 	var parts []string
-	for r := spread.Fits + 1; r <= spread.Crowded; r++ {
+	for r := hostselect.Fits + 1; r <= hostselect.Crowded; r++ {
 		if against[r] > 0 {
 			parts = append(parts, fmt.Sprintf("%s=%d", r, against[r]))
 		}
--- a/internal/policy/lend/lend.go
+++ b/internal/policy/credits/credits.go
@@ -1,6 +1,6 @@
-// Package lend decides which entry gets the free slots of a backend server,
+// Package credits decides which entry gets the free slots of a backend server,
 // and from whom idle credits are recalled. It is pure.
-package lend
+package credits
 
 import (
 	"math"
--- a/internal/policy/lend/lend_test.go
+++ b/internal/policy/credits/credits_test.go
@@ -1,4 +1,4 @@
-package lend
+package credits
 
 import (
 	"testing"
--- a/internal/policy/spread/spread.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -1,6 +1,6 @@
-// Package spread chooses hosts for the tasks of jobs: it filters the hosts on
+// Package hostselect chooses hosts for the tasks of jobs: it filters the hosts on
 // which a task may run and scores the rest. It is free of input and output.
-package spread
+package hostselect
 
 import (
 	"time"
--- a/internal/policy/spread/spread_test.go
+++ b/internal/policy/hostselect/hostselect_test.go
@@ -1,4 +1,4 @@
-package spread
+package hostselect
 
 import (
 	"testing"
--- a/internal/shape/shape.go
+++ b/internal/shape/shape.go
@@ -27,9 +27,9 @@
 	{"internal/msg", "internal/labels"},
 	{"internal/policy/", "internal/wire"},
 	{"internal/link", "internal/storage", "internal/rows", "internal/metrics", "internal/settings", "internal/load", "internal/logsink"},
-	{"internal/peer", "internal/directory", "internal/runner", "internal/jobdesk"},
-	{"internal/entry", "internal/agent", "internal/tasks", "internal/control", "internal/configstore", "internal/jobs", "internal/hostguard", "internal/ownership"},
-	{"internal/operator", "internal/standin", "internal/jobnode", "platform"},
+	{"internal/peer", "internal/directory", "internal/runner", "internal/jobapi"},
+	{"internal/entry", "internal/agent", "internal/taskagent", "internal/control", "internal/configstore", "internal/jobs", "internal/hostagent", "internal/ownership"},
+	{"internal/operator", "internal/standin", "internal/jobdaemon", "platform"},
 	{"internal/daemon", "internal/command"},
 	{"cmd/", "internal/shape", "internal/faultproxy", "internal/history", "internal/measure", "internal/capacity", "internal/explore", "test"},
 }
--- a/internal/tasks/snapshot.go
+++ b/internal/taskagent/snapshot.go
@@ -1,4 +1,4 @@
-package tasks
+package taskagent
 
 import (
 	"encoding/binary"
--- a/internal/tasks/tasks.go
+++ b/internal/taskagent/taskagent.go
@@ -1,7 +1,7 @@
-// Package tasks is the agent's side of task attempts: it owns the attempts of
+// Package taskagent is the agent's side of task attempts: it owns the attempts of
 // its host, their leases and the calls to the worker. It knows nothing of
 // placement.
-package tasks
+package taskagent
 
 import (
 	"context"
