--- a/internal/hostagent/held.go
+++ b/internal/hostagent/held.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/heldrun.scxml.
+// States of charts/agentrun.scxml.
 const (
 	heldStarting chart.State = iota
 	heldDoubtful
@@ -19,7 +19,7 @@
 	heldOver
 )
 
-// Events of charts/heldrun.scxml.
+// Events of charts/agentrun.scxml.
 const (
 	evAccepted chart.Event = iota
 	evRejected
@@ -44,10 +44,10 @@
 
 func init() { heldChart = chart.MustCompile(charts.Files, HeldBinding()) }
 
-// HeldBinding binds charts/heldrun.scxml.
+// HeldBinding binds charts/agentrun.scxml.
 func HeldBinding() chart.Binding[held] {
 	return chart.Binding[held]{
-		Chart:  "heldrun",
+		Chart:  "agentrun",
 		States: []string{"starting", "doubtful", "running", "stopping", "over"},
 		Events: []string{"accepted", "rejected", "unanswered", "ended", "stop", "gone", "late", "listed", "unlisted"},
 		Guards: map[string]func(*held) bool{"unwanted": func(r *held) bool { return r.unwanted }},
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/taskhost.scxml.
+// States of charts/host.scxml.
 const (
 	hostAway chart.State = iota
 	hostClaiming
@@ -17,7 +17,7 @@
 	hostSilent
 )
 
-// Events of charts/taskhost.scxml.
+// Events of charts/host.scxml.
 const (
 	evUp chart.Event = iota
 	evDown
@@ -34,10 +34,10 @@
 
 func init() { hostChart = chart.MustCompile(charts.Files, HostBinding()) }
 
-// HostBinding binds charts/taskhost.scxml.
+// HostBinding binds charts/host.scxml.
 func HostBinding() chart.Binding[host] {
 	return chart.Binding[host]{
-		Chart:  "taskhost",
+		Chart:  "host",
 		States: []string{"away", "claiming", "ready", "silent"},
 		Events: []string{"up", "down", "inventory", "lapse", "late", "expect"},
 		Actions: map[string]func(*host){
