--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -8,8 +8,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 	"github.com/bambooscale/bambooscale/internal/msg"
 	"github.com/bambooscale/bambooscale/internal/peer"
+	"github.com/bambooscale/bambooscale/internal/policy/credits"
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
-	"github.com/bambooscale/bambooscale/internal/policy/lend"
 )
 
 // credit is one unit of what the agent lends.
@@ -20,7 +20,7 @@
 
 // borrower is an entry with a link.
 type borrower struct {
-	lend.Borrower
+	credits.Borrower
 	generation uint64
 	out        peer.Out
 	longSent   int // last Long that the entry was told
@@ -56,8 +56,8 @@
 	worker     model.WorkerID
 	timers     *actor.Timers[timerKey]
 	now        time.Time
-	grants     []lend.Grant // scratch
-	flat       []lend.Borrower
+	grants     []credits.Grant // scratch
+	flat       []credits.Borrower
 }
 
 func newSlots(host model.Worker) *slots {
@@ -191,7 +191,7 @@
 	}
 	switch m := m.Msg.(type) {
 	case *msg.Demand:
-		b.Queued, b.Tightest, b.Granted = m.Queued, m.Tightest, 0
+		b.Queued, b.Tightest, b.Granted = m.Queued, m.MinRemaining, 0
 	case *msg.CreditReturn:
 		if m.Generation == b.generation {
 			s.returned(b, m.Count)
@@ -239,7 +239,7 @@
 // query answers what became of a request. One that has not started is
 // refused first, so that the answer stays true.
 func (s *slots) query(b *borrower, id model.RequestID) {
-	reply := &msg.OutcomeReply{ID: id, State: msg.ExchangeForgotten}
+	reply := &msg.OutcomeReply{ID: id, State: msg.ExchangeUnknown}
 	if rec := s.records.get(id); rec != nil {
 		if rec.refusal == 0 {
 			rec.refusal = msg.RefusedCancelled
--- a/internal/jobnode/agent_calls.go
+++ b/internal/jobdaemon/agent_calls.go
@@ -1,15 +1,15 @@
-package jobnode
+package jobdaemon
 
 import (
 	"context"
 
 	"github.com/bambooscale/bambooscale/internal/actor"
-	"github.com/bambooscale/bambooscale/internal/hostguard"
+	"github.com/bambooscale/bambooscale/internal/hostagent"
 	"github.com/bambooscale/bambooscale/internal/runner"
 )
 
 // runCallers performs calls, a few at a time, in the order given.
-func (a *agent) runCallers(ctx context.Context, r runner.Runner, in <-chan hostguard.Call) error {
+func (a *agent) runCallers(ctx context.Context, r runner.Runner, in <-chan hostagent.Call) error {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
 	for range callers {
@@ -28,25 +28,25 @@
 	return nil
 }
 
-func perform(ctx context.Context, r runner.Runner, c hostguard.Call) hostguard.Answer {
+func perform(ctx context.Context, r runner.Runner, c hostagent.Call) hostagent.Answer {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	ans := hostguard.Answer{Call: c}
+	ans := hostagent.Answer{Call: c}
 	switch {
 	case c.Start != nil:
 		ans.ClockMS, ans.Err = r.Start(limited, c.Target, *c.Start)
 	case c.Stop != nil:
 		ans.ClockMS, ans.Err = r.Stop(limited, c.Target, *c.Stop)
 	case c.Pace != nil:
-		ans.ClockMS, ans.Err = r.Pace(limited, c.Target, c.Pace.Run, c.Pace.Percent)
+		ans.ClockMS, ans.Err = r.Throttle(limited, c.Target, c.Pace.Run, c.Pace.Percent)
 	case c.Look != nil:
-		ans.Listing, ans.Err = r.Hold(limited, c.Target, *c.Look)
+		ans.Listing, ans.Err = r.Poll(limited, c.Target, *c.Look)
 		ans.ClockMS = ans.Listing.ClockMS
 	}
 	return ans
 }
 
-func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostguard.Watch) error {
+func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostagent.Watch) error {
 	for {
 		select {
 		case o := <-in:
@@ -54,7 +54,7 @@
 				return nil
 			}
 			limited, cancel := context.WithTimeout(ctx, o.Hold.Wait+holdMargin)
-			l, err := r.Hold(limited, o.Target, o.Hold)
+			l, err := r.Poll(limited, o.Target, o.Hold)
 			cancel()
 			_ = a.address.Send(ctx, &holdAnswered{o, l, err}) // an error means that the process ends
 		case <-ctx.Done():
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/bambooscale/bambooscale/internal/msg"
-	"github.com/bambooscale/bambooscale/internal/policy/spread"
+	"github.com/bambooscale/bambooscale/internal/policy/hostselect"
 )
 
 const (
@@ -21,7 +21,7 @@
 // noteHeld records since when a filler is held back.
 func (r *run) noteHeld(s msg.RunStatus) {
 	switch {
-	case s.Pace > heldPace:
+	case s.CPULimitPercent > heldPace:
 		r.heldSince = 0
 	case r.heldSince == 0:
 		r.heldSince = r.core().now
@@ -32,7 +32,7 @@
 // goes on from a checkpoint elsewhere.
 func (r *run) movable() bool {
 	spec := r.task.step.spec
-	return spec.Filler && spec.Checkpointing && r.state == runRunning && r.heldSince != 0 && r.core().now-r.heldSince >= moveAfter
+	return spec.BestEffort && spec.Checkpointing && r.state == runRunning && r.heldSince != 0 && r.core().now-r.heldSince >= moveAfter
 }
 
 // moveHeld stops fillers that are held back where another host would let them
@@ -59,13 +59,13 @@
 			others = append(others, h)
 		}
 	}
-	views := make([]spread.Host, len(others))
+	views := make([]hostselect.Host, len(others))
 	for i, h := range others {
 		views[i] = h.view(r.task)
 	}
 	want := r.task.wanted()
 	want.Patient = true
-	if i, _ := spread.Choose(want, views); i >= 0 {
+	if i, _ := hostselect.Choose(want, views); i >= 0 {
 		return others[i]
 	}
 	return nil
