--- a/cmd/bamboojobd/main.go
+++ b/cmd/bamboojobd/main.go
@@ -78,7 +78,7 @@
 	defer logs.Stop()
 	log.SetHandler(logsink.Start(logs, os.Stdout, func(w io.Writer) log.Handler { return logfmt.New(w) }))
 	g := actor.NewGroup(context.Background(), func(e actor.Exit) {
-		event.Log(log.Log, event.ActorFailed, log.Fields{"actor": e.Actor, "error": e.Err.Error(), "restart": e.Restart})
+		event.Log(log.Log, event.ActorFailed, log.Fields{"actor": e.Actor, "error": e.Err.Error(), "restart": e.WillRestart})
 	})
 	d, err := begin(g, n)
 	if err != nil {
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -16,12 +16,12 @@
 var ErrStopped = errors.New("actor has stopped")
 
 // Restart says what happens after an actor's Run failed.
-type Restart uint8
+type RestartPolicy uint8
 
 // Restart policies.
 const (
-	Never     Restart = iota // the actor ends; OnExit tells its owner
-	OnFailure                // Run is called again after a backoff
+	Never     RestartPolicy = iota // the actor ends; OnExit tells its owner
+	OnFailure                      // Run is called again after a backoff
 )
 
 const (
@@ -38,11 +38,11 @@
 	// Run owns the actor's state. It returns nil to end the actor, and must
 	// return when ctx is done.
 	Run     func(ctx context.Context, in <-chan M) error
-	Restart Restart
+	Restart RestartPolicy
 	OnExit  func(error) // called once, after the last Run; may be nil
 	// Full gets a value when TrySend finds the mailbox full, if it has room;
 	// may be nil.
-	Full chan<- struct{}
+	Overflow chan<- struct{}
 }
 
 // Address is a handle for sending messages to an actor. The zero Address
@@ -101,9 +101,9 @@
 
 // Exit reports the end of one Run of an actor.
 type Exit struct {
-	Actor   string
-	Err     error
-	Restart bool // the actor will be started again
+	Actor       string
+	Err         error
+	WillRestart bool // the actor will be started again
 }
 
 // Group is a set of actors with one context. Stop ends them all.
@@ -144,7 +144,7 @@
 
 // Spawn starts an actor in g and returns its address.
 func Spawn[M any](g *Group, s Spec[M]) Address[M] {
-	a := Address[M]{in: make(chan M, s.Mailbox), done: make(chan struct{}), full: s.Full}
+	a := Address[M]{in: make(chan M, s.Mailbox), done: make(chan struct{}), full: s.Overflow}
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
@@ -172,7 +172,7 @@
 		err := runOnce(g.ctx, s, in)
 		again := err != nil && s.Restart == OnFailure && g.ctx.Err() == nil
 		if err != nil && g.ctx.Err() == nil {
-			g.observe(Exit{Actor: s.Name, Err: err, Restart: again})
+			g.observe(Exit{Actor: s.Name, Err: err, WillRestart: again})
 		}
 		if !again {
 			return err
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -30,7 +30,7 @@
 		<-a.Done()
 		require.Equal(t, 2, runs)
 		require.Len(t, exits, 1)
-		require.True(t, exits[0].Restart)
+		require.True(t, exits[0].WillRestart)
 		require.ErrorContains(t, exits[0].Err, "zero")
 		require.ErrorIs(t, a.Send(t.Context(), 1), ErrStopped)
 		g.Stop()
--- a/internal/actor/batches.go
+++ b/internal/actor/batches.go
@@ -7,7 +7,7 @@
 
 // Batches serves a mailbox: it applies the messages that wait, up to Limit,
 // and then flushes what they led to once. Tick is called at each Interval.
-type Batches[M any] struct {
+type BatchLoop[M any] struct {
 	Limit    int
 	Interval time.Duration
 	Apply    func(M)
@@ -16,7 +16,7 @@
 }
 
 // Run serves the mailbox until ctx ends.
-func (b Batches[M]) Run(ctx context.Context, in <-chan M) error {
+func (b BatchLoop[M]) Run(ctx context.Context, in <-chan M) error {
 	tick := time.NewTicker(b.Interval)
 	defer tick.Stop()
 	for {
--- a/internal/actor/batches_test.go
+++ b/internal/actor/batches_test.go
@@ -21,7 +21,7 @@
 		sizes, ticks := make(chan int, 10), make(chan bool, 10)
 		applied := 0
 		done := make(chan error)
-		b := Batches[int]{
+		b := BatchLoop[int]{
 			Limit: 3, Interval: time.Second,
 			Apply: func(int) { applied++ },
 			Tick:  func() { ticks <- true },
--- a/internal/actor/loop.go
+++ b/internal/actor/loop.go
@@ -11,7 +11,7 @@
 type Loop[M, E any] struct {
 	Now func() time.Duration
 	// Next is when the core wants its next tick.
-	Next func() time.Duration
+	NextTick func() time.Duration
 	// Translate returns the event of a message; ok is false when it has none.
 	Translate func(M) (e E, ok bool)
 	Apply     func(E)
@@ -41,7 +41,7 @@
 		if ok {
 			l.Apply(e)
 		}
-		due = max(l.Next(), l.Now())
+		due = max(l.NextTick(), l.Now())
 		timer.Reset(due - l.Now())
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -63,7 +63,7 @@
 		return
 	}
 	b.out.TrySend(&msg.BackendState{
-		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.Name(s.backend.state),
+		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.StateName(s.backend.state),
 		Slots: s.backend.Slots, Connections: s.backend.Connections,
 	})
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -252,7 +252,7 @@
 
 func (s *slots) status() Status {
 	st := Status{
-		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.Name(s.backend.state),
+		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.StateName(s.backend.state),
 		Slots: s.backend.Slots, Running: len(s.running), Waiting: len(s.waiting), Long: s.longRunning(),
 	}
 	st.Lent, st.Settling = s.lent(), s.busy()-len(s.running)
--- a/internal/chart/machine.go
+++ b/internal/chart/machine.go
@@ -86,7 +86,7 @@
 func (m *Machine[T]) Final(s State) bool { return m.final[s] }
 
 // Name returns the name of s as the file has it.
-func (m *Machine[T]) Name(s State) string { return m.states[s] }
+func (m *Machine[T]) StateName(s State) string { return m.states[s] }
 
 // EventName returns the name of e as the file has it.
 func (m *Machine[T]) EventName(e Event) string { return m.events[e] }
--- a/internal/command/applyfile.go
+++ b/internal/command/applyfile.go
@@ -83,8 +83,8 @@
 func checkItem(file string, line int, change configstore.Change) finding.List {
 	list := fileCheck.Validate(configstore.Edit{ID: "check", Changes: []configstore.Change{change}})
 	for i, f := range list {
-		where := strings.TrimPrefix(strings.TrimPrefix(f.Where, "changes[0]"), ".item")
-		list[i].Source, list[i].Line, list[i].Where = file, line, change.Key.String()+where
+		where := strings.TrimPrefix(strings.TrimPrefix(f.Element, "changes[0]"), ".item")
+		list[i].Source, list[i].Line, list[i].Element = file, line, change.Key.String()+where
 	}
 	return list
 }
--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -109,7 +109,7 @@
 		add(".item.selector", "only items of kind selector have a selector")
 	}
 	for _, f := range c.Labels(withoutLists(ch.Key.Kind, ch.Item.Labels)) {
-		add(strings.TrimSuffix(".item.labels."+f.Where, "."), "%s", f.Text)
+		add(strings.TrimSuffix(".item.labels."+f.Element, "."), "%s", f.Text)
 	}
 	for label, value := range ch.Item.Labels {
 		if err := checkValue(ch.Key.Kind, label, value); err != nil {
--- a/internal/configstore/lifecycle.go
+++ b/internal/configstore/lifecycle.go
@@ -61,7 +61,7 @@
 }
 
 // name returns the state's name in the chart.
-func (l *lifecycle) name() string { return configChart.Name(l.state) }
+func (l *lifecycle) name() string { return configChart.StateName(l.state) }
 
 var configChart = chart.MustCompile(charts.Files, ConfigBinding())
 
--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -52,7 +52,7 @@
 		}
 		j.queued = false
 		j.written = j.generation
-		j.row.Phase = model.Phase(jobChart.Name(j.phase))
+		j.row.Phase = model.Phase(jobChart.StateName(j.phase))
 		commit.Writes = append(commit.Writes, JobRow{ID: id, Row: j.row, Version: j.version})
 	}
 	c.emit(commit)
@@ -108,7 +108,7 @@
 			b.queue = append(b.queue, id)
 		}
 		if jobChart.Final(j.phase) && j.committed == j.generation {
-			c.finished[model.Phase(jobChart.Name(j.phase))]++
+			c.finished[model.Phase(jobChart.StateName(j.phase))]++
 			c.forgetHealth(id)
 			c.drop(id)
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -183,7 +183,7 @@
 		o.apply(PeerUp{Worker: up.Worker, Boot: up.Boot})
 	}
 	return actor.Loop[Message, Event]{
-		Now: o.now, Next: o.core.Next, Apply: o.apply,
+		Now: o.now, NextTick: o.core.Next, Apply: o.apply,
 		Translate: func(m Message) (Event, bool) {
 			e := o.translate(m)
 			return e, e != nil
--- a/internal/control/job.go
+++ b/internal/control/job.go
@@ -179,7 +179,7 @@
 	phase, known := phaseState[r.Row.Phase]
 	switch {
 	case !known:
-		c.log(event.RowMalformed, map[string]any{"job": r.ID, "phase": r.Row.Phase})
+		c.log(event.ControlRowMalformed, map[string]any{"job": r.ID, "phase": r.Row.Phase})
 		return
 	case jobChart.Final(phase):
 		if !c.loaded { // later ones were counted when we wrote them
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -25,14 +25,14 @@
 // Status reports what is known of the cell.
 func (c *Core) Status() model.CellStatus {
 	s := model.CellStatus{
-		Cell: c.opts.Cell, State: cellChart.Name(c.cell.state), Epoch: c.cell.owner.Epoch, Owner: c.cell.owner.Owner,
+		Cell: c.opts.Cell, State: cellChart.StateName(c.cell.state), Epoch: c.cell.owner.Epoch, Owner: c.cell.owner.Owner,
 	}
 	if !c.incumbent() {
 		return s
 	}
 	s.Phases = maps.Clone(c.finished)
 	for _, j := range c.jobs {
-		s.Phases[model.Phase(jobChart.Name(j.phase))]++
+		s.Phases[model.Phase(jobChart.StateName(j.phase))]++
 	}
 	for _, w := range c.ledger.Workers() {
 		s.Workers = append(s.Workers, model.WorkerStatus{
@@ -67,9 +67,9 @@
 	if j == nil {
 		return e
 	}
-	e.Known, e.Phase, e.Reason = true, model.Phase(jobChart.Name(j.phase)), j.row.Reason
+	e.Known, e.Phase, e.Reason = true, model.Phase(jobChart.StateName(j.phase)), j.row.Reason
 	if j.attempt.live {
-		e.Attempt, e.Worker = attemptChart.Name(j.attempt.state), j.attempt.worker
+		e.Attempt, e.Worker = attemptChart.StateName(j.attempt.state), j.attempt.worker
 	}
 	if j.phase == stPending {
 		if j.verdict.Reason != place.ReasonNone {
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -66,7 +66,7 @@
 		if err == nil {
 			continue // only our own row had changed
 		}
-		event.Log(w.log, event.StoreRefused, log.Fields{"operation": op, "error": err.Error()})
+		event.Log(w.log, event.ControlStoreError, log.Fields{"operation": op, "error": err.Error()})
 		if !actor.Sleep(ctx, jittered(delay)) {
 			return 0, ctx.Err()
 		}
@@ -241,7 +241,7 @@
 		row := JobRow{ID: model.JobID(strings.TrimPrefix(r.Key, rows.JobPrefix(s.cell))), Version: r.Version, Deleted: r.Deleted}
 		if !r.Deleted {
 			if row.Row, err = rows.Decode[model.JobRow](r.Value); err != nil {
-				event.Log(s.log, event.RowMalformed, log.Fields{"key": r.Key, "error": err.Error()})
+				event.Log(s.log, event.ControlRowMalformed, log.Fields{"key": r.Key, "error": err.Error()})
 				continue
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,7 +20,7 @@
 // NewGroup returns the root group of a process. Failed actors are logged.
 func NewGroup(ctx context.Context, l log.Interface) *actor.Group {
 	return actor.NewGroup(ctx, func(e actor.Exit) {
-		event.Log(l, event.ActorFailed, log.Fields{"actor": e.Actor, "error": e.Err.Error(), "restart": e.Restart})
+		event.Log(l, event.ActorFailed, log.Fields{"actor": e.Actor, "error": e.Err.Error(), "restart": e.WillRestart})
 	})
 }
 
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -68,7 +68,7 @@
 	})
 	startLinks(g, c, self, store, dispatcher, controllers)
 	registry := metrics.Start(g)
-	recent := metrics.StartWindows(g)
+	recent := metrics.StartRecentRequests(g)
 	v := &view{recent: recent, self: self, dispatcher: dispatcher, cells: controllers, table: c.Table,
 		entries: &actor.Value[directory.List]{}, leaving: &actor.Value[bool]{}}
 	api := startOperator(g, c, v, store, registry)
@@ -96,7 +96,7 @@
 		}
 		for _, record := range records {
 			record(metrics.Observation{Service: string(r.Service), Class: string(r.Class), Tenant: string(r.Tenant),
-				Outcome: outcome, Took: r.Duration})
+				Outcome: outcome, Duration: r.Duration})
 		}
 	}
 }
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -23,7 +23,7 @@
 type view struct {
 	self       entry.Self
 	dispatcher entry.Address
-	recent     *metrics.Windows
+	recent     *metrics.RecentRequests
 	cells      *cells
 	table      storage.Table
 	entries    *actor.Value[directory.List]
--- a/internal/entry/lifecycle_test.go
+++ b/internal/entry/lifecycle_test.go
@@ -45,11 +45,11 @@
 			var last []effect
 			for _, e := range c.events {
 				effects, ok := l.step(e)
-				require.True(t, ok, "event %s in state %s", requestChart.EventName(e), requestChart.Name(l.state))
+				require.True(t, ok, "event %s in state %s", requestChart.EventName(e), requestChart.StateName(l.state))
 				last = effects
 			}
 			require.Equal(t, []effect{c.want}, last)
-			require.Equal(t, requestChart.Name(c.state), requestChart.Name(l.state))
+			require.Equal(t, requestChart.StateName(c.state), requestChart.StateName(l.state))
 		})
 	}
 }
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -9,10 +9,10 @@
 
 // Finding is one defect of an input.
 type Finding struct {
-	Source string `json:"source"`          // file name, or the name of the request field's document
-	Line   int    `json:"line,omitempty"`  // 1-based; 0 when the source has no lines
-	Where  string `json:"where,omitempty"` // section and key, element or field
-	Text   string `json:"text"`            // what is wrong and what to do
+	Source  string `json:"source"`          // file name, or the name of the request field's document
+	Line    int    `json:"line,omitempty"`  // 1-based; 0 when the source has no lines
+	Element string `json:"where,omitempty"` // section and key, element or field
+	Text    string `json:"text"`            // what is wrong and what to do
 }
 
 // String formats a finding as "source:line: where: text".
@@ -23,8 +23,8 @@
 		fmt.Fprintf(&b, ":%d", f.Line)
 	}
 	b.WriteString(": ")
-	if f.Where != "" {
-		b.WriteString(f.Where)
+	if f.Element != "" {
+		b.WriteString(f.Element)
 		b.WriteString(": ")
 	}
 	b.WriteString(f.Text)
@@ -36,7 +36,7 @@
 
 // Add appends a finding.
 func (l *List) Add(source string, line int, where, format string, args ...any) {
-	*l = append(*l, Finding{Source: source, Line: line, Where: where, Text: fmt.Sprintf(format, args...)})
+	*l = append(*l, Finding{Source: source, Line: line, Element: where, Text: fmt.Sprintf(format, args...)})
 }
 
 // Err returns the list as an error, or nil when it is empty.
--- a/internal/jobnode/agent.go
+++ b/internal/jobnode/agent.go
@@ -147,7 +147,7 @@
 }
 
 func (a *agent) run(ctx context.Context, in <-chan any) error {
-	return actor.Batches[any]{Limit: drainLimit, Interval: agentTick, Apply: a.apply, Tick: a.tick, Flush: a.flush}.Run(ctx, in)
+	return actor.BatchLoop[any]{Limit: drainLimit, Interval: agentTick, Apply: a.apply, Tick: a.tick, Flush: a.flush}.Run(ctx, in)
 }
 
 func (a *agent) tick() {
--- a/internal/jobnode/controller.go
+++ b/internal/jobnode/controller.go
@@ -76,7 +76,7 @@
 
 // run applies messages in batches and sends what they led to.
 func (c *controller) run(ctx context.Context, in <-chan any) error {
-	return actor.Batches[any]{Limit: drainLimit, Interval: controllerTick, Apply: c.apply, Tick: c.tick, Flush: c.flush}.Run(ctx, in)
+	return actor.BatchLoop[any]{Limit: drainLimit, Interval: controllerTick, Apply: c.apply, Tick: c.tick, Flush: c.flush}.Run(ctx, in)
 }
 
 func (c *controller) tick() {
--- a/internal/jobnode/decisions.go
+++ b/internal/jobnode/decisions.go
@@ -10,8 +10,8 @@
 )
 
 var ownerEvents = map[jobs.DecisionKind]event.Event{
-	jobs.JobTaken: event.JobTaken, jobs.JobOver: event.JobOver, jobs.RunOrdered: event.RunOrdered, jobs.RunOver: event.RunOver,
-	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskWaits: event.TaskWaits,
+	jobs.JobTaken: event.JobAdmitted, jobs.JobOver: event.JobEnded, jobs.RunOrdered: event.RunOrdered, jobs.RunOver: event.RunEnded,
+	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskWaits: event.TaskUnplaced,
 }
 
 // logDecision writes the line of a decision of the owner.
@@ -31,9 +31,9 @@
 }
 
 var guardEvents = map[hostguard.DecisionKind]event.Event{
-	hostguard.OwnerAdopted: event.GuardOwner, hostguard.OwnerRefused: event.GuardRefused, hostguard.RunRefused: event.GuardRunRefused,
-	hostguard.RunDoubtful: event.GuardRunDoubtful, hostguard.LifeBegan: event.GuardLifeBegan, hostguard.LifeEnded: event.GuardLifeEnded,
-	hostguard.RunPaced: event.GuardRunPaced,
+	hostguard.OwnerAdopted: event.AgentOwnerAdopted, hostguard.OwnerRefused: event.AgentOwnerRefused, hostguard.RunRefused: event.AgentRunRefused,
+	hostguard.RunDoubtful: event.AgentRunUnconfirmed, hostguard.LifeBegan: event.AgentIncarnationStarted, hostguard.LifeEnded: event.AgentIncarnationEnded,
+	hostguard.RunPaced: event.AgentRunThrottled,
 }
 
 // logDecision writes the line of a decision of the guard.
--- a/internal/jobnode/gateway.go
+++ b/internal/jobnode/gateway.go
@@ -101,11 +101,11 @@
 		}
 		g.bad.Set(&o)
 		if was == nil {
-			event.Log(g.log, event.StoreAway, log.Fields{"error": err.Error()})
+			event.Log(g.log, event.StoreUnreachable, log.Fields{"error": err.Error()})
 		}
 	case was != nil:
 		g.bad.Set(nil)
-		event.Log(g.log, event.StoreBack, nil)
+		event.Log(g.log, event.StoreReachable, nil)
 	}
 }
 
--- a/internal/jobnode/owner.go
+++ b/internal/jobnode/owner.go
@@ -112,7 +112,7 @@
 // begin takes the jobs over: it reads them and claims every host.
 func (c *controller) begin() {
 	epoch := c.owner.Epoch()
-	event.Log(c.log, event.OwnerBegan, log.Fields{"epoch": epoch})
+	event.Log(c.log, event.OwnershipStarted, log.Fields{"epoch": epoch})
 	c.jobs = jobs.New(epoch, c.now())
 	c.jobs.Advance(c.now(), time.Now().UnixMilli())
 	c.loading, c.early = true, nil
@@ -125,7 +125,7 @@
 	if c.jobs == nil {
 		return
 	}
-	event.Log(c.log, event.OwnerEnded, log.Fields{"epoch": c.jobs.Epoch(), "reason": why})
+	event.Log(c.log, event.OwnershipEnded, log.Fields{"epoch": c.jobs.Epoch(), "reason": why})
 	c.jobs, c.loading, c.early = nil, false, nil
 	c.feed.Cancel()
 }
--- a/internal/labels/selector.go
+++ b/internal/labels/selector.go
@@ -50,7 +50,7 @@
 
 // Positive reports whether the selector requires some label to be present. A
 // selector that is not positive also matches things without any label.
-func (s Selector) Positive() bool {
+func (s Selector) RequiresLabel() bool {
 	for _, r := range s.requirements {
 		if r.Operator == In || r.Operator == Exists {
 			return true
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -32,7 +32,7 @@
 	s.handler = handler(s.out)
 	full := make(chan struct{}, queued)
 	s.full = full
-	return &Sink{actor.Spawn(g, actor.Spec[*log.Entry]{Name: "log sink", Mailbox: queued, Run: s.run, Full: full})}
+	return &Sink{actor.Spawn(g, actor.Spec[*log.Entry]{Name: "log sink", Mailbox: queued, Run: s.run, Overflow: full})}
 }
 
 // HandleLog implements log.Handler.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
 		defer g.Stop()
-		w := StartWindows(g)
+		w := StartRecentRequests(g)
 		for range 98 {
 			w.Observe(Observation{"s", "c", "t", "done", 10 * time.Millisecond})
 		}
--- a/internal/metrics/requests.go
+++ b/internal/metrics/requests.go
@@ -18,7 +18,7 @@
 type Observation struct {
 	Service, Class, Tenant string
 	Outcome                string // a short constant word, such as done, refused or failed
-	Took                   time.Duration
+	Duration               time.Duration
 }
 
 // StartRequests starts an actor that measures the requests of all services.
@@ -37,7 +37,7 @@
 						q = NewRequests(r, o.Service)
 						services[o.Service] = q
 					}
-					q.Observe(o.Class, o.Tenant, o.Outcome, o.Took)
+					q.Observe(o.Class, o.Tenant, o.Outcome, o.Duration)
 				}
 			}
 		}})
--- a/internal/metrics/windows.go
+++ b/internal/metrics/windows.go
@@ -23,19 +23,19 @@
 
 // Recent is what was measured for a class and tenant of a service in the last
 // 15 to 30 s.
-type Recent struct {
+type RequestStats struct {
 	Service, Class, Tenant string
 	Requests, Refused      int64
 	P50, P99, P999         time.Duration // of requests that were not refused
 }
 
 // Windows measures recent requests by class and tenant in an actor.
-type Windows struct{ addr actor.Address[windowMessage] }
+type RecentRequests struct{ addr actor.Address[windowMessage] }
 
 // windowMessage is an observation, or the question for all series.
 type windowMessage struct {
 	seen   Observation
-	answer *actor.Reply[[]Recent]
+	answer *actor.Reply[[]RequestStats]
 }
 
 type windowKey struct{ service, class, tenant string }
@@ -49,8 +49,8 @@
 }
 
 // StartWindows starts the actor in g.
-func StartWindows(g *actor.Group) *Windows {
-	return &Windows{actor.Spawn(g, actor.Spec[windowMessage]{Name: "recent requests", Mailbox: observations, Restart: actor.OnFailure,
+func StartRecentRequests(g *actor.Group) *RecentRequests {
+	return &RecentRequests{actor.Spawn(g, actor.Spec[windowMessage]{Name: "recent requests", Mailbox: observations, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan windowMessage) error {
 			all := windowSet{}
 			turn := time.NewTicker(windowLength)
@@ -74,11 +74,11 @@
 
 // Observe counts a request. It never waits; an observation is dropped when
 // the actor is behind.
-func (w *Windows) Observe(o Observation) { w.addr.TrySend(windowMessage{seen: o}) }
+func (w *RecentRequests) Observe(o Observation) { w.addr.TrySend(windowMessage{seen: o}) }
 
 // Read returns the series, sorted.
-func (w *Windows) Read(ctx context.Context) ([]Recent, error) {
-	return actor.Ask(ctx, w.addr, func(r actor.Reply[[]Recent]) windowMessage { return windowMessage{answer: &r} })
+func (w *RecentRequests) Read(ctx context.Context) ([]RequestStats, error) {
+	return actor.Ask(ctx, w.addr, func(r actor.Reply[[]RequestStats]) windowMessage { return windowMessage{answer: &r} })
 }
 
 type windowSet map[windowKey]*windowSeries
@@ -99,7 +99,7 @@
 		return
 	}
 	// The value is inside the histogram's range, so recording cannot fail.
-	_ = s.now.latency.RecordValue(min(max(o.Took, time.Microsecond), longestRequest).Microseconds())
+	_ = s.now.latency.RecordValue(min(max(o.Duration, time.Microsecond), longestRequest).Microseconds())
 }
 
 func newWindowCount() windowCount {
@@ -119,18 +119,18 @@
 	}
 }
 
-func (all windowSet) read() []Recent {
-	list := make([]Recent, 0, len(all))
+func (all windowSet) read() []RequestStats {
+	list := make([]RequestStats, 0, len(all))
 	for k, s := range all {
 		both := newWindowCount().latency
 		both.Merge(s.before.latency)
 		both.Merge(s.now.latency)
 		at := func(q float64) time.Duration { return time.Duration(both.ValueAtQuantile(q)) * time.Microsecond }
-		list = append(list, Recent{Service: k.service, Class: k.class, Tenant: k.tenant,
+		list = append(list, RequestStats{Service: k.service, Class: k.class, Tenant: k.tenant,
 			Requests: s.before.requests + s.now.requests, Refused: s.before.refused + s.now.refused,
 			P50: at(50), P99: at(99), P999: at(99.9)})
 	}
-	slices.SortFunc(list, func(a, b Recent) int {
+	slices.SortFunc(list, func(a, b RequestStats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return list
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -68,7 +68,7 @@
 	defer g.Stop()
 	defer conn.Close()
 	full := make(chan struct{}, 1)
-	out := actor.Spawn(g, actor.Spec[msg.Control]{Name: "link writer", Mailbox: outboundMessages, Full: full,
+	out := actor.Spawn(g, actor.Spec[msg.Control]{Name: "link writer", Mailbox: outboundMessages, Overflow: full,
 		Run: func(ctx context.Context, in <-chan msg.Control) error {
 			return write(ctx, conn, hello, in, timing.Heartbeat)
 		}})
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -265,7 +265,7 @@
 	for _, id := range t.ids() {
 		w := t.workers[id]
 		if d, e, ok := workerChart.Timeout(w.state); ok && now-w.entered >= d {
-			t.step(now, w, e, fmt.Sprintf("%s for %s", workerChart.Name(w.state), d))
+			t.step(now, w, e, fmt.Sprintf("%s for %s", workerChart.StateName(w.state), d))
 		}
 	}
 	return t.take()
--- a/internal/policy/place/rules.go
+++ b/internal/policy/place/rules.go
@@ -35,7 +35,7 @@
 	for _, s := range selectors {
 		if defects := labels.ValidateSelector(s.Selector); len(defects) > 0 {
 			for _, d := range defects {
-				r.found.Add("selector/"+s.Name, 0, d.Where, "%s", d.Text)
+				r.found.Add("selector/"+s.Name, 0, d.Element, "%s", d.Text)
 			}
 			continue
 		}
@@ -45,7 +45,7 @@
 			r.yields = append(r.yields, subject)
 			continue
 		}
-		r.list = append(r.list, rule{s.Name, s.Kind, subject, object, object.Positive()})
+		r.list = append(r.list, rule{s.Name, s.Kind, subject, object, object.RequiresLabel()})
 	}
 	r.share, r.apart = newRuleSet(len(r.list)), newRuleSet(len(r.list))
 	for i := range r.list {
--- a/internal/standin/backend_messages.go
+++ b/internal/standin/backend_messages.go
@@ -178,7 +178,7 @@
 		}
 	}
 	state := s.counts
-	state.State, state.Running = backendChart.Name(s.state), len(s.running)
+	state.State, state.Running = backendChart.StateName(s.state), len(s.running)
 	m.reply.Put(answer[BackendState]{value: state})
 }
 
