--- a/internal/jobdaemon/decisions.go
+++ b/internal/jobdaemon/decisions.go
@@ -10,8 +10,8 @@
 )
 
 var ownerEvents = map[jobs.DecisionKind]event.Event{
-	jobs.JobTaken: event.JobTaken, jobs.JobOver: event.JobOver, jobs.RunOrdered: event.RunOrdered, jobs.RunOver: event.RunOver,
-	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskWaits: event.TaskWaits,
+	jobs.JobTaken: event.JobAdmitted, jobs.JobOver: event.JobEnded, jobs.RunOrdered: event.RunOrdered, jobs.RunOver: event.RunEnded,
+	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskWaits: event.TaskUnplaced,
 }
 
 // logDecision writes the line of a decision of the owner.
@@ -31,9 +31,9 @@
 }
 
 var guardEvents = map[hostagent.DecisionKind]event.Event{
-	hostagent.OwnerAdopted: event.GuardOwner, hostagent.OwnerRefused: event.GuardRefused, hostagent.RunRefused: event.GuardRunRefused,
-	hostagent.RunDoubtful: event.GuardRunDoubtful, hostagent.LifeBegan: event.GuardLifeBegan, hostagent.LifeEnded: event.GuardLifeEnded,
-	hostagent.RunPaced: event.GuardRunPaced,
+	hostagent.OwnerAdopted: event.AgentOwnerAdopted, hostagent.OwnerRefused: event.AgentOwnerRefused, hostagent.RunRefused: event.AgentRunRefused,
+	hostagent.RunDoubtful: event.AgentRunUnconfirmed, hostagent.LifeBegan: event.AgentIncarnationStarted, hostagent.LifeEnded: event.AgentIncarnationEnded,
+	hostagent.RunPaced: event.AgentRunThrottled,
 }
 
 // logDecision writes the line of a decision of the guard.
