--- a/internal/event/tasks.go
+++ b/internal/event/tasks.go
@@ -2,7 +2,7 @@
 
 import "github.com/apex/log"
 
-// Events of the agent's side of task attempts: 400 to 499.
+// Events of agents about task attempts: 400 to 499.
 var (
 	TaskEpochAdopted = define(400, log.InfoLevel, "task-epoch-adopted", "the agent adopted a new owner of its cell", "nothing")
 	TaskStaleCommand = define(401, log.WarnLevel, "task-stale-command", "a command of an owner that has been replaced was refused", "nothing; frequent ones point to a partitioned entry")
