--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -15,33 +15,34 @@
 // ErrStopped is returned when a message is sent to an actor that has ended.
 var ErrStopped = errors.New("actor has stopped")
 
-// Restart says what happens after an actor's Run failed.
+// RestartPolicy says what happens after an actor's Run has failed.
 type RestartPolicy uint8
 
 // Restart policies.
 const (
-	Never     RestartPolicy = iota // the actor ends; OnExit tells its owner
+	Never     RestartPolicy = iota // the actor ends, and OnExit is called with the error
 	OnFailure                      // Run is called again after a backoff
 )
 
 const (
 	minRestartDelay = 50 * time.Millisecond
 	maxRestartDelay = 5 * time.Second
-	// A Run that lasted this long is considered healthy and resets the backoff.
-	healthyRun = 30 * time.Second
+	// minHealthyRun is the duration of a Run that resets the backoff.
+	minHealthyRun = 30 * time.Second
 )
 
 // Spec describes an actor that receives messages of type M.
 type Spec[M any] struct {
 	Name    string
-	Mailbox int // capacity in messages
+	Mailbox int // capacity of the mailbox in messages
 	// Run owns the actor's state. It returns nil to end the actor, and must
 	// return when ctx is done.
 	Run     func(ctx context.Context, in <-chan M) error
 	Restart RestartPolicy
 	OnExit  func(error) // called once, after the last Run; may be nil
-	// Full gets a value when TrySend finds the mailbox full, if it has room;
-	// may be nil.
+	// Overflow receives a value each time TrySend drops a message because the
+	// mailbox is full. The value is dropped too when Overflow has no free
+	// capacity. May be nil.
 	Overflow chan<- struct{}
 }
 
@@ -53,8 +54,8 @@
 	full chan<- struct{}
 }
 
-// Send delivers m, waiting for room in the mailbox. It returns ErrStopped
-// after the actor ended, or the context's error.
+// Send delivers m and waits while the mailbox is full. It returns ErrStopped
+// after the actor has ended, or the context's error.
 func (a Address[M]) Send(ctx context.Context, m M) error {
 	if a.in == nil {
 		return ErrStopped
@@ -74,7 +75,8 @@
 	}
 }
 
-// TrySend delivers m if the mailbox has room, and reports whether it did.
+// TrySend delivers m unless the mailbox is full or the actor has ended, and
+// reports whether it did. It does not block.
 func (a Address[M]) TrySend(m M) bool {
 	if a.in == nil {
 		return false
@@ -91,7 +93,7 @@
 	}
 	select {
 	case a.full <- struct{}{}:
-	default: // told before, or nobody asked
+	default: // no Overflow channel, or it is full
 	}
 	return false
 }
@@ -103,7 +105,7 @@
 type Exit struct {
 	Actor       string
 	Err         error
-	WillRestart bool // the actor will be started again
+	WillRestart bool // Run will be called again
 }
 
 // Group is a set of actors with one context. Stop ends them all.
@@ -124,10 +126,11 @@
 	return &Group{ctx: ctx, cancel: cancel, wg: &sync.WaitGroup{}, observe: observe}
 }
 
-// Context ends when the group is stopped.
+// Context returns the context of the group's actors. It is done when the
+// group is stopped.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Sub returns a group whose context ends with g's or its own Stop.
+// Sub returns a group whose context is done when g or the new group is stopped.
 func (g *Group) Sub() *Group { return NewGroup(g.ctx, g.observe) }
 
 // Stop cancels the context of every actor in the group and waits for them.
@@ -136,7 +139,7 @@
 	g.wg.Wait()
 }
 
-// Cancel ends the group's context without waiting.
+// Cancel cancels the group's context without waiting for the actors.
 func (g *Group) Cancel() { g.cancel() }
 
 // Wait waits until every actor of the group has ended.
@@ -157,7 +160,8 @@
 	return a
 }
 
-// Go starts an actor without a mailbox, such as the reader of a socket.
+// Go starts an actor without a mailbox, such as the reader of a socket. The
+// channel that it returns is closed when the actor has ended.
 func Go(g *Group, name string, run func(ctx context.Context) error) <-chan struct{} {
 	a := Spawn(g, Spec[struct{}]{Name: name, Run: func(ctx context.Context, _ <-chan struct{}) error {
 		return run(ctx)
@@ -168,16 +172,16 @@
 func supervise[M any](g *Group, s Spec[M], in <-chan M) error {
 	delay := minRestartDelay
 	for {
-		began := time.Now()
+		start := time.Now()
 		err := runOnce(g.ctx, s, in)
-		again := err != nil && s.Restart == OnFailure && g.ctx.Err() == nil
+		restart := err != nil && s.Restart == OnFailure && g.ctx.Err() == nil
 		if err != nil && g.ctx.Err() == nil {
-			g.observe(Exit{Actor: s.Name, Err: err, WillRestart: again})
+			g.observe(Exit{Actor: s.Name, Err: err, WillRestart: restart})
 		}
-		if !again {
+		if !restart {
 			return err
 		}
-		if time.Since(began) > healthyRun {
+		if time.Since(start) > minHealthyRun {
 			delay = minRestartDelay
 		}
 		if !Sleep(g.ctx, delay) {
@@ -194,23 +198,24 @@
 		}
 	}()
 	if err := s.Run(ctx, in); err != nil {
-		return &failure{actor: s.Name, err: err}
+		return &runError{actor: s.Name, err: err}
 	}
 	return nil
 }
 
-// failure is the error of one Run. Its text is made only when it is read:
-// actors that serve a request end with an error whenever a peer hangs up, and
-// formatting an error with its stack takes longer than serving the request.
-type failure struct {
+// runError is the error of one Run. Its text is formatted only when it is
+// read: actors that serve a request end with an error whenever a peer closes
+// the connection, and formatting an error with its stack takes longer than
+// serving the request.
+type runError struct {
 	actor string
 	err   error
 }
 
-func (f *failure) Error() string { return "actor " + f.actor + ": " + f.err.Error() }
-func (f *failure) Unwrap() error { return f.err }
+func (f *runError) Error() string { return "actor " + f.actor + ": " + f.err.Error() }
+func (f *runError) Unwrap() error { return f.err }
 
-// Sleep waits for d; it returns false when ctx ended first.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a panic that ends the process, or an actor that stays dead
-// although its policy is to restart.
+// Guards against a panic that ends the process, and against an actor that is
+// not restarted after a panic although its policy is OnFailure.
 func TestPanicRestartsTheActor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var exits []Exit
@@ -37,7 +37,7 @@
 	})
 }
 
-// Guards against a sender that waits forever for an actor that has ended.
+// Guards against Ask waiting forever when the actor ends without an answer.
 func TestAskEndsWithTheActor(t *testing.T) {
 	g := NewGroup(t.Context(), nil)
 	a := Spawn(g, Spec[Reply[int]]{Name: "mute", Mailbox: 1,
--- a/internal/actor/batches.go
+++ b/internal/actor/batches.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Batches serves a mailbox: it applies the messages that wait, up to Limit,
-// and then flushes what they led to once. Tick is called at each Interval.
+// BatchLoop serves a mailbox in batches: it applies the queued messages, at
+// most Limit, and then calls Flush once to send their results. Tick is called
+// at each Interval and is followed by Flush.
 type BatchLoop[M any] struct {
 	Limit    int
 	Interval time.Duration
@@ -15,7 +16,7 @@
 	Flush    func()
 }
 
-// Run serves the mailbox until ctx ends.
+// Run serves the mailbox until ctx is done.
 func (b BatchLoop[M]) Run(ctx context.Context, in <-chan M) error {
 	tick := time.NewTicker(b.Interval)
 	defer tick.Stop()
--- a/internal/actor/batches_test.go
+++ b/internal/actor/batches_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a message that waits for the next tick, and against a batch
-// without a bound that keeps what it led to from being sent.
+// Guards against a message that is not flushed before the next tick, and
+// against a batch without a bound, which would delay the flush.
 func TestBatchesAreBoundedAndFlushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/actor/counter.go
+++ b/internal/actor/counter.go
@@ -2,8 +2,7 @@
 
 import "sync/atomic"
 
-// Counter hands out increasing numbers to any number of goroutines. The first
-// is 1.
+// Counter generates consecutive numbers from 1. Any goroutine may use it.
 type Counter struct{ last atomic.Uint64 }
 
 // Next returns the next number.
--- a/internal/actor/loop.go
+++ b/internal/actor/loop.go
@@ -6,25 +6,28 @@
 )
 
 // Loop runs an actor around a core that decides without input or output: it
-// feeds messages, the answers of helper actors and due timers to the core as
-// events. Times are durations since the actor began.
+// applies messages, the answers of helper actors and expired timers to the
+// core as events. Times are durations since the actor started.
 type Loop[M, E any] struct {
 	Now func() time.Duration
-	// Next is when the core wants its next tick.
+	// NextTick returns the time at which Tick is applied next.
 	NextTick func() time.Duration
-	// Translate returns the event of a message; ok is false when it has none.
+	// Translate returns the event for a message; ok is false if the message
+	// leads to none.
 	Translate func(M) (e E, ok bool)
 	Apply     func(E)
-	Tick      E // applied when a timer is due
-	Paused    E // applied first when the loop was late by more than PauseGap
-	PauseGap  time.Duration
+	Tick      E // applied when the timer has expired
+	// Paused is applied before the next event when the loop wakes up more than
+	// PauseGap after the time of its tick, as after a suspension of the process.
+	Paused   E
+	PauseGap time.Duration
 }
 
-// Run serves the mailbox and the answers until ctx ends.
+// Run serves the mailbox and the answers until ctx is done.
 func (l Loop[M, E]) Run(ctx context.Context, in <-chan M, answers <-chan E) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	due := time.Duration(0)
+	nextTick := time.Duration(0)
 	for {
 		e, ok := l.Tick, true
 		select {
@@ -35,13 +38,13 @@
 		case e = <-answers:
 		case <-timer.C:
 		}
-		if l.Now()-due > l.PauseGap {
+		if l.Now()-nextTick > l.PauseGap {
 			l.Apply(l.Paused)
 		}
 		if ok {
 			l.Apply(e)
 		}
-		due = max(l.NextTick(), l.Now())
-		timer.Reset(due - l.Now())
+		nextTick = max(l.NextTick(), l.Now())
+		timer.Reset(nextTick - l.Now())
 	}
 }
--- a/internal/actor/reply.go
+++ b/internal/actor/reply.go
@@ -5,7 +5,7 @@
 // Reply carries one answer back to the sender of a message.
 type Reply[T any] struct{ ch chan T }
 
-// NewReply returns a Reply with room for its answer, so that Put never waits.
+// NewReply returns a Reply that buffers its answer, so that Put never blocks.
 func NewReply[T any]() Reply[T] { return Reply[T]{ch: make(chan T, 1)} }
 
 // Put stores the answer. Answers after the first are dropped, and so is an
@@ -17,7 +17,7 @@
 	}
 }
 
-// Get waits for the answer, or for the end of ctx.
+// Get waits for the answer. It returns the context's error if ctx is done first.
 func (r Reply[T]) Get(ctx context.Context) (T, error) {
 	select {
 	case v := <-r.ch:
@@ -28,11 +28,11 @@
 	}
 }
 
-// C is the channel on which the answer arrives, for use in a select.
+// C returns the channel that receives the answer, for use in a select.
 func (r Reply[T]) C() <-chan T { return r.ch }
 
-// Ask sends the message that build makes from a new Reply and waits for the
-// answer. It returns ErrStopped if the actor ends first.
+// Ask sends the message that build creates from a new Reply and waits for the
+// answer. It returns ErrStopped if the actor ends first, or the context's error.
 func Ask[M, T any](ctx context.Context, to Address[M], build func(Reply[T]) M) (T, error) {
 	var zero T
 	r := NewReply[T]()
