--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,10 +1,10 @@
-// Package charts embeds the lifecycle files that the daemons interpret. Each
-// file is a state chart in the SCXML subset that internal/chart reads.
+// Package charts embeds the state charts that the daemons interpret. Each file
+// is in the SCXML subset that internal/chart reads.
 package charts
 
 import "embed"
 
-// Files holds every chart as name.scxml.
+// Files holds each chart as a file <name>.scxml.
 //
 //go:embed *.scxml
 var Files embed.FS
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -15,8 +15,8 @@
     <transition event="open" target="opened"><script>count ring</script></transition>
   </state>
   <state id="opened">
-    <onentry><send event="tire" delayexpr="patience"/></onentry>
-    <transition event="tire" target="closed"/>
+    <onentry><send event="closeTimeout" delayexpr="closeDelay"/></onentry>
+    <transition event="closeTimeout" target="closed"/>
     <transition event="remove" cond="!locked" target="gone"/>
   </state>
   <final id="gone"/>
@@ -35,22 +35,22 @@
 
 const (
 	evOpen Event = iota
-	evTire
+	evCloseTimeout
 	evRemove
 )
 
 func doorBinding() Binding[door] {
 	return Binding[door]{
-		Chart: "door", States: []string{"closed", "opened", "gone"}, Events: []string{"open", "tire", "remove"},
+		Chart: "door", States: []string{"closed", "opened", "gone"}, Events: []string{"open", "closeTimeout", "remove"},
 		Guards:  map[string]func(*door) bool{"locked": func(d *door) bool { return d.locked }},
 		Actions: map[string]func(*door){"ring": func(d *door) { d.rings++ }, "count": func(d *door) { d.count++ }},
-		Delays:  map[string]time.Duration{"patience": time.Second},
+		Delays:  map[string]time.Duration{"closeDelay": time.Second},
 	}
 }
 
 func doorFiles(text string) fstest.MapFS { return fstest.MapFS{"door.scxml": {Data: []byte(text)}} }
 
-// Guards against transitions taken out of document order, guards ignored and
+// Guards against transitions taken out of document order, ignored guards, and
 // actions run in the wrong order.
 func TestStepFollowsTheChart(t *testing.T) {
 	m, err := Compile(doorFiles(doorChart), doorBinding())
@@ -67,7 +67,7 @@
 	delay, e, ok := m.Timeout(opened)
 	require.True(t, ok)
 	require.Equal(t, time.Second, delay)
-	require.Equal(t, evTire, e)
+	require.Equal(t, evCloseTimeout, e)
 	d.locked = true
 	require.False(t, m.Step(&d, &s, evRemove))
 	d.locked = false
@@ -75,7 +75,8 @@
 	require.True(t, m.Final(s))
 }
 
-// Guards against a check that stops at the first finding or loses its line.
+// Guards against a check that stops at the first defect or reports it without
+// its line.
 func TestCompileReportsEveryFinding(t *testing.T) {
 	bad := strings.NewReplacer(`c:rest="true"`, ``, `target="opened"`, `target="ajar"`, `cond="!locked"`, `cond="!rusty"`).Replace(doorChart)
 	b := doorBinding()
@@ -88,7 +89,7 @@
 		`door.scxml:4: closed: target "ajar"`,
 		`door.scxml:6: opened: state is unreachable`,
 		`door.scxml:11: gone: state is unreachable`,
-		`delay "patience" is not bound`,
+		`delay "closeDelay" is not bound`,
 		`door.scxml:9: opened: guard "rusty" is not bound`,
 		`event "knock" is bound but the chart does not use it`,
 	} {
@@ -97,13 +98,12 @@
 }
 
 // Guards against elements outside the subset being silently ignored.
-func TestParseRejectsWhatItDoesNotInterpret(t *testing.T) {
+func TestParseRejectsUnsupportedElements(t *testing.T) {
 	_, err := ParseBytes("x.scxml", []byte("<scxml name=\"x\" initial=\"a\">\n<parallel/>\n<state id=\"a\" color=\"red\"/>\n</scxml>"))
 	require.ErrorContains(t, err, "x.scxml:2: parallel: element <parallel> is not in the supported subset")
 	require.ErrorContains(t, err, `x.scxml:3: state: attribute "color"`)
 }
 
-// Guards against an allocation on the path of every request.
 func BenchmarkStep(b *testing.B) {
 	m, err := Compile(doorFiles(doorChart), doorBinding())
 	require.NoError(b, err)
@@ -111,16 +111,17 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Step(&d, &s, evOpen)
-		m.Step(&d, &s, evTire)
+		m.Step(&d, &s, evCloseTimeout)
 	}
 }
 
+// Guards against an allocation in Step, which runs several times per request.
 func TestStepDoesNotAllocate(t *testing.T) {
 	m, err := Compile(doorFiles(doorChart), doorBinding())
 	require.NoError(t, err)
 	d, s := door{}, m.Initial()
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		m.Step(&d, &s, evOpen)
-		m.Step(&d, &s, evTire)
+		m.Step(&d, &s, evCloseTimeout)
 	}))
 }
--- a/internal/chart/check.go
+++ b/internal/chart/check.go
@@ -6,50 +6,51 @@
 	"github.com/bambooscale/bambooscale/internal/finding"
 )
 
-// maxNames is the number of values of State and of Event.
-const maxNames = 256
+// maxStatesOrEvents is the number of values of State, and of Event.
+const maxStatesOrEvents = 256
 
-// Check reports the findings that need no binding: undefined initial state or
-// target, duplicate or unreachable state, wait state without a timeout, and a
-// final state with transitions.
+// Check reports the defects that can be found without a binding: an undefined
+// initial state or target, a duplicate or unreachable state, a wait state
+// without a timeout, a timeout event without a transition, a final state with
+// transitions, and too many states or events.
 func (d *Document) Check() finding.List {
-	var found finding.List
+	var findings finding.List
 	index := map[string]int{}
 	for i, s := range d.States {
-		if _, twice := index[s.ID]; twice {
-			found.Add(d.File, s.Line, s.ID, "state is defined twice")
+		if _, duplicate := index[s.ID]; duplicate {
+			findings.Add(d.File, s.Line, s.ID, "state is defined twice")
 		}
 		index[s.ID] = i
 	}
 	if _, ok := index[d.Initial]; !ok {
-		found.Add(d.File, 1, "scxml", "initial state %q is not defined", d.Initial)
+		findings.Add(d.File, 1, "scxml", "initial state %q is not defined", d.Initial)
 	}
 	for _, s := range d.States {
-		d.checkState(s, index, &found)
+		d.checkState(s, index, &findings)
 	}
-	d.checkReachable(index, &found)
-	if n := len(d.States); n > maxNames {
-		found.Add(d.File, 1, "scxml", "%d states, at most %d are supported", n, maxNames)
+	d.checkReachable(index, &findings)
+	if n := len(d.States); n > maxStatesOrEvents {
+		findings.Add(d.File, 1, "scxml", "%d states, at most %d are supported", n, maxStatesOrEvents)
 	}
-	if n := len(d.Events()); n > maxNames {
-		found.Add(d.File, 1, "scxml", "%d events, at most %d are supported", n, maxNames)
+	if n := len(d.Events()); n > maxStatesOrEvents {
+		findings.Add(d.File, 1, "scxml", "%d events, at most %d are supported", n, maxStatesOrEvents)
 	}
-	return found
+	return findings
 }
 
-func (d *Document) checkState(s StateNode, index map[string]int, found *finding.List) {
+func (d *Document) checkState(s StateNode, index map[string]int, findings *finding.List) {
 	for _, t := range s.Transitions {
 		if _, ok := index[t.Target]; t.Target != "" && !ok {
-			found.Add(d.File, t.Line, s.ID, "target %q of event %q is not defined", t.Target, t.Event)
+			findings.Add(d.File, t.Line, s.ID, "target %q of event %q is not defined", t.Target, t.Event)
 		}
 	}
 	switch {
 	case s.Final && len(s.Transitions) > 0:
-		found.Add(d.File, s.Line, s.ID, "a final state has no transitions")
+		findings.Add(d.File, s.Line, s.ID, "a final state has no transitions")
 	case !s.Final && s.Timeout == nil && !s.Rest:
-		found.Add(d.File, s.Line, s.ID, "wait state has neither a timeout nor rest=\"true\"")
+		findings.Add(d.File, s.Line, s.ID, "wait state has neither a timeout nor rest=\"true\"")
 	case s.Timeout != nil && !s.handles(s.Timeout.Event):
-		found.Add(d.File, s.Timeout.Line, s.ID, "timeout event %q has no transition here", s.Timeout.Event)
+		findings.Add(d.File, s.Timeout.Line, s.ID, "timeout event %q has no transition in this state", s.Timeout.Event)
 	}
 }
 
@@ -62,24 +63,24 @@
 	return false
 }
 
-func (d *Document) checkReachable(index map[string]int, found *finding.List) {
+func (d *Document) checkReachable(index map[string]int, findings *finding.List) {
 	reached := map[string]bool{}
-	todo := []string{d.Initial}
-	for len(todo) > 0 {
-		id := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	pending := []string{d.Initial}
+	for len(pending) > 0 {
+		id := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		i, ok := index[id]
 		if !ok || reached[id] {
 			continue
 		}
 		reached[id] = true
 		for _, t := range d.States[i].Transitions {
-			todo = append(todo, t.Target)
+			pending = append(pending, t.Target)
 		}
 	}
 	for _, s := range d.States {
 		if !reached[s.ID] {
-			found.Add(d.File, s.Line, s.ID, "state is unreachable")
+			findings.Add(d.File, s.Line, s.ID, "state is unreachable")
 		}
 	}
 }
--- a/internal/chart/defects_test.go
+++ b/internal/chart/defects_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a defect of a chart file that is accepted silently or ends
-// the process.
+// Guards against a defect of a chart file that is accepted silently or makes
+// the parser panic.
 func TestParseReportsDefects(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"transition in a misplaced state": {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against a State or Event index that does not fit its type and stands
-// for another state or event.
+// Guards against an index that overflows State or Event and so denotes another
+// state or event.
 func TestCheckBoundsStatesAndEvents(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`<scxml xmlns:c="urn:bambooscale:chart" name="x" initial="s0">`)
@@ -46,7 +46,7 @@
 	b.WriteString(`</scxml>`)
 	doc, err := ParseBytes("c.scxml", []byte(b.String()))
 	require.NoError(t, err)
-	found := doc.Check().Err()
-	require.ErrorContains(t, found, "257 states, at most 256")
-	require.ErrorContains(t, found, "257 events, at most 256")
+	findings := doc.Check().Err()
+	require.ErrorContains(t, findings, "257 states, at most 256")
+	require.ErrorContains(t, findings, "257 events, at most 256")
 }
--- a/internal/chart/document.go
+++ b/internal/chart/document.go
@@ -1,7 +1,7 @@
 // Package chart loads, checks and interprets lifecycle state charts. A chart
 // is a file in a subset of W3C SCXML (https://www.w3.org/TR/scxml/). The
-// package knows no lifecycle; the owners of the lifecycles bind the names of
-// guards, actions and delays to functions and durations of theirs.
+// package knows no particular lifecycle: the packages that own one bind the
+// names of guards, actions and delays to their functions and durations.
 package chart
 
 import (
@@ -18,11 +18,11 @@
 // Namespace is the XML namespace of the attributes that extend SCXML.
 const Namespace = "urn:bambooscale:chart"
 
-// Document is a parsed chart whose names are not bound.
+// Document is a parsed chart whose names are not bound yet.
 type Document struct {
-	File    string
+	File    string // used in findings
 	Name    string
-	Initial string
+	Initial string // name of the initial state
 	States  []StateNode
 }
 
@@ -31,12 +31,12 @@
 	ID          string
 	Line        int
 	Final       bool
-	Rest        bool // may wait forever
+	Rest        bool // needs no timeout
 	Timeout     *TimeoutNode
 	Transitions []TransitionNode
 }
 
-// TimeoutNode is the delayed event that a state sends on entry.
+// TimeoutNode is the delayed event that a state sends to itself on entry.
 type TimeoutNode struct {
 	Line  int
 	Event string
@@ -47,14 +47,14 @@
 type TransitionNode struct {
 	Line    int
 	Event   string
-	Cond    string // guard name, without the negation mark
+	Cond    string // guard name without a leading "!"; empty: unconditional
 	Negated bool
 	Target  string // empty: stay in the state
 	Actions []string
 }
 
 // Parse reads the chart name+".scxml" from fsys. The error is a finding.List
-// with every syntax finding when the file can be read.
+// with every syntax error, unless the file cannot be read.
 func Parse(fsys fs.FS, name string) (*Document, error) {
 	file := name + ".scxml"
 	raw, err := fs.ReadFile(fsys, file)
@@ -67,45 +67,45 @@
 // ParseBytes parses a chart held in memory; file is used in findings.
 func ParseBytes(file string, raw []byte) (*Document, error) {
 	p := &parser{dec: xml.NewDecoder(bytes.NewReader(raw)), doc: &Document{File: file}}
-	p.run()
-	if err := p.found.Err(); err != nil {
+	p.parse()
+	if err := p.findings.Err(); err != nil {
 		return nil, err
 	}
 	return p.doc, nil
 }
 
-// parser holds the position in the element tree: scxml > state > transition
-// or onentry > script or send.
+// parser builds a Document from the elements scxml > state > transition >
+// script and scxml > state > onentry > send.
 type parser struct {
-	dec   *xml.Decoder
-	doc   *Document
-	found finding.List
-	root  bool // the root element was met
-	path  []string
-	text  strings.Builder
+	dec          *xml.Decoder
+	doc          *Document
+	findings     finding.List
+	sawRoot      bool // the root element has been parsed
+	openElements []string
+	text         strings.Builder
 }
 
-func (p *parser) run() {
+func (p *parser) parse() {
 	for {
 		tok, err := p.dec.Token()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			p.add("", "not well-formed XML: %v", err)
+			p.report("", "not well-formed XML: %v", err)
 			return
 		}
 		switch t := tok.(type) {
 		case xml.StartElement:
-			p.start(t)
+			p.startElement(t)
 		case xml.EndElement:
-			p.end(t)
+			p.endElement(t)
 		case xml.CharData:
 			p.text.Write(t)
 		}
 	}
 	if p.doc.Name == "" {
-		p.add("scxml", "the root element <scxml> needs a name")
+		p.report("scxml", "the root element <scxml> needs a name")
 	}
 }
 
@@ -114,42 +114,42 @@
 	return line
 }
 
-func (p *parser) add(where, format string, args ...any) {
-	p.found.Add(p.doc.File, p.line(), where, format, args...)
+func (p *parser) report(where, format string, args ...any) {
+	p.findings.Add(p.doc.File, p.line(), where, format, args...)
 }
 
-// parents maps an element to the element that must contain it.
-var parents = map[string]string{
+// requiredParent maps an element to the element that must contain it.
+var requiredParent = map[string]string{
 	"scxml": "", "state": "scxml", "final": "scxml", "transition": "state",
 	"onentry": "state", "script": "transition", "send": "onentry",
 }
 
-func (p *parser) start(e xml.StartElement) {
+func (p *parser) startElement(e xml.StartElement) {
 	name := e.Name.Local
 	parent := ""
-	if n := len(p.path); n > 0 {
-		parent = p.path[n-1]
+	if n := len(p.openElements); n > 0 {
+		parent = p.openElements[n-1]
 	}
-	p.path = append(p.path, name)
+	p.openElements = append(p.openElements, name)
 	p.text.Reset()
-	want, known := parents[name]
+	want, known := requiredParent[name]
 	if !known {
-		p.add(name, "element <%s> is not in the supported subset", name)
+		p.report(name, "element <%s> is not in the supported subset", name)
 		return
 	}
 	if want != parent {
-		p.add(name, "element <%s> must be inside <%s>, not <%s>", name, want, parent)
+		p.report(name, "element <%s> must be inside <%s>, not <%s>", name, want, parent)
 		return
 	}
 	attrs := p.attributes(e, name)
 	if (name == "transition" || name == "send") && len(p.doc.States) == 0 {
-		return // inside a misplaced state, which is a finding already
+		return // inside a misplaced state, which has been reported
 	}
-	p.open(name, attrs)
+	p.addElement(name, attrs)
 }
 
-// allowed lists the attributes of each element.
-var allowed = map[string]string{
+// allowedAttributes lists the supported attributes of each element.
+var allowedAttributes = map[string]string{
 	"scxml": "name initial version", "state": "id rest", "final": "id",
 	"transition": "event cond target", "send": "event delayexpr",
 }
@@ -160,12 +160,12 @@
 		if a.Name.Space == "xmlns" || a.Name.Local == "xmlns" {
 			continue
 		}
-		if !contains(strings.Fields(allowed[name]), a.Name.Local) {
-			p.add(name, "attribute %q is not in the supported subset", a.Name.Local)
+		if !contains(strings.Fields(allowedAttributes[name]), a.Name.Local) {
+			p.report(name, "attribute %q is not in the supported subset", a.Name.Local)
 			continue
 		}
 		if a.Name.Local == "rest" && a.Name.Space != Namespace {
-			p.add(name, "attribute rest must be in the namespace %s", Namespace)
+			p.report(name, "attribute rest must be in the namespace %s", Namespace)
 		}
 		attrs[a.Name.Local] = a.Value
 	}
@@ -181,38 +181,38 @@
 	return false
 }
 
-func (p *parser) open(name string, attrs map[string]string) {
+func (p *parser) addElement(name string, attrs map[string]string) {
 	switch name {
 	case "scxml":
-		if p.root {
-			p.add(name, "a file holds one chart")
+		if p.sawRoot {
+			p.report(name, "a file holds one chart")
 		}
-		p.root = true
+		p.sawRoot = true
 		p.doc.Name, p.doc.Initial = attrs["name"], attrs["initial"]
 	case "state", "final":
 		if attrs["id"] == "" {
-			p.add(name, "element <%s> needs an id", name)
+			p.report(name, "element <%s> needs an id", name)
 		}
 		p.doc.States = append(p.doc.States, StateNode{
 			ID: attrs["id"], Line: p.line(), Final: name == "final", Rest: attrs["rest"] == "true",
 		})
 	case "transition":
-		p.openTransition(attrs)
+		p.addTransition(attrs)
 	case "send":
-		p.openSend(attrs)
+		p.addTimeout(attrs)
 	}
 }
 
-func (p *parser) current() *StateNode { return &p.doc.States[len(p.doc.States)-1] }
+func (p *parser) currentState() *StateNode { return &p.doc.States[len(p.doc.States)-1] }
 
-func (p *parser) openTransition(attrs map[string]string) {
+func (p *parser) addTransition(attrs map[string]string) {
 	if attrs["event"] == "" {
-		p.add("transition", "a transition needs an event")
+		p.report("transition", "a transition needs an event")
 	}
-	s := p.current()
+	s := p.currentState()
 	cond := strings.TrimSpace(attrs["cond"])
 	if cond == "!" {
-		p.add("transition", "cond %q names no guard", cond)
+		p.report("transition", "cond %q names no guard", cond)
 	}
 	s.Transitions = append(s.Transitions, TransitionNode{
 		Line: p.line(), Event: attrs["event"], Target: attrs["target"],
@@ -220,24 +220,24 @@
 	})
 }
 
-func (p *parser) openSend(attrs map[string]string) {
-	s := p.current()
+func (p *parser) addTimeout(attrs map[string]string) {
+	s := p.currentState()
 	switch {
 	case attrs["event"] == "" || attrs["delayexpr"] == "":
-		p.add("send", "a send needs an event and a delayexpr")
+		p.report("send", "a send needs an event and a delayexpr")
 	case s.Timeout != nil:
-		p.add("send", "state %q has a second timeout", s.ID)
+		p.report("send", "state %q has a second timeout", s.ID)
 	default:
 		s.Timeout = &TimeoutNode{Line: p.line(), Event: attrs["event"], Delay: attrs["delayexpr"]}
 	}
 }
 
-func (p *parser) end(e xml.EndElement) {
-	p.path = p.path[:len(p.path)-1]
+func (p *parser) endElement(e xml.EndElement) {
+	p.openElements = p.openElements[:len(p.openElements)-1]
 	if e.Name.Local != "script" || len(p.doc.States) == 0 {
 		return
 	}
-	s := p.current()
+	s := p.currentState()
 	if len(s.Transitions) == 0 {
 		return
 	}
--- a/internal/chart/fuzz_test.go
+++ b/internal/chart/fuzz_test.go
@@ -21,18 +21,18 @@
 			return
 		}
 		_ = doc.Mermaid()
-		found := doc.Check()
+		findings := doc.Check()
 		m, err := Compile(fstest.MapFS{"c.scxml": {Data: raw}}, bindAll(doc))
-		if len(found) > 0 {
+		if len(findings) > 0 {
 			require.Error(t, err)
 			return
 		}
 		require.NoError(t, err)
 		for s := range len(doc.States) {
 			for e := range len(doc.Events()) {
-				at, steps := State(s), 0
-				require.Equal(t, m.Can(&steps, at, Event(e)), m.Step(&steps, &at, Event(e)))
-				require.Less(t, int(at), len(doc.States))
+				state, steps := State(s), 0
+				require.Equal(t, m.Can(&steps, state, Event(e)), m.Step(&steps, &state, Event(e)))
+				require.Less(t, int(state), len(doc.States))
 			}
 			if _, e, ok := m.Timeout(State(s)); ok {
 				require.Less(t, int(e), len(doc.Events()))
@@ -41,7 +41,7 @@
 	})
 }
 
-// bindAll binds every name of a chart. The subject counts the actions.
+// bindAll binds every name of a chart. The actions increment the instance, an int.
 func bindAll(doc *Document) Binding[int] {
 	b := Binding[int]{
 		Chart: "c", Events: doc.Events(), Guards: map[string]func(*int) bool{},
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects defects of an input together with the place of
-// each, so that a file or request is reported on once, with every defect.
+// Package finding collects the defects of an input with their positions, so
+// that one error reports every defect of a file or request.
 package finding
 
 import (
@@ -9,7 +9,7 @@
 
 // Finding is one defect of an input.
 type Finding struct {
-	Source  string `json:"source"`          // file name, or the name of the request field's document
+	Source  string `json:"source"`          // file name, or the part of a request
 	Line    int    `json:"line,omitempty"`  // 1-based; 0 when the source has no lines
 	Element string `json:"where,omitempty"` // section and key, element or field
 	Text    string `json:"text"`            // what is wrong and what to do
@@ -47,7 +47,7 @@
 	return l
 }
 
-// Error returns one finding a line.
+// Error returns the findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
