--- a/internal/labels/labels_test.go
+++ b/internal/labels/labels_test.go
@@ -9,7 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Guards against a selector that matches other work than its text says.
+// Guards against a selector that matches labels that its text excludes, or the
+// reverse.
 func TestMatches(t *testing.T) {
 	l := model.Labels{"class": "priming", "team": "wick", "empty": ""}
 	for text, want := range map[string]bool{
@@ -26,7 +27,7 @@
 	}
 }
 
-// Guards against a wrong or missing position in the message to an operator.
+// Guards against a wrong or missing position in a syntax error.
 func TestParseErrorsHaveThePosition(t *testing.T) {
 	for text, column := range map[string]int{
 		"class=a,": 9, "class ~ a": 7, "=a": 1, "class in a": 10, "class in (a": 12,
@@ -39,8 +40,8 @@
 	}
 }
 
-// Guards against a formatted selector that reads back as another one.
-func TestStringReadsBack(t *testing.T) {
+// Guards against a formatted selector that parses to a different one.
+func TestStringRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z0-9]([a-z0-9_.-]{0,5}[a-z0-9])?`)
 		var s Selector
@@ -51,20 +52,20 @@
 			}
 			s.requirements = append(s.requirements, r)
 		}
-		back, err := Parse(s.String())
+		parsed, err := Parse(s.String())
 		require.NoError(t, err)
-		require.Equal(t, s, back)
+		require.Equal(t, s, parsed)
 	})
 }
 
-// Guards against a panic on an operator's input.
+// Guards against a panic on malformed input from an operator.
 func TestParseAcceptsAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = Parse(rapid.StringMatching(`[a!=(), /.in-]{0,20}`).Draw(t, "text"))
 	})
 }
 
-// Guards against an allocation for each label comparison of a placement.
+// Guards against an allocation for each comparison of labels during placement.
 func TestMatchesDoesNotAllocate(t *testing.T) {
 	s, err := Parse("class in (a,priming),team!=x,!zone")
 	require.NoError(t, err)
@@ -72,8 +73,8 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { s.Matches(l) }))
 }
 
-// Guards against an edit that is accepted although it can have no effect or
-// would select everything.
+// Guards against accepting an edit with invalid labels, or with a selector that
+// has no effect or selects everything.
 func TestValidate(t *testing.T) {
 	require.NoError(t, Validate(model.Labels{"a": "", "example.org/b": "c-d"}).Err())
 	require.Len(t, Validate(model.Labels{"": "x", "a b": "x", "c": "-"}), 3)
--- a/internal/labels/parse.go
+++ b/internal/labels/parse.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// SyntaxError is a defect of a selector's text.
+// SyntaxError is a syntax error in a selector.
 type SyntaxError struct {
 	Input  string
 	Column int // 1-based, in bytes
 	Text   string
 }
 
-// Error states the position and what was expected there.
+// Error returns the input, the position and what was expected there.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("selector %q, column %d: %s", e.Input, e.Column, e.Text)
 }
 
 // Parse reads a selector: requirements separated by commas, each one of
 // key=value, key==value, key!=value, key in (a,b), key notin (a,b), key and
-// !key. Blanks between the parts are ignored. The error is a *SyntaxError.
+// !key. Spaces and tabs between the parts are ignored. The error is a *SyntaxError.
 // The empty string is the selector that matches everything.
 func Parse(text string) (Selector, error) {
 	p := &parser{text: text}
 	var s Selector
-	p.blanks()
-	if p.end() {
+	p.skipBlanks()
+	if p.atEnd() {
 		return s, nil
 	}
 	for {
@@ -34,101 +34,102 @@
 			return Selector{}, err
 		}
 		s.requirements = append(s.requirements, r)
-		p.blanks()
-		if p.end() {
+		p.skipBlanks()
+		if p.atEnd() {
 			return s, nil
 		}
-		if !p.take(",") {
-			return Selector{}, p.fail(p.at, "expected a comma or the end, found %q", p.rest())
+		if !p.accept(",") {
+			return Selector{}, p.errorAt(p.pos, "expected a comma or the end, found %q", p.excerpt())
 		}
 	}
 }
 
 type parser struct {
 	text string
-	at   int
+	pos  int
 }
 
-func (p *parser) end() bool { return p.at >= len(p.text) }
+func (p *parser) atEnd() bool { return p.pos >= len(p.text) }
 
-// rest is the start of the unread text, for messages.
-func (p *parser) rest() string { return p.text[p.at:min(len(p.text), p.at+16)] }
+// excerpt returns the start of the unread text, for error messages.
+func (p *parser) excerpt() string { return p.text[p.pos:min(len(p.text), p.pos+16)] }
 
-func (p *parser) fail(at int, format string, args ...any) error {
-	return &SyntaxError{Input: p.text, Column: at + 1, Text: fmt.Sprintf(format, args...)}
+func (p *parser) errorAt(pos int, format string, args ...any) error {
+	return &SyntaxError{Input: p.text, Column: pos + 1, Text: fmt.Sprintf(format, args...)}
 }
 
-func (p *parser) blanks() {
-	for !p.end() && (p.text[p.at] == ' ' || p.text[p.at] == '\t') {
-		p.at++
+func (p *parser) skipBlanks() {
+	for !p.atEnd() && (p.text[p.pos] == ' ' || p.text[p.pos] == '\t') {
+		p.pos++
 	}
 }
 
-func (p *parser) take(token string) bool {
-	p.blanks()
-	if !strings.HasPrefix(p.text[p.at:], token) {
+func (p *parser) accept(token string) bool {
+	p.skipBlanks()
+	if !strings.HasPrefix(p.text[p.pos:], token) {
 		return false
 	}
-	p.at += len(token)
+	p.pos += len(token)
 	return true
 }
 
 // word reads a run of the characters that keys and values consist of.
 func (p *parser) word() (string, int) {
-	p.blanks()
-	start := p.at
-	for !p.end() && wordByte(p.text[p.at]) {
-		p.at++
+	p.skipBlanks()
+	start := p.pos
+	for !p.atEnd() && isWordByte(p.text[p.pos]) {
+		p.pos++
 	}
-	return p.text[start:p.at], start
+	return p.text[start:p.pos], start
 }
 
 func (p *parser) key() (string, error) {
-	key, at := p.word()
+	key, start := p.word()
 	if key == "" {
-		return "", p.fail(at, "expected a label key")
+		return "", p.errorAt(start, "expected a label key")
 	}
 	if defect := keyDefect(key); defect != "" {
-		return "", p.fail(at, "key %q %s", key, defect)
+		return "", p.errorAt(start, "key %q %s", key, defect)
 	}
 	return key, nil
 }
 
 func (p *parser) value() (string, error) {
-	value, at := p.word()
+	value, start := p.word()
 	if defect := valueDefect(value); defect != "" {
-		return "", p.fail(at, "value %q %s", value, defect)
+		return "", p.errorAt(start, "value %q %s", value, defect)
 	}
 	return value, nil
 }
 
 func (p *parser) requirement() (Requirement, error) {
-	absent := p.take("!")
+	negated := p.accept("!")
 	key, err := p.key()
 	if err != nil {
 		return Requirement{}, err
 	}
 	r := Requirement{Key: key, Operator: Exists}
-	if absent {
+	if negated {
 		r.Operator = Absent
 		return r, nil
 	}
 	switch {
-	case p.take("!="):
+	case p.accept("!="):
 		r.Operator = NotIn
-	case p.take("=="), p.take("="):
+	case p.accept("=="), p.accept("="):
 		r.Operator = In
 	default:
-		return r, p.set(&r)
+		return r, p.parseSet(&r)
 	}
 	value, err := p.value()
 	r.Values = []string{value}
 	return r, err
 }
 
-// set reads "in (a,b)" or "notin (a,b)", if either follows.
-func (p *parser) set(r *Requirement) error {
-	word, at := p.word()
+// parseSet reads "in (a,b)" or "notin (a,b)" if either follows. If neither
+// does, r stays as it is.
+func (p *parser) parseSet(r *Requirement) error {
+	word, start := p.word()
 	switch word {
 	case "":
 		return nil
@@ -137,21 +138,21 @@
 	case "notin":
 		r.Operator = NotIn
 	default:
-		return p.fail(at, "expected =, !=, in, notin or a comma, found %q", word)
+		return p.errorAt(start, "expected =, !=, in, notin or a comma, found %q", word)
 	}
-	if !p.take("(") {
-		return p.fail(p.at, "expected ( after %q", word)
+	if !p.accept("(") {
+		return p.errorAt(p.pos, "expected ( after %q", word)
 	}
 	for {
 		value, err := p.value()
 		if err != nil {
 			return err
 		}
-		if r.Values = append(r.Values, value); p.take(")") {
+		if r.Values = append(r.Values, value); p.accept(")") {
 			return nil
 		}
-		if !p.take(",") {
-			return p.fail(p.at, "expected a comma or ) in the list of values")
+		if !p.accept(",") {
+			return p.errorAt(p.pos, "expected a comma or ) in the list of values")
 		}
 	}
 }
--- a/internal/labels/selector.go
+++ b/internal/labels/selector.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Operator is how a requirement compares a label.
+// Operator is the comparison that a requirement makes.
 type Operator uint8
 
 // Operators. NotIn, as in other label-selector implementations, also holds
@@ -48,8 +48,8 @@
 // Empty reports whether the selector has no requirement.
 func (s Selector) Empty() bool { return len(s.requirements) == 0 }
 
-// Positive reports whether the selector requires some label to be present. A
-// selector that is not positive also matches things without any label.
+// RequiresLabel reports whether the selector requires some label to be
+// present. Otherwise it also matches an object without labels.
 func (s Selector) RequiresLabel() bool {
 	for _, r := range s.requirements {
 		if r.Operator == In || r.Operator == Exists {
--- a/internal/labels/validate.go
+++ b/internal/labels/validate.go
@@ -9,18 +9,19 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Bounds of labels in bytes, the customary ones of label syntax.
+// Limits of labels; those of names and prefixes are the usual ones of label
+// syntax.
 const (
 	maxNameBytes   = 63
 	maxPrefixBytes = 253
-	maxLabels      = 64 // keeps the labels of a thing within one small row
+	maxLabels      = 64 // keeps the labels of an object within one small row
 )
 
 // Validate reports each defect of a set of labels, in the order of the keys.
 func Validate(l model.Labels) finding.List {
-	var found finding.List
+	var findings finding.List
 	if len(l) > maxLabels {
-		found.Add("labels", 0, "", "%d labels are more than the limit of %d", len(l), maxLabels)
+		findings.Add("labels", 0, "", "%d labels are more than the limit of %d", len(l), maxLabels)
 	}
 	keys := make([]string, 0, len(l))
 	for k := range l {
@@ -29,57 +30,57 @@
 	sort.Strings(keys)
 	for _, k := range keys {
 		if defect := keyDefect(k); defect != "" {
-			found.Add("labels", 0, k, "key %q %s", k, defect)
+			findings.Add("labels", 0, k, "key %q %s", k, defect)
 		}
 		if defect := valueDefect(l[k]); defect != "" {
-			found.Add("labels", 0, k, "value %q %s", l[k], defect)
+			findings.Add("labels", 0, k, "value %q %s", l[k], defect)
 		}
 	}
-	return found
+	return findings
 }
 
 // ValidateSelector reports each defect of a selector object.
 func ValidateSelector(s model.Selector) finding.List {
-	var found finding.List
+	var findings finding.List
 	switch s.Kind {
 	case model.MayShare, model.MustStayApart:
-		validateExpression(&found, "subject", s.Subject)
-		validateExpression(&found, "object", s.Object)
+		validateExpression(&findings, "subject", s.Subject)
+		validateExpression(&findings, "object", s.Object)
 	case model.YieldsFirst:
-		validateExpression(&found, "subject", s.Subject)
+		validateExpression(&findings, "subject", s.Subject)
 		if s.Object != "" {
-			found.Add("selector", 0, "object", "%s takes no object; remove it", s.Kind)
+			findings.Add("selector", 0, "object", "%s takes no object; remove it", s.Kind)
 		}
 	default:
-		found.Add("selector", 0, "kind", "kind %q is not one of %s, %s and %s",
+		findings.Add("selector", 0, "kind", "kind %q is not one of %s, %s and %s",
 			s.Kind, model.MayShare, model.MustStayApart, model.YieldsFirst)
 	}
-	return found
+	return findings
 }
 
-func validateExpression(found *finding.List, field, text string) {
+func validateExpression(findings *finding.List, field, text string) {
 	s, err := Parse(text)
 	switch {
 	case err != nil:
-		found.Add("selector", 0, field, "%v", err)
+		findings.Add("selector", 0, field, "%v", err)
 	case s.Empty():
-		found.Add("selector", 0, field, "is empty and would select everything; name at least one label")
+		findings.Add("selector", 0, field, "is empty and would select everything; name at least one label")
 	}
 }
 
-func alphanumeric(b byte) bool {
+func isAlphanumeric(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9'
 }
 
-func wordByte(b byte) bool {
-	return alphanumeric(b) || b == '-' || b == '_' || b == '.' || b == '/'
+func isWordByte(b byte) bool {
+	return isAlphanumeric(b) || b == '-' || b == '_' || b == '.' || b == '/'
 }
 
-// keyDefect says what is wrong with a key: an optional prefix and a slash,
-// then a name.
+// keyDefect describes what is wrong with a key, which consists of an optional
+// prefix with a slash and a name. It returns "" for a valid key.
 func keyDefect(key string) string {
-	prefix, name, cut := strings.Cut(key, "/")
-	if !cut {
+	prefix, name, hasPrefix := strings.Cut(key, "/")
+	if !hasPrefix {
 		prefix, name = "", key
 	} else if prefix == "" || len(prefix) > maxPrefixBytes || nameDefect(prefix, maxPrefixBytes) != "" {
 		return "has an invalid prefix before the slash"
@@ -101,11 +102,11 @@
 	if len(name) > limit {
 		return fmt.Sprintf("is longer than %d bytes", limit)
 	}
-	if !alphanumeric(name[0]) || !alphanumeric(name[len(name)-1]) {
+	if !isAlphanumeric(name[0]) || !isAlphanumeric(name[len(name)-1]) {
 		return "must begin and end with a letter or digit"
 	}
 	for i := 0; i < len(name); i++ {
-		if !wordByte(name[i]) || name[i] == '/' {
+		if !isWordByte(name[i]) || name[i] == '/' {
 			return fmt.Sprintf("contains %q; use letters, digits, '-', '_' and '.'", name[i])
 		}
 	}
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log entries without blocking those who log: entries
-// wait in a bounded queue, further ones are dropped and counted.
+// Package logsink writes log entries without blocking the callers: entries are
+// queued, and those that exceed the queue or the rate are dropped and counted.
 package logsink
 
 import (
@@ -15,60 +15,62 @@
 )
 
 const (
-	queued = 2048 // entries
-	// maxPerSecond bounds the volume under load. Entries of the level warn and
-	// above may exceed it up to the queue's size.
+	queueCapacity = 2048 // entries
+	// maxPerSecond bounds the entries written per second. Entries of the level
+	// warn and above are written beyond it.
 	maxPerSecond = 1000
-	// flushDelay lets entries of one moment share a write.
+	// flushDelay lets entries that arrive together share a write.
 	flushDelay = 20 * time.Millisecond
 )
 
-// Sink is a log.Handler. Any goroutine may use it.
-type Sink struct{ to actor.Address[*log.Entry] }
+// Sink is a log.Handler that passes entries to an actor. Any goroutine may use
+// it.
+type Sink struct{ addr actor.Address[*log.Entry] }
 
-// Start starts a sink that formats entries with a handler made for its writer.
+// Start starts the actor of a sink in g. The entries are formatted by the
+// handler that handler returns for a buffered writer to w.
 func Start(g *actor.Group, w io.Writer, handler func(io.Writer) log.Handler) *Sink {
-	s := &sink{out: bufio.NewWriter(w)}
+	s := &logWriter{out: bufio.NewWriter(w)}
 	s.handler = handler(s.out)
-	full := make(chan struct{}, queued)
-	s.full = full
-	return &Sink{actor.Spawn(g, actor.Spec[*log.Entry]{Name: "log sink", Mailbox: queued, Run: s.run, Overflow: full})}
+	overflow := make(chan struct{}, queueCapacity)
+	s.overflow = overflow
+	return &Sink{actor.Spawn(g, actor.Spec[*log.Entry]{Name: "log sink", Mailbox: queueCapacity, Run: s.run, Overflow: overflow})}
 }
 
 // HandleLog implements log.Handler.
 func (s *Sink) HandleLog(e *log.Entry) error {
-	s.to.TrySend(e) // a full queue is counted by the actor
+	s.addr.TrySend(e) // the actor counts dropped entries
 	return nil
 }
 
-// sink is the state of the writing actor.
-type sink struct {
-	out     *bufio.Writer
-	handler log.Handler
-	full    <-chan struct{}
-	second  int64
-	written int // in this second
-	dropped int
+// logWriter is the state of the actor that writes the entries.
+type logWriter struct {
+	out             *bufio.Writer
+	handler         log.Handler
+	overflow        <-chan struct{}
+	currentSecond   int64 // Unix time of the newest entry
+	writtenInSecond int
+	dropped         int
 }
 
-func (s *sink) run(ctx context.Context, in <-chan *log.Entry) error {
+func (s *logWriter) run(ctx context.Context, in <-chan *log.Entry) error {
 	flush := time.NewTimer(time.Hour)
 	defer flush.Stop()
-	waiting := false
+	flushScheduled := false
 	for {
 		select {
 		case e := <-in:
 			if err := s.write(e); err != nil {
 				return err
 			}
-			if !waiting {
-				waiting = true
+			if !flushScheduled {
+				flushScheduled = true
 				flush.Reset(flushDelay)
 			}
-		case <-s.full:
+		case <-s.overflow:
 			s.dropped++
 		case <-flush.C:
-			waiting = false
+			flushScheduled = false
 			if err := s.flush(); err != nil {
 				return err
 			}
@@ -78,8 +80,8 @@
 	}
 }
 
-// drain writes what was logged before the end.
-func (s *sink) drain(in <-chan *log.Entry) error {
+// drain writes the queued entries before the actor ends.
+func (s *logWriter) drain(in <-chan *log.Entry) error {
 	for {
 		select {
 		case e := <-in:
@@ -92,19 +94,19 @@
 	}
 }
 
-func (s *sink) write(e *log.Entry) error {
-	if now := e.Timestamp.Unix(); now != s.second {
-		s.second, s.written = now, 0
+func (s *logWriter) write(e *log.Entry) error {
+	if now := e.Timestamp.Unix(); now != s.currentSecond {
+		s.currentSecond, s.writtenInSecond = now, 0
 	}
-	if s.written >= maxPerSecond && e.Level < log.WarnLevel {
+	if s.writtenInSecond >= maxPerSecond && e.Level < log.WarnLevel {
 		s.dropped++
 		return nil
 	}
-	s.written++
+	s.writtenInSecond++
 	return s.handler.HandleLog(e)
 }
 
-func (s *sink) flush() error {
+func (s *logWriter) flush() error {
 	if s.dropped > 0 {
 		e := log.NewEntry(log.Log.(*log.Logger)).WithFields(log.Fields{"event": event.LogDropped.ID, "dropped": s.dropped})
 		e.Timestamp, e.Level, e.Message = time.Now(), log.WarnLevel, event.LogDropped.Text
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -15,34 +15,33 @@
 	"github.com/bambooscale/bambooscale/internal/event"
 )
 
-// stuck is an output that takes nothing.
-type stuck struct{ release chan struct{} }
+// blockedOutput is a writer that blocks until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func format(w io.Writer) log.Handler { return logfmt.New(w) }
+func newHandler(w io.Writer) log.Handler { return logfmt.New(w) }
 
-// Guards against a process that waits for its log output, and against lines
-// that vanish without a trace.
-func TestStuckOutputBlocksNobodyAndIsCounted(t *testing.T) {
+// Guards against a process that blocks when its log output blocks.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	g := actor.NewGroup(context.Background(), nil)
-	out := stuck{make(chan struct{})}
-	l := &log.Logger{Handler: Start(g, out, format), Level: log.InfoLevel}
-	for range 3 * queued {
+	out := blockedOutput{make(chan struct{})}
+	l := &log.Logger{Handler: Start(g, out, newHandler), Level: log.InfoLevel}
+	for range 3 * queueCapacity {
 		l.WithField("padding", strings.Repeat("x", 100)).Error("line")
 	}
 	close(out.release)
 	g.Stop()
 }
 
-// Guards against a volume without bound: above the rate lines are dropped, and
-// one line says how many. Warnings are kept.
+// Guards against an unbounded log volume, against warnings dropped because of
+// the rate, and against dropped lines that are not counted.
 func TestVolumeIsBounded(t *testing.T) {
 	var out bytes.Buffer
-	s := &sink{handler: format(&out)}
+	s := &logWriter{handler: newHandler(&out)}
 	l := &log.Logger{Level: log.InfoLevel}
 	entry := func(level log.Level) *log.Entry {
 		e := log.NewEntry(l)
