--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics gives the parts of a daemon tally scopes, and serves what
-// they measure in the Prometheus text format. One actor owns the series; it
+// Package metrics provides tally scopes to the parts of a daemon, and serves
+// their metrics in the Prometheus text format. One actor owns the series; it
 // receives the changes that tally reports once a second.
 package metrics
 
@@ -15,15 +15,16 @@
 )
 
 const (
-	prefix         = "bambooscale"
-	separator      = "_"
-	reportInterval = time.Second
-	mailbox        = 1024
-	// maxSeries bounds the memory: a histogram measured 470 bytes, so 8 MB.
+	prefix          = "bambooscale"
+	separator       = "_"
+	reportInterval  = time.Second
+	mailboxCapacity = 1024
+	// maxSeries bounds the memory to 8 MB: a histogram takes 470 bytes.
 	maxSeries = 16384
 )
 
-// LatencyBuckets suit requests from below a millisecond to a minute.
+// LatencyBuckets are the histogram buckets for requests that take from less
+// than a millisecond to a minute.
 var LatencyBuckets = tally.DurationBuckets{
 	500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
@@ -37,13 +38,13 @@
 	addr actor.Address[message]
 }
 
-// Start starts the metrics of a daemon. They end with the group.
+// Start returns the registry of a daemon. Its actors run in g.
 func Start(g *actor.Group) *Registry {
-	r := &registry{families: map[string]*family{}}
-	addr := actor.Spawn(g, actor.Spec[message]{Name: "metrics", Mailbox: mailbox, Restart: actor.OnFailure, Run: r.run})
+	r := &seriesStore{families: map[string]*family{}}
+	addr := actor.Spawn(g, actor.Spec[message]{Name: "metrics", Mailbox: mailboxCapacity, Restart: actor.OnFailure, Run: r.run})
 	root, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: prefix, Separator: separator, OmitCardinalityMetrics: true,
-		Reporter: reporter{ctx: g.Context(), to: addr},
+		Reporter: reporter{ctx: g.Context(), addr: addr},
 	}, reportInterval)
 	actor.Go(g, "metrics-closer", func(ctx context.Context) error {
 		<-ctx.Done()
@@ -52,14 +53,15 @@
 	return &Registry{root: root, addr: addr}
 }
 
-// Scope returns a scope whose metrics are named bambooscale_<name>_...
-// Durations in names have the unit seconds.
+// Scope returns a scope whose metrics are named bambooscale_<name>_<metric>.
+// Metrics of durations are in seconds.
 func (r *Registry) Scope(name string) tally.Scope { return r.root.SubScope(name) }
 
-// Handler serves the metrics. They are at most a second old.
+// Handler returns a handler that serves the metrics, which are at most a
+// second old.
 func (r *Registry) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		text, err := actor.Ask(req.Context(), r.addr, func(rep actor.Reply[[]byte]) message { return &render{rep} })
+		text, err := actor.Ask(req.Context(), r.addr, func(rep actor.Reply[[]byte]) message { return &renderRequest{rep} })
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -69,38 +71,38 @@
 	})
 }
 
-// message is what the owner of the series receives.
-type message interface{ handle(r *registry) }
+// message is a message to the actor that owns the series.
+type message interface{ handle(r *seriesStore) }
 
 type (
-	counted struct {
+	counterReport struct {
 		name  string
 		tags  map[string]string
 		delta int64
 	}
-	gauged struct {
+	gaugeReport struct {
 		name  string
 		tags  map[string]string
 		value float64
 	}
-	sampled struct {
+	histogramReport struct {
 		name    string
 		tags    map[string]string
 		buckets []float64 // upper bounds, the last is +Inf
 		upper   float64
 		samples int64
 	}
-	render struct{ answer actor.Reply[[]byte] }
+	renderRequest struct{ answer actor.Reply[[]byte] }
 )
 
-// registry is the state of the actor that owns the series.
-type registry struct {
+// seriesStore is the state of the actor that owns the series.
+type seriesStore struct {
 	families map[string]*family
 	series   int
-	dropped  int64 // reports for series beyond maxSeries
+	dropped  int64 // reports for series beyond maxSeries, or of a name with another type
 }
 
-func (r *registry) run(ctx context.Context, in <-chan message) error {
+func (r *seriesStore) run(ctx context.Context, in <-chan message) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,15 +113,16 @@
 	}
 }
 
-// reporter passes on what tally reports. Its methods are called by tally's
-// own goroutine, which may wait for room in the mailbox.
+// reporter sends the reports of tally to the actor that owns the series. Its
+// methods are called by tally's own goroutine, which may wait while the
+// mailbox is full.
 type reporter struct {
-	ctx context.Context
-	to  actor.Address[message]
+	ctx  context.Context
+	addr actor.Address[message]
 }
 
-// A message that cannot be sent means that the daemon ends.
-func (p reporter) send(m message) { _ = p.to.Send(p.ctx, m) }
+// send drops m when the daemon is stopping, the only case in which Send fails.
+func (p reporter) send(m message) { _ = p.addr.Send(p.ctx, m) }
 
 func (p reporter) Capabilities() tally.Capabilities { return p }
 func (p reporter) Reporting() bool                  { return true }
@@ -127,15 +130,15 @@
 func (p reporter) Flush()                           {}
 
 func (p reporter) ReportCounter(name string, tags map[string]string, value int64) {
-	p.send(&counted{name, tags, value})
+	p.send(&counterReport{name, tags, value})
 }
 
 func (p reporter) ReportGauge(name string, tags map[string]string, value float64) {
-	p.send(&gauged{name, tags, value})
+	p.send(&gaugeReport{name, tags, value})
 }
 
 // ReportTimer records a timer in a histogram, because tally does not
-// aggregate timers. It is called by the goroutine that measures.
+// aggregate timers. It is called by the goroutine that records the timer.
 func (p reporter) ReportTimer(name string, tags map[string]string, interval time.Duration) {
 	for _, b := range LatencyBuckets {
 		if interval <= b {
@@ -151,7 +154,7 @@
 	if upper == math.MaxFloat64 {
 		upper = math.Inf(1)
 	}
-	p.send(&sampled{name, tags, append(bounds, math.Inf(1)), upper, samples})
+	p.send(&histogramReport{name, tags, append(bounds, math.Inf(1)), upper, samples})
 }
 
 func (p reporter) ReportHistogramDurationSamples(name string, tags map[string]string, buckets tally.Buckets, _, upper time.Duration, samples int64) {
@@ -163,5 +166,5 @@
 	if upper == math.MaxInt64 {
 		limit = math.Inf(1)
 	}
-	p.send(&sampled{name, tags, append(bounds, math.Inf(1)), limit, samples})
+	p.send(&histogramReport{name, tags, append(bounds, math.Inf(1)), limit, samples})
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -23,7 +23,7 @@
 	return w.Body.String()
 }
 
-func inRegistry(t *testing.T, run func(t *testing.T, g *actor.Group, r *Registry)) {
+func withRegistry(t *testing.T, run func(t *testing.T, g *actor.Group, r *Registry)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), func(e actor.Exit) { t.Error(e.Err) })
 		r := Start(g)
@@ -33,12 +33,12 @@
 }
 
 // Guards against buckets that are not cumulative, a missing sum or count, and
-// values that are added again at each scrape.
+// values that are counted again at each scrape.
 func TestPrometheusText(t *testing.T) {
-	inRegistry(t, func(t *testing.T, g *actor.Group, r *Registry) {
+	withRegistry(t, func(t *testing.T, g *actor.Group, r *Registry) {
 		observe := StartRequests(g, r)
-		for _, took := range []time.Duration{3 * time.Millisecond, 700 * time.Millisecond, time.Hour} {
-			observe(Observation{"wick-orders", "stock", `a"b`, "done", took})
+		for _, duration := range []time.Duration{3 * time.Millisecond, 700 * time.Millisecond, time.Hour} {
+			observe(Observation{"wick-orders", "stock", `a"b`, "done", duration})
 		}
 		r.Scope("link").Gauge("peers").Update(3)
 		r.Scope("link").Timer("round_trip_seconds").Record(time.Millisecond)
@@ -64,12 +64,12 @@
 	})
 }
 
-// Guards against a caller that exhausts the memory with tenant names.
+// Guards against a caller that exhausts the memory by sending many tenant names.
 func TestTenantsAreBounded(t *testing.T) {
-	inRegistry(t, func(t *testing.T, g *actor.Group, r *Registry) {
-		q := NewRequests(r, "s")
+	withRegistry(t, func(t *testing.T, g *actor.Group, r *Registry) {
+		requests := NewRequests(r, "s")
 		for i := range 5 * maxTenants {
-			q.Observe("c", fmt.Sprint("tenant-", i), "done", time.Millisecond)
+			requests.Observe("c", fmt.Sprint("tenant-", i), "done", time.Millisecond)
 		}
 		text := scrape(t, r)
 		require.LessOrEqual(t, strings.Count(text, "bambooscale_request_seconds_count{"), maxTenants+1)
@@ -77,8 +77,8 @@
 	})
 }
 
-// Guards against refusals counted as fast answers, tenants without bound, and
-// figures of the distant past.
+// Guards against latencies that include refused requests, an unbounded number
+// of tenants, and requests that stay in the figures after two windows.
 func TestRecentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
--- a/internal/metrics/requests.go
+++ b/internal/metrics/requests.go
@@ -9,22 +9,23 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// observations is the capacity of the mailbox between the callers'
-// connections and the actor that measures. Above it observations are dropped
-// and counted, so that measuring never delays a request.
-const observations = 4096
+// maxPendingObservations is the capacity of the mailboxes of the actors that
+// record observations. Further observations are dropped, so that recording
+// never delays a request.
+const maxPendingObservations = 4096
 
-// Observation is the end of one request.
+// Observation describes a request that has ended.
 type Observation struct {
 	Service, Class, Tenant string
 	Outcome                string // a short constant word, such as done, refused or failed
 	Duration               time.Duration
 }
 
-// StartRequests starts an actor that measures the requests of all services.
-// The function that it returns may be called by any goroutine and never waits.
+// StartRequests starts an actor that records the requests of all services. The
+// function that it returns may be called by any goroutine and never blocks;
+// observations that it drops are counted.
 func StartRequests(g *actor.Group, r *Registry) func(Observation) {
-	addr := actor.Spawn(g, actor.Spec[Observation]{Name: "request-metrics", Mailbox: observations, Restart: actor.OnFailure,
+	addr := actor.Spawn(g, actor.Spec[Observation]{Name: "request-metrics", Mailbox: maxPendingObservations, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan Observation) error {
 			services := map[string]*Requests{}
 			for {
@@ -32,12 +33,12 @@
 				case <-ctx.Done():
 					return nil
 				case o := <-in:
-					q, ok := services[o.Service]
+					requests, ok := services[o.Service]
 					if !ok {
-						q = NewRequests(r, o.Service)
-						services[o.Service] = q
+						requests = NewRequests(r, o.Service)
+						services[o.Service] = requests
 					}
-					q.Observe(o.Class, o.Tenant, o.Outcome, o.Duration)
+					requests.Observe(o.Class, o.Tenant, o.Outcome, o.Duration)
 				}
 			}
 		}})
@@ -49,15 +50,16 @@
 	}
 }
 
-// maxTenants bounds the tenants of one service that are measured apart; the
-// tenant is a caller's header, so its values are unbounded.
+// maxTenants is the number of tenants of a service that have series of their
+// own. The tenant comes from a header of the caller, so its values are
+// unbounded.
 const maxTenants = 200
 
-// otherTenants is the tenant under which the rest is measured.
-const otherTenants = "other"
+// overflowTenant is the tenant under which all further tenants are counted.
+const overflowTenant = "other"
 
-// Requests measures one service's requests by class and tenant. It belongs to
-// one actor and is not safe for concurrent use.
+// Requests records the requests of one service by class, tenant and outcome.
+// It belongs to one actor and is not safe for concurrent use.
 type Requests struct {
 	scope   tally.Scope
 	tenants map[string]bool
@@ -71,7 +73,7 @@
 	latency Latency
 }
 
-// NewRequests returns the measurements of a service.
+// NewRequests returns the Requests of a service, with their metrics in r.
 func NewRequests(r *Registry, service string) *Requests {
 	return &Requests{
 		scope:   r.Scope("request").Tagged(map[string]string{"service": service}),
@@ -81,25 +83,25 @@
 
 // Observe records the end of a request. Outcome is a short constant word,
 // such as done, refused or failed.
-func (q *Requests) Observe(class, tenant, outcome string, took time.Duration) {
-	if !q.tenants[tenant] {
-		if len(q.tenants) >= maxTenants {
-			tenant = otherTenants
+func (r *Requests) Observe(class, tenant, outcome string, duration time.Duration) {
+	if !r.tenants[tenant] {
+		if len(r.tenants) >= maxTenants {
+			tenant = overflowTenant
 		}
-		q.tenants[tenant] = true
+		r.tenants[tenant] = true
 	}
 	k := requestKey{class, tenant, outcome}
-	s, ok := q.series[k]
+	s, ok := r.series[k]
 	if !ok {
-		scope := q.scope.Tagged(map[string]string{"class": class, "tenant": tenant, "outcome": outcome})
+		scope := r.scope.Tagged(map[string]string{"class": class, "tenant": tenant, "outcome": outcome})
 		s = requestSeries{count: scope.Counter("ended"), latency: NewLatency(scope, "seconds")}
-		q.series[k] = s
+		r.series[k] = s
 	}
 	s.count.Inc(1)
-	s.latency.Record(took)
+	s.latency.Record(duration)
 }
 
-// Latency is a histogram of durations with their sum.
+// Latency is a histogram of durations and their sum.
 type Latency struct {
 	histogram tally.Histogram
 	sum       tally.Counter
--- a/internal/metrics/series.go
+++ b/internal/metrics/series.go
@@ -17,26 +17,28 @@
 	histogram kind = "histogram"
 )
 
-// sumSuffix marks the counter, in microseconds, that accompanies a duration
-// histogram: tally reports counts of buckets only, Prometheus wants the sum.
+// sumSuffix ends the name of the counter, in microseconds, that accompanies a
+// duration histogram: Prometheus expects the sum of the durations, and tally
+// reports the counts of the buckets only.
 const sumSuffix = "_sum_microseconds"
 
-// family is the series of one name.
+// family holds the series of one metric name.
 type family struct {
 	kind   kind
 	series map[string]*series // by encoded labels
 }
 
-// series is the value of one name and set of labels.
+// series holds the value for one metric name and set of labels.
 type series struct {
 	value  float64
 	bounds []float64 // upper bounds of a histogram, the last is +Inf
 	counts []int64   // per bucket, not cumulative
 }
 
-// at returns the series of a name and tags, or nil when there are too many,
-// or the name has another type.
-func (r *registry) at(name string, k kind, tags map[string]string) *series {
+// seriesFor returns the series of a name and tags, which it creates if needed.
+// It counts a dropped report and returns nil if there are too many series or
+// the name has another type.
+func (r *seriesStore) seriesFor(name string, k kind, tags map[string]string) *series {
 	f, ok := r.families[name]
 	if !ok {
 		f = &family{kind: k, series: map[string]*series{}}
@@ -56,20 +58,20 @@
 	return s
 }
 
-func (m *counted) handle(r *registry) {
-	if s := r.at(m.name, counter, m.tags); s != nil {
+func (m *counterReport) handle(r *seriesStore) {
+	if s := r.seriesFor(m.name, counter, m.tags); s != nil {
 		s.value += float64(m.delta)
 	}
 }
 
-func (m *gauged) handle(r *registry) {
-	if s := r.at(m.name, gauge, m.tags); s != nil {
+func (m *gaugeReport) handle(r *seriesStore) {
+	if s := r.seriesFor(m.name, gauge, m.tags); s != nil {
 		s.value = m.value
 	}
 }
 
-func (m *sampled) handle(r *registry) {
-	s := r.at(m.name, histogram, m.tags)
+func (m *histogramReport) handle(r *seriesStore) {
+	s := r.seriesFor(m.name, histogram, m.tags)
 	if s == nil {
 		return
 	}
@@ -79,10 +81,10 @@
 	s.counts[min(sort.SearchFloat64s(s.bounds, m.upper), len(s.counts)-1)] += m.samples
 }
 
-func (m *render) handle(r *registry) { m.answer.Put(r.text()) }
+func (m *renderRequest) handle(r *seriesStore) { m.answer.Put(r.text()) }
 
 // text returns every series in the Prometheus text format, sorted.
-func (r *registry) text() []byte {
+func (r *seriesStore) text() []byte {
 	var b strings.Builder
 	names := make([]string, 0, len(r.families))
 	for name := range r.families {
@@ -92,8 +94,8 @@
 	for _, name := range names {
 		f := r.families[name]
 		base, isSum := strings.CutSuffix(name, sumSuffix)
-		if owner, ok := r.families[base]; isSum && ok && owner.kind == histogram {
-			continue // shown with the histogram
+		if baseFamily, ok := r.families[base]; isSum && ok && baseFamily.kind == histogram {
+			continue // written with the histogram
 		}
 		f.write(&b, name, r.families[name+sumSuffix])
 	}
@@ -101,12 +103,12 @@
 	return []byte(b.String())
 }
 
-func (f *family) write(b *strings.Builder, name string, sums *family) {
-	shown := name
+func (f *family) write(b *strings.Builder, name string, sumFamily *family) {
+	exposedName := name
 	if f.kind == counter && !strings.HasSuffix(name, "_total") {
-		shown += "_total"
+		exposedName += "_total"
 	}
-	fmt.Fprintf(b, "# TYPE %s %s\n", shown, f.kind)
+	fmt.Fprintf(b, "# TYPE %s %s\n", exposedName, f.kind)
 	keys := make([]string, 0, len(f.series))
 	for k := range f.series {
 		keys = append(keys, k)
@@ -115,12 +117,12 @@
 	for _, labels := range keys {
 		s := f.series[labels]
 		if f.kind != histogram {
-			fmt.Fprintf(b, "%s%s %s\n", shown, braces(labels, ""), number(s.value))
+			fmt.Fprintf(b, "%s%s %s\n", exposedName, formatLabels(labels, ""), formatFloat(s.value))
 			continue
 		}
 		s.writeHistogram(b, name, labels)
-		if sums != nil && sums.series[labels] != nil {
-			fmt.Fprintf(b, "%s_sum%s %s\n", name, braces(labels, ""), number(sums.series[labels].value/1e6))
+		if sumFamily != nil && sumFamily.series[labels] != nil {
+			fmt.Fprintf(b, "%s_sum%s %s\n", name, formatLabels(labels, ""), formatFloat(sumFamily.series[labels].value/1e6))
 		}
 	}
 }
@@ -129,12 +131,12 @@
 	var total int64
 	for i, bound := range s.bounds {
 		total += s.counts[i]
-		fmt.Fprintf(b, "%s_bucket%s %d\n", name, braces(labels, `le="`+number(bound)+`"`), total)
+		fmt.Fprintf(b, "%s_bucket%s %d\n", name, formatLabels(labels, `le="`+formatFloat(bound)+`"`), total)
 	}
-	fmt.Fprintf(b, "%s_count%s %d\n", name, braces(labels, ""), total)
+	fmt.Fprintf(b, "%s_count%s %d\n", name, formatLabels(labels, ""), total)
 }
 
-func braces(labels, extra string) string {
+func formatLabels(labels, extra string) string {
 	switch {
 	case labels == "" && extra == "":
 		return ""
@@ -146,14 +148,14 @@
 	return "{" + labels + "," + extra + "}"
 }
 
-func number(v float64) string {
+func formatFloat(v float64) string {
 	if math.IsInf(v, 1) {
 		return "+Inf"
 	}
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-var escaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // encodeLabels returns tags as sorted Prometheus labels without braces.
 func encodeLabels(tags map[string]string) string {
@@ -164,7 +166,7 @@
 	sort.Strings(keys)
 	parts := make([]string, len(keys))
 	for i, k := range keys {
-		parts[i] = k + `="` + escaper.Replace(strings.ToValidUTF8(tags[k], "\uFFFD")) + `"`
+		parts[i] = k + `="` + labelEscaper.Replace(strings.ToValidUTF8(tags[k], "\uFFFD")) + `"`
 	}
 	return strings.Join(parts, ",")
 }
--- a/internal/metrics/windows.go
+++ b/internal/metrics/windows.go
@@ -12,123 +12,126 @@
 )
 
 const (
-	// windowLength is the shortest time that Windows looks back; it looks back
-	// at most twice as long.
+	// windowLength is the length of a window. RequestStats cover the current
+	// window and the previous one.
 	windowLength = 15 * time.Second
-	// maxWindowSeries bounds the memory: two histograms of 11 KB for each.
-	maxWindowSeries = 256
-	longestRequest  = time.Minute // longer ones are counted as this
-	windowDigits    = 2
+	// maxWindowSeries bounds the memory: each has two histograms of 11 KB.
+	maxWindowSeries   = 256
+	maxLatency        = time.Minute // longer requests are recorded with this latency
+	significantDigits = 2
 )
 
-// Recent is what was measured for a class and tenant of a service in the last
-// 15 to 30 s.
+// RequestStats summarises the requests of a class and tenant of a service in
+// the last 15 to 30 s.
 type RequestStats struct {
 	Service, Class, Tenant string
 	Requests, Refused      int64
 	P50, P99, P999         time.Duration // of requests that were not refused
 }
 
-// Windows measures recent requests by class and tenant in an actor.
+// RecentRequests is an actor that records recent requests by service, class
+// and tenant. Any goroutine may use it.
 type RecentRequests struct{ addr actor.Address[windowMessage] }
 
-// windowMessage is an observation, or the question for all series.
+// windowMessage is an observation, or a request for all statistics if reply is
+// set.
 type windowMessage struct {
-	seen   Observation
-	answer *actor.Reply[[]RequestStats]
+	observation Observation
+	reply       *actor.Reply[[]RequestStats]
 }
 
 type windowKey struct{ service, class, tenant string }
 
-// windowSeries counts in now; before is the window that ended last.
-type windowSeries struct{ now, before windowCount }
+// windowSeries holds the current window and the one before it.
+type windowSeries struct{ current, previous windowCount }
 
 type windowCount struct {
 	latency           *hdrhistogram.Histogram
 	requests, refused int64
 }
 
-// StartWindows starts the actor in g.
+// StartRecentRequests starts the actor in g.
 func StartRecentRequests(g *actor.Group) *RecentRequests {
-	return &RecentRequests{actor.Spawn(g, actor.Spec[windowMessage]{Name: "recent requests", Mailbox: observations, Restart: actor.OnFailure,
+	return &RecentRequests{actor.Spawn(g, actor.Spec[windowMessage]{Name: "recent requests", Mailbox: maxPendingObservations, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan windowMessage) error {
-			all := windowSet{}
-			turn := time.NewTicker(windowLength)
-			defer turn.Stop()
+			windows := windowSet{}
+			ticker := time.NewTicker(windowLength)
+			defer ticker.Stop()
 			for {
 				select {
 				case <-ctx.Done():
 					return nil
-				case <-turn.C:
-					all.turn()
+				case <-ticker.C:
+					windows.rotate()
 				case m := <-in:
-					if m.answer != nil {
-						m.answer.Put(all.read())
+					if m.reply != nil {
+						m.reply.Put(windows.read())
 					} else {
-						all.add(m.seen)
+						windows.add(m.observation)
 					}
 				}
 			}
 		}})}
 }
 
-// Observe counts a request. It never waits; an observation is dropped when
-// the actor is behind.
-func (w *RecentRequests) Observe(o Observation) { w.addr.TrySend(windowMessage{seen: o}) }
+// Observe records a request. It never blocks; an observation is dropped if the
+// mailbox is full.
+func (w *RecentRequests) Observe(o Observation) { w.addr.TrySend(windowMessage{observation: o}) }
 
-// Read returns the series, sorted.
+// Read returns the statistics, sorted by service, class and tenant.
 func (w *RecentRequests) Read(ctx context.Context) ([]RequestStats, error) {
-	return actor.Ask(ctx, w.addr, func(r actor.Reply[[]RequestStats]) windowMessage { return windowMessage{answer: &r} })
+	return actor.Ask(ctx, w.addr, func(r actor.Reply[[]RequestStats]) windowMessage { return windowMessage{reply: &r} })
 }
 
 type windowSet map[windowKey]*windowSeries
 
-func (all windowSet) add(o Observation) {
+func (w windowSet) add(o Observation) {
 	k := windowKey{o.Service, o.Class, o.Tenant}
-	if all[k] == nil && len(all) >= maxWindowSeries {
-		k.tenant = otherTenants
+	if w[k] == nil && len(w) >= maxWindowSeries {
+		k.tenant = overflowTenant
 	}
-	s := all[k]
+	s := w[k]
 	if s == nil {
-		s = &windowSeries{now: newWindowCount(), before: newWindowCount()}
-		all[k] = s
+		s = &windowSeries{current: newWindowCount(), previous: newWindowCount()}
+		w[k] = s
 	}
-	s.now.requests++
+	s.current.requests++
 	if o.Outcome == "not-run" {
-		s.now.refused++
+		s.current.refused++
 		return
 	}
 	// The value is inside the histogram's range, so recording cannot fail.
-	_ = s.now.latency.RecordValue(min(max(o.Duration, time.Microsecond), longestRequest).Microseconds())
+	_ = s.current.latency.RecordValue(min(max(o.Duration, time.Microsecond), maxLatency).Microseconds())
 }
 
 func newWindowCount() windowCount {
-	return windowCount{latency: hdrhistogram.New(1, longestRequest.Microseconds(), windowDigits)}
+	return windowCount{latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)}
 }
 
-// turn begins a window, and forgets series without requests in the last one.
-func (all windowSet) turn() {
-	for k, s := range all {
-		if s.now.requests == 0 {
-			delete(all, k)
+// rotate starts a new window and removes the series without requests in the
+// one that ended.
+func (w windowSet) rotate() {
+	for k, s := range w {
+		if s.current.requests == 0 {
+			delete(w, k)
 			continue
 		}
-		s.before, s.now = s.now, s.before
-		s.now.latency.Reset()
-		s.now.requests, s.now.refused = 0, 0
+		s.previous, s.current = s.current, s.previous
+		s.current.latency.Reset()
+		s.current.requests, s.current.refused = 0, 0
 	}
 }
 
-func (all windowSet) read() []RequestStats {
-	list := make([]RequestStats, 0, len(all))
-	for k, s := range all {
-		both := newWindowCount().latency
-		both.Merge(s.before.latency)
-		both.Merge(s.now.latency)
-		at := func(q float64) time.Duration { return time.Duration(both.ValueAtQuantile(q)) * time.Microsecond }
+func (w windowSet) read() []RequestStats {
+	list := make([]RequestStats, 0, len(w))
+	for k, s := range w {
+		merged := newWindowCount().latency
+		merged.Merge(s.previous.latency)
+		merged.Merge(s.current.latency)
+		quantile := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q)) * time.Microsecond }
 		list = append(list, RequestStats{Service: k.service, Class: k.class, Tenant: k.tenant,
-			Requests: s.before.requests + s.now.requests, Refused: s.before.refused + s.now.refused,
-			P50: at(50), P99: at(99), P999: at(99.9)})
+			Requests: s.previous.requests + s.current.requests, Refused: s.previous.refused + s.current.refused,
+			P50: quantile(50), P99: quantile(99), P999: quantile(99.9)})
 	}
 	slices.SortFunc(list, func(a, b RequestStats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
