--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -49,9 +49,9 @@
 // Address is a handle for sending messages to an actor. The zero Address
 // refuses every message. Addresses may be copied and used by any goroutine.
 type Address[M any] struct {
-	in   chan M
-	done chan struct{}
-	full chan<- struct{}
+	in       chan M
+	done     chan struct{}
+	overflow chan<- struct{}
 }
 
 // Send delivers m and waits while the mailbox is full. It returns ErrStopped
@@ -92,7 +92,7 @@
 	default:
 	}
 	select {
-	case a.full <- struct{}{}:
+	case a.overflow <- struct{}{}:
 	default: // no Overflow channel, or it is full
 	}
 	return false
@@ -147,7 +147,7 @@
 
 // Spawn starts an actor in g and returns its address.
 func Spawn[M any](g *Group, s Spec[M]) Address[M] {
-	a := Address[M]{in: make(chan M, s.Mailbox), done: make(chan struct{}), full: s.Overflow}
+	a := Address[M]{in: make(chan M, s.Mailbox), done: make(chan struct{}), overflow: s.Overflow}
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
--- a/internal/actor/timers.go
+++ b/internal/actor/timers.go
@@ -11,7 +11,7 @@
 	heap    deadlineHeap[K]
 	byKey   map[K]*deadline[K]
 	timer   *time.Timer
-	firesAt time.Time // time at which the runtime timer fires; zero when it is stopped
+	firesAt time.Time // time at which the runtime timer fires; zero if it is not set
 }
 
 type deadline[K comparable] struct {
--- a/internal/labels/parse.go
+++ b/internal/labels/parse.go
@@ -19,8 +19,8 @@
 
 // Parse reads a selector: requirements separated by commas, each one of
 // key=value, key==value, key!=value, key in (a,b), key notin (a,b), key and
-// !key. Spaces and tabs between the parts are ignored. The error is a *SyntaxError.
-// The empty string is the selector that matches everything.
+// !key. Spaces and tabs between the parts are ignored. The empty string is the
+// selector that matches everything. The error is a *SyntaxError.
 func Parse(text string) (Selector, error) {
 	p := &parser{text: text}
 	var s Selector
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -97,9 +97,9 @@
 
 // seriesStore is the state of the actor that owns the series.
 type seriesStore struct {
-	families map[string]*family
-	series   int
-	dropped  int64 // reports for series beyond maxSeries, or of a name with another type
+	families    map[string]*family
+	seriesCount int
+	dropped     int64 // reports for series beyond maxSeries, or of a name with another type
 }
 
 func (r *seriesStore) run(ctx context.Context, in <-chan message) error {
--- a/internal/metrics/series.go
+++ b/internal/metrics/series.go
@@ -46,10 +46,10 @@
 	}
 	labels := encodeLabels(tags)
 	s, ok := f.series[labels]
-	if !ok && r.series < maxSeries && f.kind == k {
+	if !ok && r.seriesCount < maxSeries && f.kind == k {
 		s = &series{}
 		f.series[labels] = s
-		r.series++
+		r.seriesCount++
 	}
 	if s == nil || f.kind != k {
 		r.dropped++
--- a/internal/metrics/windows.go
+++ b/internal/metrics/windows.go
@@ -45,6 +45,8 @@
 // windowSeries holds the current window and the one before it.
 type windowSeries struct{ current, previous windowCount }
 
+// windowCount holds the requests of one window. latency leaves out the refused
+// requests and is in microseconds.
 type windowCount struct {
 	latency           *hdrhistogram.Histogram
 	requests, refused int64
