--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -1,5 +1,5 @@
-// Package jobapi defines what callers may ask of the job scheduler. It does
-// not know the callers' protocol.
+// Package jobapi defines the calls that submitters make to the job scheduler.
+// It does not know the protocol of the calls.
 package jobapi
 
 import (
@@ -11,10 +11,11 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Errors of calls. ErrNotAccepted and ErrNotReady say that the job was not
-// accepted and never runs because of this call; ErrOutcomeUnknown says nothing.
+// Errors of calls. After ErrNotAccepted and ErrNotReady the job was not accepted
+// and this call never makes it run; after ErrOutcomeUnknown it may have been
+// accepted.
 var (
-	ErrNoQueue        = errors.New("no queue has this address")
+	ErrNoQueue        = errors.New("no queue is configured for this host and path")
 	ErrNotReady       = errors.New("this entry has no configuration yet")
 	ErrNotAccepted    = errors.New("the job was not accepted")
 	ErrOutcomeUnknown = errors.New("the outcome is not known")
@@ -22,17 +23,18 @@
 	ErrInvalid        = errors.New("the job is invalid")
 )
 
-// Desk serves callers. The context carries the deadline of the caller.
+// Handler serves calls. The context carries the deadline of the caller.
 type Handler interface {
-	// Queue returns the queue that a host and a path select.
+	// Queue returns the queue for a host and a path.
 	Queue(host, path string) (workload.Queue, error)
 	Submit(ctx context.Context, q workload.Queue, j workload.Job) error
 	Phase(ctx context.Context, q workload.Queue, id workload.JobID) (workload.Phase, error)
 	Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error
-	// Waiting returns the number of accepted jobs of which no task has started.
+	// QueueLength returns the number of accepted jobs of which no task has
+	// started.
 	QueueLength(ctx context.Context, q workload.Queue) (int, error)
-	// Ready reports whether the entry should receive callers.
+	// Ready reports whether the entry should receive calls.
 	Ready() bool
-	// RetryAfter is when a refused caller should come again.
+	// RetryAfter returns how long a refused caller should wait before it retries.
 	RetryAfter() time.Duration
 }
--- a/internal/model/config.go
+++ b/internal/model/config.go
@@ -9,12 +9,12 @@
 // String formats the key as kind/name.
 func (k ConfigKey) String() string { return string(k.Kind) + "/" + k.Name }
 
-// ConfigKind is a kind of configuration item: the labels of a kind of thing,
-// or selectors.
+// ConfigKind is a kind of configuration item: the labels of one kind of object,
+// or a selector.
 type ConfigKind string
 
 // Kinds of configuration items. For all but KindSelector the item's name is
-// the name of the thing and its value is the thing's labels.
+// the name of an object of this kind, and its value is the object's labels.
 const (
 	KindService  ConfigKind = "service"
 	KindClass    ConfigKind = "class"
@@ -35,7 +35,7 @@
 	Selector *Selector `json:"selector,omitempty"`
 }
 
-// SelectorKind says what a selector decides.
+// SelectorKind says what rule a selector expresses.
 type SelectorKind string
 
 // Kinds of selectors.
@@ -61,10 +61,11 @@
 	Author  string        `json:"author,omitempty"`
 }
 
-// LabelTargetP99 is the label of a class with the p99 at the backend server, in
-// milliseconds, that tasks on its host must leave room for.
+// LabelTargetP99 is the label of a class with its target for the p99 at the
+// backend server, in milliseconds, which tasks on the same host must not
+// endanger.
 const LabelTargetP99 = "target-p99-ms"
 
-// LabelDrain is the label of a worker that, when it is "true", keeps new tasks
-// away and moves the present ones to other workers.
+// LabelDrain is the label of a worker that drains it if the value is "true": no
+// new tasks start there, and its tasks move to other workers.
 const LabelDrain = "drain"
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -12,13 +12,13 @@
 	Resources Resources `json:"resources"`
 	Urgent    bool      `json:"urgent,omitempty"`
 	// LongRunning marks work such as watchers, for which a stop is worse than
-	// a late failover; it selects the longer hold bound.
+	// a late failover. Its attempts run on for longer without a controller.
 	LongRunning bool   `json:"longRunning,omitempty"`
-	Program     string `json:"program"` // passed to the worker as it is
+	Program     string `json:"program"` // passed to the worker unchanged
 }
 
-// Phase is where a job is in its life, as its row records it. The values are
-// the state names of charts/job.scxml.
+// Phase is the state of a job that its row records. The values are the state
+// names of charts/job.scxml.
 type Phase string
 
 // JobRow is the durable state of a job.
@@ -29,7 +29,7 @@
 	Worker          WorkerID `json:"worker,omitempty"`
 	Checkpoint      string   `json:"checkpoint,omitempty"` // object name of the latest committed checkpoint
 	Result          string   `json:"result,omitempty"`     // object name
-	Reason          string   `json:"reason,omitempty"`     // why it waits, failed or is parked
+	Reason          string   `json:"reason,omitempty"`     // why the job waits, failed or is parked
 	CancelRequested bool     `json:"cancel,omitempty"`     // a client asked to cancel
 	Evictions       uint32   `json:"evictions,omitempty"`
 	Failures        uint32   `json:"failures,omitempty"`
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Names of things. They are opaque strings chosen by operators and settings.
+// Names. They are opaque strings that operators or settings choose.
 type (
 	Service    string // a customer-facing service, such as permit-desk
 	Class      string // a class of requests or jobs with similar needs
@@ -28,7 +28,8 @@
 // when the process starts.
 type Boot uint64
 
-// Epoch numbers the owners of a cell. A higher epoch fences all lower ones.
+// Epoch numbers the successive owners of a cell. Commands with a lower epoch
+// than the highest known one are rejected.
 type Epoch uint64
 
 // MilliCPU is processor time in thousandths of a core.
@@ -37,7 +38,7 @@
 // Bytes is a size of memory or data.
 type Bytes int64
 
-// Resources is an amount of what a worker has and a task needs.
+// Resources is the capacity of a worker, or the amount that a task needs of it.
 type Resources struct {
 	CPU          MilliCPU `json:"milliCpu"`
 	Memory       Bytes    `json:"memory"`
@@ -97,18 +98,18 @@
 	return AttemptID{Job: JobID(s[:i]), Number: uint32(n)}, err == nil && n > 0
 }
 
-// Outcome says whether a request was run, as far as the system knows.
+// Outcome says whether a request is known to have run.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
 	OutcomeUnknown Outcome = iota
-	OutcomeNotRun          // it was not started and never will be
+	OutcomeNotRun          // the request was not started and never will be
 	OutcomeRun             // a backend server started it
 )
 
-// OutcomeHeader carries the outcome on responses that the system itself
-// generates.
+// OutcomeHeader is the header field with the outcome, on responses that the
+// scheduler itself generates.
 const OutcomeHeader = "Bambooscale-Outcome"
 
 // String is the value of OutcomeHeader.
@@ -132,5 +133,6 @@
 	return false
 }
 
-// Labels are the key-value pairs that operators attach to things.
+// Labels are key-value pairs that operators attach to jobs, hosts and
+// configuration items.
 type Labels map[string]string
--- a/internal/model/status.go
+++ b/internal/model/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ServiceStatus is what one entry knows of a service.
+// ServiceStatus is the status of a service at one entry.
 type ServiceStatus struct {
 	Service  Service         `json:"service"`
 	Queued   int             `json:"queued"`
@@ -14,8 +14,8 @@
 	Recent   []RecentStatus  `json:"recent,omitempty"`
 }
 
-// RecentStatus is what callers of a class and tenant got in the last 15 to
-// 30 s from one entry.
+// RecentStatus summarises the responses of one entry to callers of a class and
+// tenant in the last 15 to 30 s.
 type RecentStatus struct {
 	Class    Class         `json:"class"`
 	Tenant   Tenant        `json:"tenant"`
@@ -26,7 +26,7 @@
 	P999     time.Duration `json:"p999Ns"`
 }
 
-// ClassStatus is what one entry measured for a class of requests.
+// ClassStatus holds the measurements of one entry for a class of requests.
 type ClassStatus struct {
 	Class  Class         `json:"class"`
 	Tenant Tenant        `json:"tenant,omitempty"`
@@ -37,7 +37,7 @@
 	P999   time.Duration `json:"p999Ns"`
 }
 
-// BackendStatus is what one entry knows of a backend server.
+// BackendStatus is the status of a backend server at one entry.
 type BackendStatus struct {
 	Backend    BackendID  `json:"backend"`
 	Worker     WorkerID   `json:"worker"`
@@ -48,7 +48,7 @@
 	Running    int        `json:"running"` // sent by this entry
 }
 
-// CellStatus is what the controller of a cell, or a standby, knows.
+// CellStatus is the status of a cell, reported by its controller or a standby.
 type CellStatus struct {
 	Cell    Cell           `json:"cell"`
 	State   string         `json:"state"` // state name of charts/cell.scxml
@@ -56,7 +56,8 @@
 	Owner   EntryID        `json:"owner"`
 	Phases  map[Phase]int  `json:"phases,omitempty"` // number of jobs by phase
 	Workers []WorkerStatus `json:"workers,omitempty"`
-	// Evictions since the controller claimed the cell, the most first.
+	// Evictions since the controller claimed the cell, in descending order of
+	// Count.
 	Evictions []EvictionStatus `json:"evictions,omitempty"`
 }
 
@@ -67,7 +68,7 @@
 	Count int   `json:"count"`
 }
 
-// WorkerStatus is what a controller knows of a worker.
+// WorkerStatus is the status of a worker at its controller.
 type WorkerStatus struct {
 	Worker   WorkerID  `json:"worker"`
 	State    string    `json:"state"` // state name of charts/worker.scxml
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -26,7 +26,7 @@
 	Boot       model.Boot
 	DataCentre model.DataCentre
 	Version    model.ConfigVersion
-	Generation uint64 // incarnation of the link, chosen by the entry; higher after each reconnect
+	Generation uint64 // number of the link, chosen by the entry; higher after each reconnect
 }
 
 // Heartbeat is sent when nothing else was sent for a heartbeat interval.
@@ -48,7 +48,7 @@
 	Backend    model.BackendID
 	Generation uint64
 	Count      int
-	MaxLong    int // how many of the entry's credits may be spent on long classes; replaces the last value
+	MaxLong    int // maximum number of the entry's credits in use for long classes; replaces the previous value
 }
 
 // CreditRecall asks an entry to return idle credits.
@@ -65,17 +65,17 @@
 	Count      int
 }
 
-// Demand reports the queue of one service at an entry. The newest replaces
-// all earlier ones.
+// Demand reports the queue of one service at an entry. Each report replaces the
+// one before.
 type Demand struct {
 	Service      model.Service
 	Queued       int
 	Short        int           // queued requests of short classes
-	MinRemaining time.Duration // time left for the queued request with the earliest deadline; 0 when none is queued
+	MinRemaining time.Duration // time left until the earliest deadline of a queued request; 0: none is queued
 }
 
-// OutcomeQuery asks what became of a request that was sent over a link that
-// was lost.
+// OutcomeQuery asks for the state of a request that was sent over a link that
+// has since been lost.
 type OutcomeQuery struct{ ID model.RequestID }
 
 // OutcomeReply answers OutcomeQuery. Before replying ExchangeNotStarted the
@@ -90,7 +90,7 @@
 
 // States of an exchange, as reported by OutcomeReply.
 const (
-	ExchangeUnknown    ExchangeState = iota // no record: it may or may not have run
+	ExchangeUnknown    ExchangeState = iota // the agent has no record: it may or may not have run
 	ExchangeNotStarted                      // it did not start and never will
 	ExchangeStarted                         // it is running at the backend server
 	ExchangeFinished                        // it was started and has ended
@@ -99,15 +99,16 @@
 // DrainBackend asks an agent to drain its backend server.
 type DrainBackend struct{ Backend model.BackendID }
 
-// ConfigDelta carries configuration changes in version order. Applying it
-// needs the version From; a receiver at another version sends ConfigRequest.
+// ConfigDelta carries configuration changes in version order. It applies to the
+// version From; a receiver at another version sends ConfigRequest.
 type ConfigDelta struct {
 	From, To model.ConfigVersion
-	Full     bool // the changes are the whole configuration at To
+	Full     bool // Changes is the complete configuration at To
 	Changes  []model.ConfigChange
 }
 
-// ConfigRequest asks the peer for the changes after Have. Both sides may ask.
+// ConfigRequest asks the peer for the changes after the version Have. Either
+// side may send it.
 type ConfigRequest struct{ Have model.ConfigVersion }
 
 // ConfigApplied reports the version in force at the sender.
--- a/internal/msg/fleet.go
+++ b/internal/msg/fleet.go
@@ -7,7 +7,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Member is an entry that agents and other entries may dial.
+// Member is an entry that agents and other entries connect to.
 type Member struct {
 	Name    string
 	Address string
@@ -17,7 +17,7 @@
 // scheduler.
 type PeerHello struct {
 	Member     Member
-	Agent      bool // an agent sends it; its Member has no address
+	Agent      bool // the sender is an agent; Member has no address
 	Boot       uint64
 	DataCentre workload.DataCentre
 	Epoch      uint64 // highest epoch of an owner that the sender knows
@@ -26,27 +26,29 @@
 // Members lists the entries that the sender knows.
 type Members struct{ Entries []Member }
 
-// HostAnnounced tells an entry the newest state of an agent's backend server.
+// HostAnnounced reports the current state of an agent's host to an entry.
 type HostAnnounced struct{ Host workload.Host }
 
-// OwnerClaim says that the sender, or Owner, owns the jobs with this epoch.
-// An agent that is claimed by the sender answers with a HostInventory.
+// OwnerClaim announces the owner of the jobs and its epoch: the sender if Owner
+// is empty, and otherwise the entry of that name. An agent answers a claim by
+// the sender itself with HostInventory.
 type OwnerClaim struct {
 	Epoch uint64
 	Owner string
 }
 
-// RunStatus is a run that an agent's backend server lists.
+// RunStatus is the state of a run at an agent.
 type RunStatus struct {
 	Run             workload.RunID
 	Checkpoint      string
-	ProgressPercent int   // of the task's work
-	Usage           int64 // tail latency in milliseconds of a task that serves, else processor use in thousandths of a core
-	CPULimitPercent int   // percent at which it may work
-	Unconfirmed     bool  // its start has no answer yet
+	ProgressPercent int   // share of the task's work that is done
+	Usage           int64 // of a serving task: tail latency in milliseconds; else processor use in thousandths of a core
+	CPULimitPercent int   // share of its processor time that it may use; 100: no limit
+	Unconfirmed     bool  // the backend server has not confirmed the start
 }
 
-// RunEnd is the end of a run. Number rises within one life of a backend server.
+// RunEnd reports the end of a run. Number increases with each end at one
+// incarnation of a backend server.
 type RunEnd struct {
 	Number     uint64
 	Run        workload.RunID
@@ -54,48 +56,51 @@
 	Checkpoint string
 }
 
-// HostInventory answers an OwnerClaim with everything that the agent knows.
+// HostInventory answers OwnerClaim with the state of the agent's host and all
+// its runs.
 type HostInventory struct {
 	Epoch   uint64
 	Host    workload.Host
-	ClockMS int64 // of the backend server when the message was sent
+	ClockMS int64 // clock of the backend server when the message was sent
 	Runs    []RunStatus
 	Ended   []RunEnd
 }
 
-// RunSize gives an agent the size of a run that it adopted.
+// RunSize describes the resources of a run, for the agent that runs it.
 type RunSize struct {
 	Run           workload.RunID
 	Charge        workload.Resources
-	TargetLatency time.Duration // of a task that serves
+	TargetLatency time.Duration // of a serving task; 0: none
 	BestEffort    bool
 	Image         string
-	MilliCPU      int64 // declared thousandths of a core, of fillers too
+	MilliCPU      int64 // declared in the job; Charge has none for best-effort tasks
 }
 
-// Harm is what a filler of one image is known to do to serving tasks of
-// another: the pressure on them if it had a whole host (policy/contention).
+// Interference is the measured effect of best-effort tasks of one image on
+// serving tasks of another. Coefficient is the pressure on the serving tasks
+// if the best-effort task had a whole host (policy/contention).
 type Interference struct {
-	ServingImage, BestEffortImage string // images
+	ServingImage, BestEffortImage string
 	Coefficient                   float64
 }
 
-// InventoryAccepted tells an agent that the owner has its inventory, and grants
-// the lease from ClockMS of the inventory. The agent starts nothing before it.
+// InventoryAccepted acknowledges HostInventory and grants a lease from the
+// ClockMS of the inventory. The agent starts no runs before it arrives.
 type InventoryAccepted struct {
 	Epoch   uint64
 	ClockMS int64
-	Sizes   []RunSize
+	Sizes   []RunSize // of the runs in the inventory that the owner keeps
 }
 
-// RunStart orders a start.
+// RunStart is the request to start one run.
 type RunStart struct {
 	Size          RunSize
 	Specification string
 	Checkpoint    string
 }
 
-// StartRuns orders starts on one life of a backend server.
+// StartRuns asks an agent to start runs on one incarnation of its backend
+// server.
 type StartRuns struct {
 	Epoch       uint64
 	Instance    workload.Instance
@@ -103,14 +108,14 @@
 	Starts      []RunStart
 }
 
-// StopRuns orders stops.
+// StopRuns asks an agent to stop runs.
 type StopRuns struct {
 	Epoch uint64
 	Runs  []workload.RunID
 }
 
-// RunsChanged reports runs that started or ended at an agent, and starts that
-// did not happen and never will.
+// RunsChanged reports runs that started or ended at an agent. The runs in
+// Refused did not start and never will, or are no longer at the backend server.
 type RunsChanged struct {
 	Epoch       uint64
 	Instance    workload.Instance
@@ -120,17 +125,18 @@
 	Ended       []RunEnd
 }
 
-// RunsProgress reports the runs of a backend server and asks for a lease.
+// RunsProgress reports the runs of a backend server. The owner answers with
+// LeaseGrant.
 type RunsProgress struct {
 	Epoch       uint64
 	Instance    workload.Instance
 	StartedAtMS int64
-	ClockMS     int64 // of the backend server when the message was sent
+	ClockMS     int64 // clock of the backend server when the message was sent
 	Runs        []RunStatus
 }
 
-// LeaseGrant extends the lease of everything on a backend server: it lasts for
-// the longest lease from ClockMS of the request.
+// LeaseGrant extends the lease of all runs on a backend server: it lasts for the
+// agent's configured owner lease, counted from the ClockMS of RunsProgress.
 type LeaseGrant struct {
 	Epoch        uint64
 	StartedAtMS  int64
@@ -138,7 +144,8 @@
 	Interference []Interference
 }
 
-// EndsAcknowledged acknowledges the ends up to Upto. They are stored.
+// EndsAcknowledged tells an agent that the ends of runs up to LastNumber are
+// stored.
 type EndsAcknowledged struct {
 	Epoch       uint64
 	Instance    workload.Instance
@@ -146,10 +153,10 @@
 	LastNumber  uint64
 }
 
-// JobSubmitted passes a stored job to the owner.
+// JobSubmitted forwards a job, which is already stored, to the owner.
 type JobSubmitted struct{ Job workload.Job }
 
-// JobCancelled passes a stored cancellation to the owner.
+// JobCancelled forwards a cancellation, which is already stored, to the owner.
 type JobCancelled struct{ ID workload.JobID }
 
 // JobPhase is the phase of one job.
@@ -159,22 +166,22 @@
 	Phase workload.Phase
 }
 
-// JobPhases tells the entries what the owner knows. With All, jobs that are
-// not listed are unknown to the owner.
+// JobPhases reports phases of jobs from the owner to the entries. If Full is
+// set, the owner knows no other jobs.
 type JobPhases struct {
 	Epoch uint64
 	Full  bool
 	Jobs  []JobPhase
 }
 
-// ConfigAnnounced passes the operators' configuration between entries.
+// ConfigAnnounced sends the operators' configuration from one entry to another.
 type ConfigAnnounced struct {
 	Version uint64
-	Raw     []byte // as it lies in the store
+	Raw     []byte // in the encoding of the store
 }
 
-// StoreCall asks a peer for a transaction at the table service, which the
-// sender cannot reach.
+// StoreCall asks a peer to commit a transaction, because the sender cannot reach
+// the table service.
 type StoreCall struct {
 	ID  uint64
 	Txn table.Txn
@@ -185,7 +192,7 @@
 	ID       uint64
 	Outcome  table.Outcome
 	Revision table.Revision
-	Rows     []table.Row // of a conflict: the rows of the failed checks
+	Rows     []table.Row // after a conflict: the rows of the failed checks
 }
 
 func (*PeerHello) isControl()         {}
--- a/internal/msg/request.go
+++ b/internal/msg/request.go
@@ -27,7 +27,7 @@
 	Header        []Field
 	ContentLength int64         // -1: unknown
 	Deadline      time.Duration // time left when the frame was sent
-	LongClass     bool          // belongs to a long class
+	LongClass     bool          // Class is one of the long classes
 }
 
 // BodyChunk carries body bytes of a request or response. Data is valid until
@@ -35,7 +35,7 @@
 type BodyChunk struct{ Data []byte }
 
 // BodyEnd ends a body. Total is the number of body bytes sent, so that a
-// truncated body is noticed.
+// truncated body is detected.
 type BodyEnd struct {
 	Total   int64
 	Trailer []Field
@@ -44,10 +44,10 @@
 // Cancel ends the exchange early, for the reason given.
 type Cancel struct{ Reason string }
 
-// Started says that the backend server is given the request.
+// Started reports that the agent is sending the request to the backend server.
 type Started struct{}
 
-// Refused says that the request was not started and never will be.
+// Refused reports that the request was not started and never will be.
 type Refused struct{ Reason RefusedReason }
 
 // RefusedReason says why an agent did not start a request.
@@ -55,9 +55,9 @@
 
 // Reasons for Refused.
 const (
-	RefusedNoCredit  RefusedReason = iota + 1 // the credit is of an older generation, or none is left
-	RefusedDraining                           // the backend server is leaving
-	RefusedDown                               // the backend server is down, or could not be connected to
+	RefusedNoCredit  RefusedReason = iota + 1 // the credit belongs to an older generation, or the entry has none left
+	RefusedDraining                           // the backend server is draining
+	RefusedDown                               // the backend server is down, or the connection to it failed
 	RefusedDeadline                           // the deadline passed before a slot was free
 	RefusedCancelled                          // the entry cancelled it, or recorded a tombstone
 )
--- a/internal/msg/task.go
+++ b/internal/msg/task.go
@@ -6,7 +6,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Command is the part that every command of a controller to an agent has. An
+// Command is the common part of all commands from a controller to an agent. An
 // agent refuses a command whose epoch is lower than the highest it has seen
 // for the cell.
 type Command struct {
@@ -24,12 +24,13 @@
 	Command
 	Sequence uint64
 	TTL      time.Duration
-	// LongRunningTTL is the TTL for long-running attempts, which have a longer hold.
+	// LongRunningTTL is the TTL for long-running attempts, which are kept for
+	// longer without a controller.
 	LongRunningTTL time.Duration
 }
 
-// StartTask starts an attempt. Starting an attempt that is known already has
-// no effect but a repeated TaskReport.
+// StartTask starts an attempt. If the agent knows the attempt already, it only
+// repeats its TaskReport.
 type StartTask struct {
 	Command
 	Attempt    model.AttemptID
@@ -93,32 +94,33 @@
 	Sequence uint64
 }
 
-// UsageReport carries the measured usage of a worker, which lags.
+// UsageReport carries the measured usage of a worker. Age is how old the
+// measurement was when it was sent.
 type UsageReport struct {
 	Worker   model.WorkerID
 	Capacity model.Resources
 	Used     model.Resources
 	Age      time.Duration
 	Tasks    []TaskReport
-	Services []ServiceUsage // empty in the reports about tasks
+	Services []ServiceUsage // empty in reports about tasks
 }
 
 // UsageWindow is the time over which P99 and Busy of ServiceUsage are measured.
 const UsageWindow = 10 * time.Second
 
 // ServiceUsage is what an agent measured at its backend server for one class.
-// Arrivals, Queued and Mean are of the last seconds, so that they announce a
-// rise in load before P99 shows its effect.
+// Arrivals, Queued and Mean cover the last seconds only, so that they show a
+// rise in load before P99 does.
 type ServiceUsage struct {
 	Service  model.Service
 	Class    model.Class
 	Slots    int
 	Requests int           // in the window of P99
-	P99      time.Duration // of the time at the backend server in a window that has just ended; 0: none has, or too few requests
+	P99      time.Duration // time at the backend server, over a window that has just ended; 0: no window has ended, or it had too few requests
 	Busy     float64       // mean share of the slots that the class used in the window, 0 to 1
 	Arrivals float64       // requests per second
-	Queued   int           // waiting for this backend server, at the entries and here; all classes
-	Mean     time.Duration // of the time at the backend server
+	Queued   int           // requests of all classes that wait for this backend server, at the entries and at the agent
+	Mean     time.Duration // time at the backend server
 }
 
 func (*CellClaim) isControl()      {}
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,6 +1,6 @@
-// Package rows names the rows that the system keeps in the table service and
-// encodes their values. Each row has one kind of writer, given in
-// docs/design.md section 5.1.
+// Package rows defines the keys of the rows in the table service and encodes
+// their values. Each row has one kind of writer, given in docs/design.md
+// section 5.1.
 package rows
 
 import (
@@ -12,9 +12,9 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// CellEpoch is the value of the row that names the owner of a cell. It changes
-// only when the owner does, so that a transaction that checks its version is
-// fenced.
+// CellEpoch is the value of the row that names the owner of a cell. The row
+// changes only with the owner, so a transaction that checks its version is
+// fenced: it fails after a change of owner.
 type CellEpoch struct {
 	Epoch   model.Epoch   `json:"epoch"`
 	Owner   model.EntryID `json:"owner"`
@@ -22,14 +22,16 @@
 	Address string        `json:"address"` // where agents reach the owner
 }
 
-// CellHeartbeat is the value of the row that the owner of a cell renews.
+// CellHeartbeat is the value of the row that the owner of a cell renews to keep
+// the cell.
 type CellHeartbeat struct {
 	Owner   model.EntryID `json:"owner"`
 	Boot    model.Boot    `json:"boot"`
 	Counter uint64        `json:"counter"`
 }
 
-// Entry is the value of the row by which an entry is found.
+// Entry is the value of the row by which agents and other entries find an
+// entry.
 type Entry struct {
 	ID         model.EntryID    `json:"id"`
 	Boot       model.Boot       `json:"boot"`
@@ -37,7 +39,7 @@
 	Operator   string           `json:"operator"` // the operators' API
 	DataCentre model.DataCentre `json:"dataCentre"`
 	Region     model.Region     `json:"region"`
-	Counter    uint64           `json:"counter"` // renewed while the entry lives
+	Counter    uint64           `json:"counter"` // incremented at intervals while the entry runs
 }
 
 // ConfigHead is the value of the row that holds the configuration's version.
@@ -98,7 +100,7 @@
 func Encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("row value %T cannot be encoded: %v", v, err)) // the row types above always can
+		panic(fmt.Sprintf("row value %T cannot be encoded: %v", v, err)) // the row types above are always encodable
 	}
 	return raw
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,5 +1,6 @@
-// Package runner defines how an agent orders runs from the backend server on
-// its host. It does not know the protocol.
+// Package runner defines the requests of an agent to the backend server on its
+// host, which runs the tasks, and the announcements of that backend server. It
+// does not know the protocol.
 package runner
 
 import (
@@ -12,29 +13,30 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Errors of orders. After ErrOutcomeUnknown the order may have been executed, or may
-// still be; after the others it was not and will not be.
+// Errors of requests. After ErrOutcomeUnknown the request may have been
+// executed, or may still be; after the others it was not and will not be.
 var (
 	ErrFenced           = errors.New("the backend server has seen a higher fencing token")
 	ErrRunEnded         = errors.New("the run, or a later one, was stopped or has ended")
-	ErrLeaseExpired     = errors.New("the lease of the start is over")
-	ErrNoCapacity       = errors.New("the backend server has no room")
-	ErrOtherIncarnation = errors.New("another life of the backend server answered")
-	ErrUnavailable      = errors.New("the backend server refused the order")
-	ErrNotListening     = errors.New("the backend server does not run")
+	ErrLeaseExpired     = errors.New("the lease of the start request has expired")
+	ErrNoCapacity       = errors.New("the backend server has no free capacity")
+	ErrOtherIncarnation = errors.New("another incarnation of the backend server answered")
+	ErrUnavailable      = errors.New("the backend server refused the request")
+	ErrNotListening     = errors.New("the backend server does not listen")
 	ErrOutcomeUnknown   = errors.New("the backend server did not answer")
-	ErrInvalid          = errors.New("the backend server calls the order invalid")
+	ErrInvalid          = errors.New("the backend server rejected the request as invalid")
 )
 
-// Target names the life of a backend server that is meant, and the fencing
-// token of the order.
+// Target is the backend server that a request is for, and the fencing token of
+// the request.
 type Target struct {
 	Instance workload.Instance
 	Token    uint64
 }
 
-// Start is an order to start a run. The lease of everything on the backend
-// server is extended to Lease, in milliseconds of its clock.
+// StartRequest asks to start a run. It also extends the lease of all runs on the
+// backend server to LeaseMS, a time in milliseconds of the backend server's
+// clock.
 type StartRequest struct {
 	Run           workload.RunID
 	Specification string
@@ -42,41 +44,44 @@
 	LeaseMS       int64
 }
 
-// Hold asks for what runs and what has ended. Ends up to Taken are forgotten.
-// LeaseMS extends the lease of everything that runs; 0 leaves it. The answer
-// waits for an end for at most Wait.
+// PollRequest asks for the present runs and the ended ones. The backend server
+// deletes its records of ends up to the number Acknowledged. LeaseMS extends
+// the lease of all runs, as in StartRequest; 0 does not change it. While there
+// is no unacknowledged end, the answer is delayed by up to Wait.
 type PollRequest struct {
 	Acknowledged uint64
 	LeaseMS      int64
 	Wait         time.Duration
 }
 
-// Listing is the answer to a Hold.
+// PollResponse is the answer to a PollRequest.
 type PollResponse struct {
 	ClockMS     int64
-	StartedAtMS int64 // 0: not told
+	StartedAtMS int64 // Unix time in milliseconds; 0: not reported
 	Runs        []msg.RunStatus
 	Ended       []msg.RunEnd
 }
 
-// Runner orders runs. Start, Stop and Pace return the clock of the backend
-// server in milliseconds where it answered.
+// Runner sends requests to a backend server. Start, Stop and Throttle return the
+// clock of the backend server in milliseconds, or 0 if it did not answer.
+// Throttle limits a run to a percentage of its processor time.
 type Runner interface {
 	Start(ctx context.Context, t Target, s StartRequest) (clockMS int64, err error)
 	Stop(ctx context.Context, t Target, run workload.RunID) (clockMS int64, err error)
 	Throttle(ctx context.Context, t Target, run workload.RunID, percent int) (clockMS int64, err error)
-	Poll(ctx context.Context, t Target, h PollRequest) (PollResponse, error)
+	Poll(ctx context.Context, t Target, p PollRequest) (PollResponse, error)
 }
 
-// Announcement is what a backend server tells of itself.
+// Announcement is a backend server's announcement of its own state.
 type Announcement struct {
 	Host     workload.Host // without Name
 	Sequence uint64
 	ClockMS  int64
 }
 
-// Registry takes the announcements of the backend server on its host. An
-// error refuses the announcement.
+// Registry accepts announcements of the backend server on the agent's host. An
+// error rejects the announcement. Leave reports that the backend server shuts
+// down.
 type Registry interface {
 	Announce(ctx context.Context, a Announcement) error
 	Leave(ctx context.Context, id workload.Instance) error
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -19,7 +19,8 @@
 	Deleted bool     `json:"deleted,omitempty"` // only in the result of a scan or a watch
 }
 
-// Check is a precondition of a transaction: the row has this version.
+// Check is a precondition of a transaction: the row has this version. Version 0
+// requires that the row is absent.
 type Check struct {
 	Key     string   `json:"key"`
 	Version Revision `json:"version"`
@@ -31,8 +32,8 @@
 	Value []byte `json:"value"`
 }
 
-// Txn is a transaction: all of it takes effect, or nothing. Operation
-// identifies it, so that its fate can be read back after a lost response.
+// Txn is an atomic transaction. Operation identifies it, so that its outcome can
+// be read back after a lost response.
 type Txn struct {
 	Operation string   `json:"operation"`
 	Checks    []Check  `json:"checks,omitempty"`
@@ -40,9 +41,9 @@
 	Deletes   []string `json:"deletes,omitempty"`
 }
 
-// ConflictError says which preconditions of a transaction failed. Nothing of
-// the transaction took effect. Rows holds the rows of the checks as they are,
-// where the service returns them.
+// ConflictError reports the preconditions that failed; the transaction had no
+// effect. Rows holds the current rows of the checks if the service returns
+// them.
 type ConflictError struct {
 	Keys []string
 	Rows []Row
--- a/internal/wire/workload.go
+++ b/internal/wire/workload.go
@@ -66,8 +66,8 @@
 	return workload.Owner{Name: p.GetName(), Boot: p.GetBoot(), Epoch: p.GetEpoch(), Sequence: p.GetSequence()}, nil
 }
 
-// EncodeInterference encodes what an owner has learned of the harm of fillers as it
-// is stored.
+// EncodeInterference encodes the interference coefficients of an owner as they
+// are stored.
 func EncodeInterference(harms []msg.Interference) ([]byte, error) {
 	return proto.Marshal(&pb.HarmsRow{Harms: each(harms, harmToProto)})
 }
--- a/internal/workload/validate.go
+++ b/internal/workload/validate.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// MaxSpecificationBytes is the largest specification of a job in bytes.
+// MaxSpecificationBytes is the maximum length of a job's specification.
 const MaxSpecificationBytes = 4000
 
-// ErrUnsupported is wrapped by the errors of jobs that are well formed but ask
-// for what this version does not run.
+// ErrUnsupported is wrapped by the errors for jobs that are well formed but use
+// a feature that this version does not implement.
 var ErrUnsupported = errors.New("not supported")
 
-// Validate checks a submitted job. The error lists every finding.
+// Validate checks a submitted job. The error joins every violation.
 func (j *Job) Validate() error {
 	var found []error
 	if !validJobID(string(j.ID)) {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,6 @@
 // Package workload holds the types of jobs that consist of steps with many
 // tasks, of the hosts that run them, and of the configuration that routes
-// them. It decides nothing and knows no encoding.
+// them. It contains no decisions and no encoding.
 package workload
 
 import (
@@ -16,11 +16,11 @@
 	QueueName  string
 	Service    string
 	DataCentre string
-	HostName   string // the agent's name; stays with the host across restarts
-	Instance   string // one life of a backend server
+	HostName   string // name of the host's agent; stays the same across restarts
+	Instance   string // id that a backend server chooses; see Host.StartedAtMS
 )
 
-// Resources is an amount of room on a host.
+// Resources is an amount of the resources of a host.
 type Resources struct {
 	MilliCPU     int64
 	MemoryMB     int64
@@ -32,37 +32,38 @@
 	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o.
+// Sub returns r - o, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r fits into room.
+// Fits reports whether r is at most room in every dimension.
 func (r Resources) Fits(room Resources) bool {
 	return r.MilliCPU <= room.MilliCPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
 }
 
-// Step is a group of tasks of a job.
+// Step is a group of tasks of a job that have the same attributes.
 type Step struct {
 	Count               int
-	Need                Resources // of each task
-	Estimate            time.Duration
-	After               []int // earlier steps that must be done first
+	Need                Resources     // resources of each task
+	Estimate            time.Duration // estimated run time of a task
+	After               []int         // indices of earlier steps that must be completed first
 	Checkpointing       bool
-	Gang                bool
+	Gang                bool // all tasks run at the same time; not supported
 	SameRack            bool
-	Label               string // the host must have it; empty: any host
-	DataRack            string // rack on which the tasks run fastest; empty: any
-	MaxPerHost          int    // 0: no bound
-	AllowConcurrentRuns bool   // several runs of a task may overlap
+	Label               string // label that the host must have; empty: any host
+	DataRack            string // rack with the tasks' data, on which they run fastest; empty: any
+	MaxPerHost          int    // 0: no limit
+	AllowConcurrentRuns bool   // several runs of one task may run at the same time
 	LongRunning         bool   // runs until the job is cancelled
 	Image               string
-	TargetLatency       time.Duration // of the users of a long-running task; 0: none
+	TargetLatency       time.Duration // tail latency for the users of a long-running task; 0: none
 	BestEffort          bool          // uses processor time that other tasks leave unused
-	MaxUnavailable      int           // tasks that may be away at once by the scheduler's doing
+	MaxUnavailable      int           // tasks that the scheduler may stop or move at the same time
 }
 
-// Charge returns the room that a run of the step takes on a host.
+// Charge returns the resources that a run of the step is charged with on its
+// host. Best-effort tasks are not charged with processor time.
 func (s *Step) Charge() Resources {
 	r := s.Need
 	if s.BestEffort {
@@ -71,26 +72,31 @@
 	return r
 }
 
-// Serves reports whether the step's tasks serve users of their own.
+// Serves reports whether the step's tasks are serving tasks: long-running tasks
+// with a target latency for their users.
 func (s *Step) Serves() bool { return s.LongRunning && s.TargetLatency > 0 }
 
-// Job is a submitted job with the attributes of its queue at that time.
+// Job is a submitted job with the attributes that its queue had when it was
+// submitted.
 type Job struct {
-	ID             JobID
-	Queue          QueueName
-	Service        Service
-	Priority       int // 0 comes first
-	MaxAttempts    int // failed runs of a task that fail the job
+	ID          JobID
+	Queue       QueueName
+	Service     Service
+	Priority    int // 0 is the highest
+	MaxAttempts int // number of failed runs of one task after which the job fails; 0: no limit
+	// A job should be completed within TargetSlowdown times its critical path,
+	// by the estimates of its steps, plus TargetLatency.
 	TargetSlowdown float64
 	TargetLatency  time.Duration
 	Specification  string
 	Steps          []Step
 	Repetitions    int   // 0: the steps run once
 	FirstRunMS     int64 // Unix time in milliseconds
-	IntervalMS     int64
+	IntervalMS     int64 // between repetitions
 }
 
-// LongRunning reports whether the job has a step that never ends by itself.
+// LongRunning reports whether the job has a step that runs until the job is
+// cancelled.
 func (j *Job) LongRunning() bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
@@ -100,7 +106,7 @@
 	return false
 }
 
-// Phase is the state of a job as callers see it.
+// Phase is the state of a job that is reported to callers.
 type Phase uint8
 
 // Phases of a job.
@@ -122,7 +128,7 @@
 // TaskID names a task of a job.
 type TaskID struct {
 	Job        JobID
-	Occurrence int
+	Occurrence int // number of the repetition of the job; 0 is the first
 	Step       int
 	Index      int
 }
@@ -131,7 +137,7 @@
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// ParseTaskID reads what TaskID.String returns.
+// ParseTaskID is the inverse of TaskID.String.
 func ParseTaskID(s string) (TaskID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
@@ -148,7 +154,7 @@
 	return TaskID{Job: JobID(parts[0]), Occurrence: n[0], Step: n[1], Index: n[2]}, nil
 }
 
-// RunID names one start of a task. Numbers of later starts are higher.
+// RunID identifies one run of a task. Later runs have higher numbers.
 type RunID struct {
 	Task   TaskID
 	Number uint64
@@ -156,33 +162,34 @@
 
 func (r RunID) String() string { return r.Task.String() + "#" + strconv.FormatUint(r.Number, 10) }
 
-// HostState is the state of a backend server as it announces itself.
+// HostState is the state of the backend server on a host.
 type HostState uint8
 
-// States of a backend server.
+// States of the backend server on a host.
 const (
-	HostUnavailable HostState = iota // none is announced, or it has left
+	HostUnavailable HostState = iota // no backend server has announced itself, or it has ended
 	HostReady
 	HostDraining
 )
 
 func (s HostState) String() string { return [...]string{"away", "ready", "draining"}[s] }
 
-// Host is what an agent knows of its backend server.
+// Host describes a host and its backend server, as its agent knows them. An
+// incarnation of the backend server is identified by Instance and StartedAtMS.
 type Host struct {
 	Name           HostName
 	Instance       Instance
-	StartedAtMS    int64 // Unix milliseconds; tells apart lives with one Instance
+	StartedAtMS    int64 // Unix time in milliseconds; a restarted backend server may keep its Instance
 	Service        Service
 	DataCentre     DataCentre
 	State          HostState
-	Remaining      time.Duration // while draining: the least time that is left
+	Remaining      time.Duration // while draining: minimum time until the backend server ends
 	Capacity       Resources
 	Labels         []string
-	AdmissionCheck bool // the backend server itself rejects what does not fit
+	AdmissionCheck bool // the backend server itself rejects runs that exceed its capacity
 }
 
-// HasLabel reports whether l is one of h's labels.
+// HasLabel reports whether h has the label l.
 func (h *Host) HasLabel(l string) bool {
 	for _, have := range h.Labels {
 		if have == l {
@@ -195,7 +202,7 @@
 // EndReason says how a run ended.
 type EndReason uint8
 
-// Reasons of the end of a run.
+// Reasons for the end of a run.
 const (
 	EndDone EndReason = iota
 	EndFailed
@@ -223,10 +230,10 @@
 	Timeout        time.Duration
 }
 
-// ServiceConfig is what the configuration says of a service.
+// ServiceConfig is the configuration of a service.
 type ServiceConfig struct {
 	Name           Service
-	AdmissionCheck bool // its backend servers reject what does not fit
+	AdmissionCheck bool // its backend servers reject runs that exceed their capacity
 	PoweredOff     bool // its hosts are switched off
 }
 
@@ -235,10 +242,11 @@
 	Version      uint64
 	Queues       []Queue
 	Services     []ServiceConfig
-	MaxBodyBytes int64 // bytes of a submitted job
+	MaxBodyBytes int64 // of the request that submits a job
 }
 
-// Match returns the queue with the host and the longest prefix of path.
+// Match returns the queue for host whose PathPrefix is the longest prefix of
+// path.
 func (c *Config) Match(host, path string) (*Queue, bool) {
 	var best *Queue
 	for i := range c.Queues {
@@ -253,26 +261,27 @@
 	return best, best != nil
 }
 
-// Progress is what is stored of a job that has begun.
+// Progress is the stored progress of a job of which a task has started.
 type Progress struct {
 	Phase     Phase
-	Done      []byte // one bit for each task, in the order of the steps
+	Done      []byte // one bit per task, in the order of the steps; 1: completed
 	Attempts  []TaskAttempts
-	EndedAtMS int64 // Unix time in milliseconds at which the phase became final; 0 before
+	EndedAtMS int64 // Unix time in milliseconds at which the phase became final; 0: it is not final
 }
 
-// TaskAttempts is what is stored of a task with failed runs or a checkpoint.
+// TaskAttempts is the stored state of a task that has failed runs or a
+// checkpoint.
 type TaskAttempts struct {
 	Step, Index int
 	Failed      int    // failed runs
-	LastFailed  uint64 // number of the last failed run that is counted
+	LastFailed  uint64 // RunID.Number of the last failed run that Failed includes
 	Checkpoint  string
 }
 
-// Owner is the stored owner of the jobs. Epoch rises with each change of
+// Owner is the stored owner of the jobs. Epoch increases with each change of
 // owner, Sequence with each batch that the owner stores.
 type Owner struct {
-	Name     string // empty: it was given up
+	Name     string // empty: the last owner has released the jobs
 	Boot     uint64
 	Epoch    uint64
 	Sequence uint64
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a bad job that is accepted and then blocks or ends the
-// scheduler; every finding is reported.
-func TestValidateReportsEveryFinding(t *testing.T) {
+// Guards against an invalid job that is accepted and then blocks or crashes
+// the scheduler, and against an error that omits a violation.
+func TestValidateReportsEveryViolation(t *testing.T) {
 	j := Job{ID: "xyz", Specification: strings.Repeat("s", MaxSpecificationBytes+1), Steps: []Step{
 		{Count: 0}, {Count: 1, After: []int{1}}, {Count: 1, After: []int{2}, Need: Resources{MilliCPU: -1}},
 	}}
@@ -22,8 +22,9 @@
 	require.ErrorIs(t, gang.Validate(), ErrUnsupported)
 }
 
-// Guards against a task that is taken for another one.
-func TestTaskNamesAreReadBack(t *testing.T) {
+// Guards against a task name that parses as the id of another task, or that is
+// malformed and accepted.
+func TestParseTaskIDInvertsString(t *testing.T) {
 	id := TaskID{Job: "0123456789abcdef", Occurrence: 1, Step: 2, Index: 30}
 	got, err := ParseTaskID(id.String())
 	require.NoError(t, err)
@@ -34,8 +35,8 @@
 	}
 }
 
-// Guards against a request that reaches another queue: the longest prefix of
-// the host decides.
+// Guards against a request that is routed to the wrong queue: of the queues
+// for its host, the one with the longest matching prefix is used.
 func TestLongestPrefixSelectsTheQueue(t *testing.T) {
 	c := Config{Queues: []Queue{{Name: "a", Host: "h", PathPrefix: "/x/"}, {Name: "b", Host: "h", PathPrefix: "/x/y/"}, {Name: "c", Host: "g", PathPrefix: "/x/y/"}}}
 	q, ok := c.Match("h", "/x/y/1")
