--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -118,7 +118,7 @@
 	Cancelled
 )
 
-// Over reports whether p is final.
+// Final reports whether p is final: the phase no longer changes.
 func (p Phase) Final() bool { return p >= Completed }
 
 func (p Phase) String() string {
@@ -217,7 +217,8 @@
 	return [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "lost"}[e]
 }
 
-// Queue routes submitted jobs to a service.
+// Queue holds the route of submitted jobs to a service, and the attributes that
+// they take from the queue.
 type Queue struct {
 	Name           QueueName
 	Host           string
