--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -70,7 +70,7 @@
 			"forget": func(l *cell) { l.core.forget() },
 		},
 		Delays: map[string]time.Duration{
-			"ownerExpiry": lease.OwnerExpiry, "holdAfter": lease.HoldAfter, "holdBound": lease.LongHoldBound,
+			"ownerExpiry": lease.OwnerExpiry, "holdAfter": lease.StopPlacingAfter, "holdBound": lease.LongRenewalLimit,
 		},
 	}
 }
@@ -110,7 +110,7 @@
 	case c.incumbent() && !l.beating && l.beatAt <= c.now:
 		l.beating = true
 		l.counter++
-		l.beatAt = c.now + lease.BeatEvery
+		l.beatAt = c.now + lease.HeartbeatInterval
 		c.emit(Beat{Beat: c.beatRow(), Fence: l.epochVersion, Sent: c.now})
 	}
 }
@@ -177,7 +177,7 @@
 	case e.OK:
 		l.lastBeat = max(l.lastBeat, e.Sent)
 		// An answer that took longer than the timeout proves nothing about now.
-		if c.now-e.Sent < lease.HoldAfter {
+		if c.now-e.Sent < lease.StopPlacingAfter {
 			c.stepCell(evBeaten)
 		}
 	}
@@ -219,7 +219,7 @@
 
 // ttl is the length of a renewal for a kind of work: none after its hold bound.
 func (c *Core) ttl(long bool) time.Duration {
-	if c.now-c.cell.lastBeat >= lease.HoldBoundOf(long) {
+	if c.now-c.cell.lastBeat >= lease.RenewalLimitOf(long) {
 		return 0
 	}
 	return lease.TTL
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -188,7 +188,7 @@
 		c.sweep()
 	}
 	if c.renewAt <= c.now {
-		c.renewAt = c.now + lease.RenewEvery
+		c.renewAt = c.now + lease.RenewInterval
 		for _, p := range c.sortedPeers() {
 			c.renew(p)
 		}
--- a/internal/hostagent/pace.go
+++ b/internal/hostagent/pace.go
@@ -37,12 +37,12 @@
 	over     time.Duration // since when serving tasks miss their targets; 0: none does
 }
 
-func newPacer() pacer { return pacer{model: contention.NewTaughtModel()} }
+func newPacer() pacer { return pacer{model: contention.NewLoadModel()} }
 
 // learned takes what the owner knows of pairs of images.
 func (p *pacer) learned(harms []msg.Interference) {
 	for _, h := range harms {
-		p.model.Teach(contention.Pair{Serving: contention.Image(h.ServingImage), Filler: contention.Image(h.BestEffortImage)}, h.Coefficient)
+		p.model.SetCoefficient(contention.Pair{Serving: contention.Image(h.ServingImage), BestEffort: contention.Image(h.BestEffortImage)}, h.Coefficient)
 	}
 }
 
@@ -121,9 +121,9 @@
 			continue
 		}
 		p := &pressing{run: r, pressure: make([]float64, len(neighbours))}
-		share := c.share(contention.DemandShare * float64(r.size.MilliCPU))
+		share := c.share(contention.UsedShare * float64(r.size.MilliCPU))
 		for i, n := range neighbours {
-			p.pressure[i] = share * c.pacer.model.Harm(contention.Pair{Serving: n.image, Filler: contention.Image(r.size.Image)})
+			p.pressure[i] = share * c.pacer.model.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.size.Image)})
 			most[p] = max(most[p], p.pressure[i]/max(n.room, leastRoom))
 		}
 		list = append(list, p)
@@ -161,10 +161,10 @@
 		if job := r.id.Task.Job; seen[job] {
 			delete(seen, job)
 			load := c.pacer.model.Load(contention.Group(job), c.now+paceAhead)
-			list = append(list, neighbour{contention.Image(r.size.Image), contention.Room(load)})
+			list = append(list, neighbour{contention.Image(r.size.Image), contention.PressureBudget(load)})
 		}
 	}
-	c.pacer.model.Forget(c.now)
+	c.pacer.model.DropIdleGroups(c.now)
 	return list, worst
 }
 
--- a/internal/jobdaemon/controller.go
+++ b/internal/jobdaemon/controller.go
@@ -142,7 +142,7 @@
 		return
 	}
 	c.jobs.Plan()
-	for _, s := range c.jobs.Sends() {
+	for _, s := range c.jobs.Messages() {
 		c.toHost(s)
 	}
 	c.publish(c.jobs.Phases())
@@ -152,7 +152,7 @@
 	c.store()
 }
 
-func (c *controller) toHost(s jobs.ToHost) {
+func (c *controller) toHost(s jobs.HostMessage) {
 	a := c.agents[s.Host]
 	if a == nil || a.link == nil {
 		return // the host is silent; its runs are settled when it returns
--- a/internal/jobdaemon/controller_links.go
+++ b/internal/jobdaemon/controller_links.go
@@ -23,7 +23,7 @@
 	name := m.hello.Member.Name
 	event.Log(c.log, event.PeerLinked, log.Fields{"peer": name, "agent": m.hello.Agent, "epoch": m.hello.Epoch})
 	if m.hello.Epoch > c.owner.Epoch() {
-		c.owner.Outranked(m.hello.Epoch, c.now())
+		c.owner.EpochObserved(m.hello.Epoch, c.now())
 	}
 	if m.hello.Agent {
 		c.agentUp(l)
@@ -97,7 +97,7 @@
 	case *msg.HostAnnounced:
 		c.announced(l, m.Host)
 	case *msg.OwnerClaim:
-		c.owner.Heard(m.Owner, m.Epoch, c.now())
+		c.owner.OwnerObserved(m.Owner, m.Epoch, c.now())
 	case *msg.ConfigAnnounced:
 		c.configAnnounced(m)
 	case *msg.StoreCall:
@@ -144,9 +144,9 @@
 		}
 		c.jobs.Inventory(m)
 	case *msg.RunsChanged:
-		c.jobs.Changed(name, m)
+		c.jobs.RunsChanged(name, m)
 	case *msg.RunsProgress:
-		c.jobs.Progress(name, m)
+		c.jobs.RunsProgress(name, m)
 	}
 }
 
--- a/internal/jobdaemon/decisions.go
+++ b/internal/jobdaemon/decisions.go
@@ -10,8 +10,8 @@
 )
 
 var ownerEvents = map[jobs.DecisionKind]event.Event{
-	jobs.JobTaken: event.JobAdmitted, jobs.JobOver: event.JobEnded, jobs.RunOrdered: event.RunOrdered, jobs.RunOver: event.RunEnded,
-	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskWaits: event.TaskUnplaced,
+	jobs.JobAdmitted: event.JobAdmitted, jobs.JobEnded: event.JobEnded, jobs.RunOrdered: event.RunOrdered, jobs.RunEnded: event.RunEnded,
+	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskUnplaced: event.TaskUnplaced,
 }
 
 // logDecision writes the line of a decision of the owner.
--- a/internal/jobdaemon/load.go
+++ b/internal/jobdaemon/load.go
@@ -140,14 +140,14 @@
 	for _, j := range m.load.jobs {
 		c.jobs.Restore(j, m.load.progress[j.ID])
 	}
-	c.jobs.RestoreHarms(m.load.harms)
+	c.jobs.RestoreInterference(m.load.harms)
 	for _, a := range c.agents {
 		if a.link != nil {
 			c.jobs.Linked(a.host)
 		}
 	}
 	for _, name := range m.load.hosts {
-		c.jobs.Expect(name)
+		c.jobs.ExpectHost(name)
 	}
 	c.jobs.Recover()
 	early := c.early
--- a/internal/jobdaemon/metrics.go
+++ b/internal/jobdaemon/metrics.go
@@ -34,9 +34,9 @@
 	switch d.Kind {
 	case jobs.RunOrdered:
 		m.latency("run_wait_seconds", d.Age)
-	case jobs.RunOver:
+	case jobs.RunEnded:
 		m.scope.Tagged(map[string]string{"end": d.Detail}).Counter("runs_over_total").Inc(1)
-	case jobs.JobOver:
+	case jobs.JobEnded:
 		m.scope.Tagged(map[string]string{"phase": d.Detail}).Counter("jobs_over_total").Inc(1)
 		m.latency("job_seconds", d.Age)
 	}
--- a/internal/jobdaemon/owner.go
+++ b/internal/jobdaemon/owner.go
@@ -134,7 +134,7 @@
 type retire struct{ done actor.Reply[bool] }
 
 func (c *controller) retire(m *retire) {
-	c.owner.Give(c.now())
+	c.owner.Retire(c.now())
 	c.writer.retired = m.done
 	if c.jobs == nil {
 		m.done.Put(true)
--- a/internal/jobdaemon/writer.go
+++ b/internal/jobdaemon/writer.go
@@ -79,7 +79,7 @@
 	txn, err := c.batchTxn(owner, batch)
 	if err != nil {
 		event.Log(c.log, event.RowUnreadable, log.Fields{"key": ownerKey, "error": err.Error()})
-		c.jobs.Failed()
+		c.jobs.BatchFailed()
 		return
 	}
 	w.busy, w.pendingAt = true, 0
@@ -119,8 +119,8 @@
 	for _, id := range b.Removed {
 		txn.Deletes = append(txn.Deletes, progressKey(id))
 	}
-	if b.Harms != nil {
-		value, err := wire.EncodeInterference(b.Harms)
+	if b.Interference != nil {
+		value, err := wire.EncodeInterference(b.Interference)
 		if err != nil {
 			return txn, err
 		}
@@ -165,9 +165,9 @@
 		c.batchCommitted(m, r.revision)
 	case table.Conflict:
 		w.busy = false
-		c.jobs.Failed()
+		c.jobs.BatchFailed()
 		w.retired.Put(true)
-		c.owner.Beaten(c.now())
+		c.owner.Superseded(c.now())
 	default:
 		event.Log(c.log, event.OwnerStoreFailed, log.Fields{"epoch": m.epoch, "outcome": r.outcome.String()})
 		m.txn.Checks[0].Version = w.version
@@ -200,7 +200,7 @@
 func (c *controller) batchCommitted(m *batchStored, version table.Revision) {
 	w := &c.writer
 	w.busy, w.pause, w.version, w.owner.Sequence = false, 0, version, m.owner.Sequence
-	c.jobs.Committed()
+	c.jobs.BatchCommitted()
 	if m.owner.Name != "" {
 		return
 	}
@@ -212,7 +212,7 @@
 
 // flushLast sends what the last batch released.
 func (c *controller) flushLast() {
-	for _, s := range c.jobs.Sends() {
+	for _, s := range c.jobs.Messages() {
 		c.toHost(s)
 	}
 	c.publish(c.jobs.Phases())
--- a/internal/jobs/core.go
+++ b/internal/jobs/core.go
@@ -21,8 +21,8 @@
 	Lapse     = LeaseTime + LeaseTime/50 + 300*time.Millisecond
 )
 
-// ToHost is a message for the agent of a host.
-type ToHost struct {
+// HostMessage is a message for the agent of a host.
+type HostMessage struct {
 	Host    workload.HostName
 	Message msg.Control
 }
@@ -42,13 +42,13 @@
 
 // Kinds of decisions.
 const (
-	JobTaken DecisionKind = iota
-	JobOver
+	JobAdmitted DecisionKind = iota
+	JobEnded
 	RunOrdered
-	RunOver
+	RunEnded
 	RunStopped
 	HostChanged
-	TaskWaits
+	TaskUnplaced
 )
 
 // Core is the state of an owner. It belongs to one goroutine.
@@ -72,7 +72,7 @@
 	writing   *Batch
 	recovered time.Duration // recovered tasks whose runs are unknown start after it
 
-	sends     []ToHost
+	sends     []HostMessage
 	phases    []msg.JobPhase
 	decisions []Decision
 }
@@ -92,8 +92,8 @@
 // Advance sets the time. Call it before each event.
 func (c *Core) Advance(now time.Duration, wallMS int64) { c.now, c.wall = now, wallMS }
 
-// Sends returns the messages for agents since the last call.
-func (c *Core) Sends() []ToHost {
+// Messages returns the messages for agents since the last call.
+func (c *Core) Messages() []HostMessage {
 	out := c.sends
 	c.sends = nil
 	return out
@@ -124,7 +124,7 @@
 }
 
 func (c *Core) send(h *host, m msg.Control) {
-	c.sends = append(c.sends, ToHost{h.info.Name, m})
+	c.sends = append(c.sends, HostMessage{h.info.Name, m})
 }
 
 func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
@@ -145,7 +145,7 @@
 			c.remove(j)
 		}
 	}
-	c.contention.Forget(c.now)
+	c.contention.DropIdleGroups(c.now)
 	for id, at := range c.cancelled {
 		if c.now-at > keepCancelled {
 			delete(c.cancelled, id)
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -282,8 +282,8 @@
 	h.core.settleRecovery()
 }
 
-// Changed takes what an agent reports of its runs.
-func (c *Core) Changed(name workload.HostName, m *msg.RunsChanged) {
+// RunsChanged takes what an agent reports of its runs.
+func (c *Core) RunsChanged(name workload.HostName, m *msg.RunsChanged) {
 	h, ok := c.hosts[name]
 	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
 		return
@@ -316,8 +316,8 @@
 	}
 }
 
-// Progress takes the report of an agent's runs and grants their lease.
-func (c *Core) Progress(name workload.HostName, m *msg.RunsProgress) {
+// RunsProgress takes the report of an agent's runs and grants their lease.
+func (c *Core) RunsProgress(name workload.HostName, m *msg.RunsProgress) {
 	h, ok := c.hosts[name]
 	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
 		return
--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Expect names a host of the stored list, on which runs of a former owner may
+// ExpectHost names a host of the stored list, on which runs of a former owner may
 // go on.
-func (c *Core) Expect(name workload.HostName) {
+func (c *Core) ExpectHost(name workload.HostName) {
 	_, known := c.hosts[name]
 	h := c.host(name)
 	h.expected = true
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -62,7 +62,7 @@
 		}
 		seen[j.spec.ID] = true
 		load := h.core.contention.Load(loadGroup(j), h.core.now+lookAhead)
-		list = append(list, neighbour{contention.Image(spec.Image), contention.Room(load)})
+		list = append(list, neighbour{contention.Image(spec.Image), contention.PressureBudget(load)})
 	}
 	return list
 }
@@ -74,7 +74,7 @@
 	fit := math.Inf(1)
 	share := h.fillerShare(t)
 	for _, n := range h.neighbours() {
-		harm := h.core.contention.Harm(contention.Pair{Serving: n.image, Filler: contention.Image(t.step.spec.Image)})
+		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
 		fit = min(fit, max(0, n.room-h.pressureUpTo(n, harm))/max(leastPressure, share*harm))
 	}
 	return fit
@@ -88,7 +88,7 @@
 		if !r.task.step.spec.BestEffort {
 			continue
 		}
-		harm := h.core.contention.Harm(contention.Pair{Serving: n.image, Filler: contention.Image(r.task.step.spec.Image)})
+		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
 		if harm <= limit {
 			sum += harm * h.fillerShare(r.task)
 		}
@@ -99,7 +99,7 @@
 // fillerShare is the part of the host's processors that a filler uses at full
 // pace.
 func (h *host) fillerShare(t *task) float64 {
-	return h.share(contention.DemandShare * float64(t.step.spec.Need.MilliCPU))
+	return h.share(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
 }
 
 // leastPressure keeps fillers without declared processors finite.
@@ -125,7 +125,7 @@
 	var list []msg.Interference
 	c.contention.Harms(func(p contention.Pair, value float64) {
 		if want(p) {
-			list = append(list, msg.Interference{ServingImage: string(p.Serving), BestEffortImage: string(p.Filler), Coefficient: value})
+			list = append(list, msg.Interference{ServingImage: string(p.Serving), BestEffortImage: string(p.BestEffort), Coefficient: value})
 		}
 	})
 	sort.Slice(list, func(i, k int) bool {
@@ -154,9 +154,9 @@
 	return list[:min(len(list), maxStoredHarms)]
 }
 
-// RestoreHarms takes what a former owner had learned.
-func (c *Core) RestoreHarms(harms []msg.Interference) {
+// RestoreInterference takes what a former owner had learned.
+func (c *Core) RestoreInterference(harms []msg.Interference) {
 	for _, h := range harms {
-		c.contention.Restore(contention.Pair{Serving: contention.Image(h.ServingImage), Filler: contention.Image(h.BestEffortImage)}, h.Coefficient)
+		c.contention.Restore(contention.Pair{Serving: contention.Image(h.ServingImage), BestEffort: contention.Image(h.BestEffortImage)}, h.Coefficient)
 	}
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -129,7 +129,7 @@
 	j.overAtMS = j.core.wall
 	j.removeAt = j.core.now + keepOver
 	j.touch()
-	j.core.note(Decision{Kind: JobOver, Job: j.spec.ID, Detail: j.phase().String(), Age: j.core.now - j.since})
+	j.core.note(Decision{Kind: JobEnded, Job: j.spec.ID, Detail: j.phase().String(), Age: j.core.now - j.since})
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			delete(j.core.ready, t)
@@ -160,7 +160,7 @@
 	if p != nil {
 		j.restore(p)
 	}
-	c.note(Decision{Kind: JobTaken, Job: spec.ID, Detail: j.phase().String()})
+	c.note(Decision{Kind: JobAdmitted, Job: spec.ID, Detail: j.phase().String()})
 	if _, gone := c.cancelled[spec.ID]; gone {
 		delete(c.cancelled, spec.ID)
 		j.step(evCancel)
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -82,7 +82,7 @@
 	w.link(readyHost("a", 4000))
 	w.core.Submit(newSpec("j", s))
 	w.settle()
-	w.core.Progress("a", &msg.RunsProgress{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Runs: []msg.RunStatus{
+	w.core.RunsProgress("a", &msg.RunsProgress{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Runs: []msg.RunStatus{
 		{Run: runID("j", 0, 0, 1), Checkpoint: "half", ProgressPercent: 50, CPULimitPercent: 100},
 	}})
 	w.link(readyHost("b", 4000))
@@ -116,7 +116,7 @@
 func TestNewOwnerStartsOnlyWhatSurelyDoesNotRun(t *testing.T) {
 	w := newWorld(t, 2)
 	w.core.Restore(newSpec("j", tasks(2, 1000)), nil)
-	w.core.Expect("b")
+	w.core.ExpectHost("b")
 	w.core.Recover()
 	w.link(readyHost("a", 4000), msg.RunStatus{Run: runID("j", 0, 0, 1)})
 	require.Empty(t, w.started, "host b may still run the second task")
@@ -133,7 +133,7 @@
 func TestRecoveryEndsWithoutAHostThatStaysAway(t *testing.T) {
 	w := newWorld(t, 2)
 	w.core.Restore(newSpec("j", tasks(1, 1000)), nil)
-	w.core.Expect("b")
+	w.core.ExpectHost("b")
 	w.core.Recover()
 	w.link(readyHost("a", 4000))
 	w.advance(Lapse - 200*time.Millisecond)
@@ -213,7 +213,7 @@
 	w.settle()
 	w.end(runID("j", 0, 0, 1), workload.EndDone, "")
 	w.core.NextBatch()
-	w.core.Failed()
+	w.core.BatchFailed()
 	w.settle()
 	require.Equal(t, workload.Running, w.last("j"))
 	pending, urgent := w.core.Pending()
@@ -228,7 +228,7 @@
 	w.link(readyHost("a", 4000))
 	w.core.Submit(newSpec("j", tasks(1, 1000)))
 	w.settle()
-	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Refused: []workload.RunID{runID("j", 0, 0, 1)}})
+	w.core.RunsChanged("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Refused: []workload.RunID{runID("j", 0, 0, 1)}})
 	w.settle()
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
@@ -246,7 +246,7 @@
 	require.True(t, pending && urgent)
 	b := w.core.NextBatch()
 	require.Equal(t, []workload.HostName{"a"}, b.Hosts)
-	w.core.Committed()
+	w.core.BatchCommitted()
 	w.settle()
 	require.Len(t, w.started, 1)
 }
@@ -272,7 +272,7 @@
 	next := newWorld(t, 2)
 	next.core.Restore(newSpec("j", tasks(1, 1000)), nil)
 	next.core.Linked(workload.Host{Name: "b"}) // its agent knows no backend server
-	next.core.Expect("a")
+	next.core.ExpectHost("a")
 	next.core.Recover()
 	next.link(readyHost("a", 4000))
 	require.Len(t, next.started, 1)
--- a/internal/jobs/move_test.go
+++ b/internal/jobs/move_test.go
@@ -28,8 +28,8 @@
 // serving task that it does not harm.
 func besideServing(t *testing.T, checkpointing bool) (*world, workload.RunID) {
 	w := newWorld(t, 1)
-	w.core.contention.Teach(contention.Pair{Serving: "desk", Filler: "batch"}, 2)
-	w.core.contention.Teach(contention.Pair{Serving: "watch", Filler: "batch"}, 0.05)
+	w.core.contention.SetCoefficient(contention.Pair{Serving: "desk", BestEffort: "batch"}, 2)
+	w.core.contention.SetCoefficient(contention.Pair{Serving: "watch", BestEffort: "batch"}, 0.05)
 	w.link(readyHost("a", 8000))
 	w.core.Submit(newSpec("s1", serving("desk")))
 	w.settle()
@@ -37,7 +37,7 @@
 	w.advance(2 * time.Second) // no host bears the filler; it starts after its patience
 	filler := runID("f", 0, 0, 1)
 	require.EqualValues(t, "a", w.started[filler])
-	w.core.Changed("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Started: []workload.RunID{filler, runID("s1", 0, 0, 1)}})
+	w.core.RunsChanged("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Started: []workload.RunID{filler, runID("s1", 0, 0, 1)}})
 	return w, filler
 }
 
@@ -53,7 +53,7 @@
 
 // report tells that the filler works at a share of its speed.
 func (w *world) report(filler workload.RunID, pace int) {
-	w.core.Progress("a", &msg.RunsProgress{
+	w.core.RunsProgress("a", &msg.RunsProgress{
 		Epoch: 1, Instance: "i-a", StartedAtMS: 1, ClockMS: w.now.Milliseconds(),
 		Runs: []msg.RunStatus{{Run: filler, CPULimitPercent: pace, Checkpoint: "c1"}, {Run: runID("s1", 0, 0, 1), Usage: 60}},
 	})
@@ -102,8 +102,8 @@
 // that are held anyway: the agent holds the most harmful first.
 func TestHeldFillersDoNotTakeRoom(t *testing.T) {
 	w := newWorld(t, 1)
-	w.core.contention.Teach(contention.Pair{Serving: "desk", Filler: "loud"}, 2)
-	w.core.contention.Teach(contention.Pair{Serving: "desk", Filler: "calm"}, 0.05)
+	w.core.contention.SetCoefficient(contention.Pair{Serving: "desk", BestEffort: "loud"}, 2)
+	w.core.contention.SetCoefficient(contention.Pair{Serving: "desk", BestEffort: "calm"}, 0.05)
 	w.link(readyHost("a", 8000))
 	w.core.Submit(newSpec("s", serving("desk")))
 	loud := filling("loud", false)
@@ -120,17 +120,17 @@
 // of serving tasks, what fillers do to them, and against a row that is
 // rewritten with each batch.
 func TestHarmsSurviveAChangeOfOwner(t *testing.T) {
-	pair := contention.Pair{Serving: "desk", Filler: "batch"}
+	pair := contention.Pair{Serving: "desk", BestEffort: "batch"}
 	w, _ := besideServing(t, true)
-	w.core.contention.Teach(pair, 2)
+	w.core.contention.SetCoefficient(pair, 2)
 	w.advance(harmsInterval)
-	stored := w.core.NextBatch().Harms
-	w.core.Committed()
+	stored := w.core.NextBatch().Interference
+	w.core.BatchCommitted()
 	require.Contains(t, stored, msg.Interference{ServingImage: "desk", BestEffortImage: "batch", Coefficient: 2})
-	require.Nil(t, w.core.NextBatch().Harms, "they are young")
-	w.core.Committed()
+	require.Nil(t, w.core.NextBatch().Interference, "they are young")
+	w.core.BatchCommitted()
 
 	next := New(2, 0)
-	next.RestoreHarms(stored)
-	require.Equal(t, 2.0, next.contention.Harm(pair))
+	next.RestoreInterference(stored)
+	require.Equal(t, 2.0, next.contention.Coefficient(pair))
 }
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -119,7 +119,7 @@
 			parts = append(parts, fmt.Sprintf("%s=%d", r, against[r]))
 		}
 	}
-	t.step.job.core.note(Decision{Kind: TaskWaits, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
+	t.step.job.core.note(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
 }
 
 func (h *host) start(t *task) {
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -104,7 +104,7 @@
 
 func (r *run) settleEnd() {
 	c := r.core()
-	c.note(Decision{Kind: RunOver, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.end.Reason.String(), Age: c.now - r.ordered})
+	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.end.Reason.String(), Age: c.now - r.ordered})
 	r.release()
 	if r.end.Checkpoint != "" {
 		r.task.checkpoint = r.end.Checkpoint
@@ -130,14 +130,14 @@
 
 func (r *run) settleRefused() {
 	c := r.core()
-	c.note(Decision{Kind: RunOver, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "refused", Age: c.now - r.ordered})
+	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "refused", Age: c.now - r.ordered})
 	r.release()
 	r.task.release()
 }
 
 func (r *run) settleLost() {
 	c := r.core()
-	c.note(Decision{Kind: RunOver, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "lost", Age: c.now - r.ordered})
+	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "lost", Age: c.now - r.ordered})
 	if r.status.Checkpoint != "" {
 		r.task.checkpoint = r.status.Checkpoint
 	}
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -20,11 +20,11 @@
 // Batch is what one transaction stores. After it has been committed the ends
 // that it covers are acknowledged and its final phases are shown.
 type Batch struct {
-	Writes  []Write
-	Removed []workload.JobID
-	Hosts   []workload.HostName // the list of hosts; nil: as it is stored
-	Harms   []msg.Interference  // of fillers; nil: as they are stored
-	ends    map[workload.HostName]takenEnds
+	Writes       []Write
+	Removed      []workload.JobID
+	Hosts        []workload.HostName // the list of hosts; nil: as it is stored
+	Interference []msg.Interference  // of fillers; nil: as they are stored
+	ends         map[workload.HostName]takenEnds
 }
 
 type takenEnds struct {
@@ -82,7 +82,7 @@
 	if hosts, changed := c.hostsToStore(); changed {
 		b.Hosts = append([]workload.HostName{}, hosts...)
 	}
-	b.Harms = c.harmsToStore()
+	b.Interference = c.harmsToStore()
 	c.writing = b
 	return b
 }
@@ -90,8 +90,8 @@
 // rowsPerJob is how many rows a job has: itself, its cancellation, its progress.
 const rowsPerJob = 3
 
-// Committed says that the batch under way is stored.
-func (c *Core) Committed() {
+// BatchCommitted says that the batch under way is stored.
+func (c *Core) BatchCommitted() {
 	b := c.writing
 	c.writing = nil
 	for _, w := range b.Writes {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Failed says that the batch under way was not stored.
-func (c *Core) Failed() {
+// BatchFailed says that the batch under way was not stored.
+func (c *Core) BatchFailed() {
 	b := c.writing
 	c.writing = nil
 	for _, w := range b.Writes {
--- a/internal/jobs/world_test.go
+++ b/internal/jobs/world_test.go
@@ -48,7 +48,7 @@
 // settle applies what the core decided until nothing is left to do.
 func (w *world) settle() {
 	w.core.Plan()
-	for _, s := range w.core.Sends() {
+	for _, s := range w.core.Messages() {
 		w.inbox[s.Host] = append(w.inbox[s.Host], s.Message)
 		switch m := s.Message.(type) {
 		case *msg.StartRuns:
@@ -95,7 +95,7 @@
 func (w *world) end(run workload.RunID, reason workload.EndReason, checkpoint string) {
 	name := w.started[run]
 	w.ends[name]++
-	w.core.Changed(name, &msg.RunsChanged{
+	w.core.RunsChanged(name, &msg.RunsChanged{
 		Epoch: w.core.epoch, Instance: workload.Instance("i-" + string(name)), StartedAtMS: 1,
 		Ended: []msg.RunEnd{{Number: w.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
 	})
@@ -104,7 +104,7 @@
 
 func (w *world) store() {
 	w.core.NextBatch()
-	w.core.Committed()
+	w.core.BatchCommitted()
 	w.settle()
 }
 
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Heard takes an owner and its epoch from a peer or an agent.
-func (c *Core) Heard(owner string, epoch uint64, now time.Duration) {
+// OwnerObserved takes an owner and its epoch from a peer or an agent.
+func (c *Core) OwnerObserved(owner string, epoch uint64, now time.Duration) {
 	c.now = now
 	if epoch < c.epoch || epoch == c.epoch && owner != "" {
 		return
@@ -165,8 +165,8 @@
 	}
 }
 
-// Outranked takes an epoch of which the owner is not known.
-func (c *Core) Outranked(epoch uint64, now time.Duration) {
+// EpochObserved takes an epoch of which the owner is not known.
+func (c *Core) EpochObserved(epoch uint64, now time.Duration) {
 	c.now = now
 	if epoch <= c.epoch {
 		return
@@ -208,15 +208,15 @@
 	}
 }
 
-// Beaten says that a write showed another owner.
-func (c *Core) Beaten(now time.Duration) {
+// Superseded says that a write showed another owner.
+func (c *Core) Superseded(now time.Duration) {
 	c.now = now
 	c.since = now
 	c.step(evBeaten)
 }
 
-// Give ends the entry's part: it releases the jobs if it owns them.
-func (c *Core) Give(now time.Duration) {
+// Retire ends the entry's part: it releases the jobs if it owns them.
+func (c *Core) Retire(now time.Duration) {
 	c.now = now
 	c.step(evGive)
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -75,7 +75,7 @@
 	require.False(t, b.Owns(), "a link that was reset returns sooner")
 	r.advance(&now, 300*time.Millisecond, b)
 	require.True(t, b.Owns())
-	a.Heard("b", b.Epoch(), now)
+	a.OwnerObserved("b", b.Epoch(), now)
 	require.False(t, a.Owns())
 	require.Contains(t, a.Effects(), End)
 }
@@ -98,10 +98,10 @@
 	a.PeerUp("b")
 	b.PeerUp("a")
 	r.advance(&now, 3*time.Second, a, b)
-	a.Give(now)
+	a.Retire(now)
 	require.Contains(t, a.Effects(), Release)
 	r.owner, r.version = workload.Owner{Epoch: 1}, r.version+1
-	b.Heard("", 1, now)
+	b.OwnerObserved("", 1, now)
 	r.advance(&now, 400*time.Millisecond, b)
 	require.True(t, b.Owns())
 }
--- a/internal/policy/contention/contention.go
+++ b/internal/policy/contention/contention.go
@@ -15,13 +15,13 @@
 type Image string
 
 // Pair is a filler's image beside a serving task's.
-type Pair struct{ Serving, Filler Image }
+type Pair struct{ Serving, BestEffort Image }
 
 // Group names serving tasks that share their load: those of one job.
 type Group string
 
-// DemandShare of the processors that fillers declare is what they use.
-const DemandShare = 0.85
+// UsedShare of the processors that fillers declare is what they use.
+const UsedShare = 0.85
 
 // UnknownHarm is that of a filler of which nothing has been measured.
 const UnknownHarm = 0.3
@@ -46,9 +46,9 @@
 	return min(mostBusy, max(leastBusy, 1-idleShare*float64(target)/float64(latency)))
 }
 
-// Room is the pressure that a serving task of a load bears below the latency
+// PressureBudget is the pressure that a serving task of a load bears below the latency
 // that fillers may push it to.
-func Room(load float64) float64 {
+func PressureBudget(load float64) float64 {
 	const aimBusy = 1 - idleShare/aimShare
 	return max(0, aimBusy-load)
 }
@@ -117,9 +117,9 @@
 	return &Model{groups: map[Group]*load{}, pairs: map[Pair]*harm{}}
 }
 
-// NewTaughtModel returns a model that learns loads only. The samples of one
+// NewLoadModel returns a model that learns loads only. The samples of one
 // host cannot tell harm from load, so the harms come from Teach.
-func NewTaughtModel() *Model {
+func NewLoadModel() *Model {
 	m := NewModel()
 	m.taught = true
 	return m
@@ -214,9 +214,9 @@
 	return min(mostLoad, max(leastLoad, l.value+l.slope*ahead))
 }
 
-// Harm returns the pressure of a filler that uses a whole host on a serving
+// Coefficient returns the pressure of a filler that uses a whole host on a serving
 // task.
-func (m *Model) Harm(p Pair) float64 {
+func (m *Model) Coefficient(p Pair) float64 {
 	if h, ok := m.pairs[p]; ok {
 		return h.value
 	}
@@ -230,16 +230,16 @@
 	}
 }
 
-// Teach sets the harm of a pair to what another model has learned from more
+// SetCoefficient sets the harm of a pair to what another model has learned from more
 // hosts.
-func (m *Model) Teach(p Pair, value float64) {
+func (m *Model) SetCoefficient(p Pair, value float64) {
 	m.pair(p).value = min(mostHarm, max(leastHarm, value))
 }
 
 // Restore sets the harm of a pair to what a former model had learned. Samples
 // change it, though less than one that is not known.
 func (m *Model) Restore(p Pair, value float64) {
-	m.Teach(p, value)
+	m.SetCoefficient(p, value)
 	m.pair(p).variance = restoredVariance
 }
 
@@ -247,13 +247,13 @@
 func (m *Model) Pressure(serving Image, shares map[Image]float64) float64 {
 	sum := 0.0
 	for i, share := range shares {
-		sum += m.Harm(Pair{serving, i}) * share
+		sum += m.Coefficient(Pair{serving, i}) * share
 	}
 	return sum
 }
 
-// Forget drops groups without recent samples.
-func (m *Model) Forget(now time.Duration) {
+// DropIdleGroups drops groups without recent samples.
+func (m *Model) DropIdleGroups(now time.Duration) {
 	for g, l := range m.groups {
 		if now-l.at > forgetAfter {
 			delete(m.groups, g)
--- a/internal/policy/contention/contention_test.go
+++ b/internal/policy/contention/contention_test.go
@@ -64,7 +64,7 @@
 		f, m := newFleet(seed), NewModel()
 		f.play(m, 30*time.Second)
 		for p, harm := range f.harms {
-			require.InDelta(t, harm, m.Harm(p), 0.35, "seed %d, pair %v", seed, p)
+			require.InDelta(t, harm, m.Coefficient(p), 0.35, "seed %d, pair %v", seed, p)
 		}
 	}
 }
@@ -85,11 +85,11 @@
 // Guards against an agent that takes its serving tasks' own crest for harm: it
 // sees one host only.
 func TestTaughtModelKeepsItsHarms(t *testing.T) {
-	f, m := newFleet(1), NewTaughtModel()
-	m.Teach(Pair{"desk", "a"}, 0.1)
+	f, m := newFleet(1), NewLoadModel()
+	m.SetCoefficient(Pair{"desk", "a"}, 0.1)
 	f.play(m, 10*time.Second)
-	require.Equal(t, 0.1, m.Harm(Pair{"desk", "a"}))
-	require.Equal(t, UnknownHarm, m.Harm(Pair{"desk", "new"}))
+	require.Equal(t, 0.1, m.Coefficient(Pair{"desk", "a"}))
+	require.Equal(t, UnknownHarm, m.Coefficient(Pair{"desk", "new"}))
 }
 
 // Guards against division by nothing: tasks without a figure, without a target
@@ -101,14 +101,14 @@
 			require.True(t, b >= leastBusy && b <= mostBusy, "%v %v: %v", latency, goal, b)
 		}
 	}
-	require.Zero(t, Room(1))
+	require.Zero(t, PressureBudget(1))
 }
 
 // Guards against groups of jobs that ended long ago filling the memory.
 func TestModelForgetsGroups(t *testing.T) {
 	f, m := newFleet(1), NewModel()
 	now := f.play(m, time.Second)
-	m.Forget(now + forgetAfter + time.Second)
+	m.DropIdleGroups(now + forgetAfter + time.Second)
 	require.Empty(t, m.groups)
 	require.NotEmpty(t, m.pairs)
 }
@@ -118,5 +118,5 @@
 	f, m := newFleet(1), NewModel()
 	m.Restore(Pair{"desk", "a"}, 2)
 	f.play(m, 60*time.Second)
-	require.InDelta(t, 0.1, m.Harm(Pair{"desk", "a"}), 0.4)
+	require.InDelta(t, 0.1, m.Coefficient(Pair{"desk", "a"}), 0.4)
 }
--- a/internal/policy/hostselect/hostselect.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -79,7 +79,7 @@
 	capacity := float64(max(1, h.Info.Capacity.MilliCPU))
 	others := capacity - float64(h.Free.MilliCPU)
 	fillers := float64(h.FillerCPU + t.Step.Need.MilliCPU)
-	return (servingUse*others + contention.DemandShare*fillers) / capacity
+	return (servingUse*others + contention.UsedShare*fillers) / capacity
 }
 
 // reservedShare of a host's processors is kept for tasks of the first
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -7,16 +7,16 @@
 
 // Durations of leases and of ownership.
 const (
-	TTL         = 30 * time.Second // lease of all attempts of a cell on an agent
-	RenewEvery  = 5 * time.Second
-	WorkerTTL   = 15 * time.Second // the worker's own lease of one task
-	BeatEvery   = 2 * time.Second
-	HoldAfter   = 4 * time.Second // without a written heartbeat the owner stops placing
-	OwnerExpiry = 6 * time.Second // an unchanged heartbeat lets a successor claim
-	// HoldBound and LongHoldBound limit how long an owner that cannot write its
+	TTL               = 30 * time.Second // lease of all attempts of a cell on an agent
+	RenewInterval     = 5 * time.Second
+	WorkerTTL         = 15 * time.Second // the worker's own lease of one task
+	HeartbeatInterval = 2 * time.Second
+	StopPlacingAfter  = 4 * time.Second // without a written heartbeat the owner stops placing
+	OwnerExpiry       = 6 * time.Second // an unchanged heartbeat lets a successor claim
+	// RenewalLimit and LongHoldBound limit how long an owner that cannot write its
 	// heartbeat renews the leases of running tasks.
-	HoldBound     = 10 * time.Minute
-	LongHoldBound = 30 * time.Minute
+	RenewalLimit     = 10 * time.Minute
+	LongRenewalLimit = 30 * time.Minute
 	// PauseGap is the lateness of its own timer from which a process counts as
 	// having been paused.
 	PauseGap = 2 * time.Second
@@ -41,14 +41,14 @@
 // SuccessorWait is how long after its claim a successor must wait for attempts
 // on an agent that it cannot reach: the old owner may renew them until its
 // hold bound.
-func SuccessorWait(long bool) time.Duration { return Certain(HoldBoundOf(long)) + AttemptEnd(TTL) }
+func SuccessorWait(long bool) time.Duration { return Certain(RenewalLimitOf(long)) + AttemptEnd(TTL) }
 
-// HoldBoundOf returns the hold bound of a kind of work.
-func HoldBoundOf(long bool) time.Duration {
+// RenewalLimitOf returns the hold bound of a kind of work.
+func RenewalLimitOf(long bool) time.Duration {
 	if long {
-		return LongHoldBound
+		return LongRenewalLimit
 	}
-	return HoldBound
+	return RenewalLimit
 }
 
 // Grants is a granter's record for one agent. A renewal carries a sequence
@@ -142,9 +142,9 @@
 // it granted stays valid until its end.
 func (h *Holder) NewGranter() { h.seq, h.basis = 0, false }
 
-// Suspect makes the lease count as expired until a renewal that was sent after
+// Invalidate makes the lease count as expired until a renewal that was sent after
 // now confirms it.
-func (h *Holder) Suspect() {
+func (h *Holder) Invalidate() {
 	h.basis = false
 	h.until = [2]time.Duration{}
 }
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -23,7 +23,7 @@
 				h.Receive(rate(now+delay), seq, TTL, TTL)
 				end := h.Until(false)
 				require.LessOrEqual(t, end, rate(g.Until(false)), "delay %v back %v sent %v", delay, back, sent)
-				now += delay + back + RenewEvery
+				now += delay + back + RenewInterval
 				g.Ack(seq)
 			}
 		}
@@ -39,7 +39,7 @@
 	h.Receive(6*time.Second, 2, TTL, 2*TTL)
 	require.Equal(t, 31*time.Second, h.Until(false))
 	require.Equal(t, 61*time.Second, h.Until(true))
-	h.Suspect()
+	h.Invalidate()
 	h.Receive(20*time.Second, 3, TTL, TTL)
 	require.False(t, h.Valid(20*time.Second, false), "3 may have been sent before the pause")
 	h.Receive(21*time.Second, 3, TTL, TTL)
@@ -58,10 +58,10 @@
 		require.Equal(t, fresh, f)
 	}
 	renew(0, TTL, TTL, 1, true)
-	renew(RenewEvery, TTL, TTL, 1, false)
+	renew(RenewInterval, TTL, TTL, 1, false)
 	require.True(t, g.Ack(1))
 	require.False(t, g.Ack(1))
-	renew(2*RenewEvery, 0, TTL, 2, true)
+	renew(2*RenewInterval, 0, TTL, 2, true)
 	require.Equal(t, AttemptEnd(TTL), g.Until(false), "a repetition extends nothing")
-	require.Equal(t, 2*RenewEvery+AttemptEnd(TTL), g.Until(true))
+	require.Equal(t, 2*RenewInterval+AttemptEnd(TTL), g.Until(true))
 }
--- a/internal/taskagent/core.go
+++ b/internal/taskagent/core.go
@@ -13,7 +13,7 @@
 
 const (
 	workerTTL   = lease.WorkerTTL
-	renewEvery  = lease.RenewEvery
+	renewEvery  = lease.RenewInterval
 	listEvery   = time.Second      // bounds how late the end of a task is noticed
 	usageEvery  = 10 * time.Second // the platform's usage lags by at least that much
 	maxAttempts = 65536            // attempts remembered, kept ones included
@@ -182,7 +182,7 @@
 	if c.lease.Valid(c.now, false) || c.lease.Valid(c.now, true) {
 		c.confirmBy = c.now + workerTTL
 	}
-	c.lease.Suspect()
+	c.lease.Invalidate()
 	c.sendInventory(c.owner)
 }
 
--- a/internal/taskagent/core_test.go
+++ b/internal/taskagent/core_test.go
@@ -151,12 +151,12 @@
 	s := newScript(t).running()
 	s.now += 3 * time.Second
 	s.do(Paused{})
-	s.wait(lease.RenewEvery)
+	s.wait(lease.RenewInterval)
 	_, n := effect[CallRenew](s)
 	require.Zero(t, n)
 	_, n = effect[CallStop](s)
 	require.Zero(t, n)
-	s.renew("a", 1).wait(lease.RenewEvery)
+	s.renew("a", 1).wait(lease.RenewInterval)
 	_, n = effect[CallRenew](s)
 	require.Equal(t, 1, n)
 	s.now += 3 * time.Second
