--- a/cmd/bamboojobd/main.go
+++ b/cmd/bamboojobd/main.go
@@ -111,7 +111,7 @@
 		event.Log(log.Log, event.AnnounceRefused, log.Fields{"instance": id, "error": err.Error()})
 	}
 	return jobdaemon.StartAgent(g, jobdaemon.AgentConfig{
-		Guard: hostagent.Config{
+		Core: hostagent.Config{
 			Name: workload.HostName(n.Name), DataCentre: workload.DataCentre(n.DataCentre), OwnerLease: n.MaxLease, RunLease: runLease,
 			Token: hostagent.FirstToken(time.Now().UnixMilli()),
 		},
--- a/internal/jobdaemon/agent.go
+++ b/internal/jobdaemon/agent.go
@@ -20,7 +20,7 @@
 
 // AgentConfig holds what an agent is started with.
 type AgentConfig struct {
-	Guard    hostagent.Config
+	Core     hostagent.Config
 	Boot     uint64
 	Registry string // address at which the backend server announces itself
 	Metrics  string
@@ -90,7 +90,7 @@
 // StartAgent starts an agent. It ends with g.
 func StartAgent(g *actor.Group, cfg AgentConfig) (*Agent, error) {
 	a := &agent{
-		guard: hostagent.New(cfg.Guard), log: cfg.Log, began: time.Now(), links: map[linkID]peer.Out{},
+		guard: hostagent.New(cfg.Core), log: cfg.Log, began: time.Now(), links: map[linkID]peer.Out{},
 		entries: map[linkID]*msg.PeerHello{}, known: map[string]msg.Member{}, published: &published{},
 	}
 	a.calls = actor.Spawn(g, actor.Spec[hostagent.Call]{Name: "callers", Mailbox: callMailbox, Run: func(ctx context.Context, in <-chan hostagent.Call) error {
@@ -107,13 +107,13 @@
 	if _, err := serveMetrics(g, cfg.Metrics, metrics.Start(g)); err != nil {
 		return nil, err
 	}
-	event.Log(cfg.Log, event.NodeStarted, log.Fields{"name": string(cfg.Guard.Name), "role": "agent", "seeds": cfg.Seeds})
+	event.Log(cfg.Log, event.NodeStarted, log.Fields{"name": string(cfg.Core.Name), "role": "agent", "seeds": cfg.Seeds})
 	return &Agent{a, cfg.Runner, cfg.Log}, nil
 }
 
 func (a *agent) startLinks(g *actor.Group, cfg AgentConfig) {
 	l := &links{group: g, send: a.address.Send, hello: func() *msg.PeerHello {
-		h := &msg.PeerHello{Member: msg.Member{Name: string(cfg.Guard.Name)}, Agent: true, Boot: cfg.Boot, DataCentre: cfg.Guard.DataCentre}
+		h := &msg.PeerHello{Member: msg.Member{Name: string(cfg.Core.Name)}, Agent: true, Boot: cfg.Boot, DataCentre: cfg.Core.DataCentre}
 		if epoch := a.published.epoch.Get(); epoch != nil {
 			h.Epoch = *epoch
 		}
