--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -82,8 +82,8 @@
 		c.answer(control.Observed{})
 	case control.Claim:
 		c.answer(control.Claimed{Won: true, Version: 1})
-	case control.Beat:
-		c.answer(control.Beaten{Fence: f.Fence, Sent: f.Sent, OK: true})
+	case control.WriteHeartbeat:
+		c.answer(control.HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: true})
 	case control.Scan:
 		c.answer(control.Scanned{Fence: f.Fence, Rows: c.unread, Through: c.revision})
 		c.unread = nil
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -56,8 +56,8 @@
 func answer(c *Core, now time.Duration, f Effect) {
 	var more []Effect
 	switch f := f.(type) {
-	case Beat:
-		more = c.Step(now, Beaten{Fence: f.Fence, Sent: f.Sent, OK: true})
+	case WriteHeartbeat:
+		more = c.Step(now, HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: true})
 	case Scan:
 		more = c.Step(now, Scanned{Fence: f.Fence, Through: f.After})
 	case Commit:
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -111,7 +111,7 @@
 		l.beating = true
 		l.counter++
 		l.beatAt = c.now + lease.BeatEvery
-		c.emit(Beat{Beat: c.beatRow(), Fence: l.epochVersion, Sent: c.now})
+		c.emit(WriteHeartbeat{Heartbeat: c.beatRow(), Fence: l.epochVersion, Sent: c.now})
 	}
 }
 
@@ -121,7 +121,7 @@
 	if l.state != stWatching {
 		return
 	}
-	changed := e.EpochVersion != l.epochVersion || e.BeatVersion != l.beatVersion
+	changed := e.EpochVersion != l.epochVersion || e.HeartbeatVersion != l.beatVersion
 	switch {
 	case e.Err != nil:
 		l.unchanged = 0
@@ -129,7 +129,7 @@
 	case !changed:
 		l.unchanged++
 	}
-	l.owner, l.epochVersion, l.beatVersion = e.Epoch, e.EpochVersion, e.BeatVersion
+	l.owner, l.epochVersion, l.beatVersion = e.Epoch, e.EpochVersion, e.HeartbeatVersion
 	if e.EpochVersion == 0 {
 		c.stepCell(evVacant)
 	} else if changed {
@@ -166,7 +166,7 @@
 	c.scan()
 }
 
-func (c *Core) onBeaten(e Beaten) {
+func (c *Core) onBeaten(e HeartbeatWritten) {
 	l := &c.cell
 	l.beating = false
 	switch {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -144,7 +144,7 @@
 		}
 		return s.commitRows(ctx, f.(Commit))
 	})
-	o.beats = o.helper(g, "beat", func(ctx context.Context, f Effect) Event { return s.beat(ctx, f.(Beat)) })
+	o.beats = o.helper(g, "beat", func(ctx context.Context, f Effect) Event { return s.beat(ctx, f.(WriteHeartbeat)) })
 	o.reads = o.helper(g, "reader", func(ctx context.Context, f Effect) Event {
 		if scan, ok := f.(Scan); ok {
 			return s.scan(ctx, scan)
@@ -209,9 +209,9 @@
 	case ConfigChanged:
 		return Configured(m)
 	case RowsChanged:
-		return Refreshed{}
+		return ScanRequested{}
 	case EvictJob:
-		return Evicted(m)
+		return EvictRequested(m)
 	case StatusQuery:
 		m.Reply.Put(o.core.Status())
 	case ExplainQuery:
@@ -229,7 +229,7 @@
 			event.Log(o.log, f.Event, f.Fields)
 		case Claim, Commit:
 			o.writes.TrySend(f)
-		case Beat:
+		case WriteHeartbeat:
 			o.beats.TrySend(f)
 		case Observe, Scan:
 			o.reads.TrySend(f)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -108,9 +108,9 @@
 		c.receive(e.Worker, e.Msg)
 	case Configured:
 		c.configure(e.Config)
-	case Evicted:
+	case EvictRequested:
 		c.evict(e.Job, e.Reason)
-	case Refreshed:
+	case ScanRequested:
 		if c.incumbent() {
 			c.scan()
 		}
@@ -127,7 +127,7 @@
 		c.onObserved(e)
 	case Claimed:
 		c.onClaimed(e)
-	case Beaten:
+	case HeartbeatWritten:
 		c.onBeaten(e)
 	case Scanned:
 		c.onScanned(e)
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -34,28 +34,28 @@
 	}
 	// Configured replaces the configuration that placement uses.
 	Configured struct{ Config Configuration }
-	// Evicted asks to evict a running job.
-	Evicted struct {
+	// EvictRequested asks to evict a running job.
+	EvictRequested struct {
 		Job    model.JobID
 		Reason string
 	}
-	// Refreshed asks to read the job rows at once.
-	Refreshed struct{}
+	// ScanRequested asks to read the job rows at once.
+	ScanRequested struct{}
 
 	// Observed answers Observe.
 	Observed struct {
-		Err          error
-		Epoch        rows.CellEpoch
-		EpochVersion storage.Revision // 0: the cell has never had an owner
-		BeatVersion  storage.Revision
+		Err              error
+		Epoch            rows.CellEpoch
+		EpochVersion     storage.Revision // 0: the cell has never had an owner
+		HeartbeatVersion storage.Revision
 	}
 	// Claimed answers Claim. Without Won, another entry was faster.
 	Claimed struct {
 		Won     bool
 		Version storage.Revision // of the epoch row
 	}
-	// Beaten answers Beat.
-	Beaten struct {
+	// HeartbeatWritten answers WriteHeartbeat.
+	HeartbeatWritten struct {
 		Fence  storage.Revision // as in the effect
 		Sent   time.Duration
 		OK     bool
@@ -106,8 +106,8 @@
 // Effect is an output of Core.
 type Effect interface{ isEffect() }
 
-// Effects of Core. At most one of each of Observe, Claim, Beat, Scan and
-// Commit is unanswered.
+// Effects of Core. At most one of each of Observe, Claim, WriteHeartbeat,
+// Scan and Commit is unanswered.
 type (
 	Send struct {
 		Worker model.WorkerID
@@ -120,11 +120,11 @@
 		Epoch   rows.CellEpoch
 		Version storage.Revision
 	}
-	// Beat writes the heartbeat row, fenced by the version of the epoch row.
-	Beat struct {
-		Beat  rows.CellHeartbeat
-		Fence storage.Revision
-		Sent  time.Duration
+	// WriteHeartbeat writes the heartbeat row, fenced by the version of the epoch row.
+	WriteHeartbeat struct {
+		Heartbeat rows.CellHeartbeat
+		Fence     storage.Revision
+		Sent      time.Duration
 	}
 	// Scan reads the job rows that changed after a revision.
 	Scan struct {
@@ -143,25 +143,25 @@
 	}
 )
 
-func (Tick) isEvent()       {}
-func (Paused) isEvent()     {}
-func (PeerUp) isEvent()     {}
-func (PeerDown) isEvent()   {}
-func (Received) isEvent()   {}
-func (Configured) isEvent() {}
-func (Evicted) isEvent()    {}
-func (Refreshed) isEvent()  {}
-func (Observed) isEvent()   {}
-func (Claimed) isEvent()    {}
-func (Beaten) isEvent()     {}
-func (Scanned) isEvent()    {}
-func (Committed) isEvent()  {}
-func (Rejected) isEvent()   {}
+func (Tick) isEvent()             {}
+func (Paused) isEvent()           {}
+func (PeerUp) isEvent()           {}
+func (PeerDown) isEvent()         {}
+func (Received) isEvent()         {}
+func (Configured) isEvent()       {}
+func (EvictRequested) isEvent()   {}
+func (ScanRequested) isEvent()    {}
+func (Observed) isEvent()         {}
+func (Claimed) isEvent()          {}
+func (HeartbeatWritten) isEvent() {}
+func (Scanned) isEvent()          {}
+func (Committed) isEvent()        {}
+func (Rejected) isEvent()         {}
 
-func (Send) isEffect()    {}
-func (Observe) isEffect() {}
-func (Claim) isEffect()   {}
-func (Beat) isEffect()    {}
-func (Scan) isEffect()    {}
-func (Commit) isEffect()  {}
-func (Log) isEffect()     {}
+func (Send) isEffect()           {}
+func (Observe) isEffect()        {}
+func (Claim) isEffect()          {}
+func (WriteHeartbeat) isEffect() {}
+func (Scan) isEffect()           {}
+func (Commit) isEffect()         {}
+func (Log) isEffect()            {}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -44,11 +44,11 @@
 	return &n
 }
 
-// Scale makes encodings of equivalent states equal: revisions and lease
+// Normalizer makes encodings of equivalent states equal: revisions and lease
 // sequence numbers matter only by their order and difference.
-type Scale struct {
-	Rank func(storage.Revision) int
-	Seq  func(w model.WorkerID, seq uint64) int64
+type Normalizer struct {
+	RevisionRank   func(storage.Revision) int
+	SequenceOffset func(w model.WorkerID, seq uint64) int64
 }
 
 // EachRevision calls f with the revisions that the state holds.
@@ -71,7 +71,7 @@
 
 // AppendState appends an encoding of the state that is equal for states with
 // the same future. Instants are relative to the last step.
-func (c *Core) AppendState(b []byte, s Scale) []byte {
+func (c *Core) AppendState(b []byte, s Normalizer) []byte {
 	e := encoder{b, c.now, s}
 	l := &c.cell
 	e.ints(int64(l.state), int64(l.owner.Epoch), int64(min(l.unchanged, witnesses)))
@@ -95,7 +95,7 @@
 type encoder struct {
 	b     []byte
 	now   time.Duration
-	scale Scale
+	scale Normalizer
 }
 
 func (e *encoder) ints(values ...int64) {
@@ -121,7 +121,7 @@
 
 func (e *encoder) revisions(values ...storage.Revision) {
 	for _, v := range values {
-		e.ints(int64(e.scale.Rank(v)))
+		e.ints(int64(e.scale.RevisionRank(v)))
 	}
 }
 
@@ -139,7 +139,7 @@
 	e.text(string(p.worker.ID))
 	e.ints(int64(p.state), int64(p.boot), int64(p.claimed), int64(min(p.rounds, leaseRounds)))
 	e.flags(p.confirmed, p.grants.Acked())
-	e.ints(e.scale.Seq(p.worker.ID, p.grants.Sequence()))
+	e.ints(e.scale.SequenceOffset(p.worker.ID, p.grants.Sequence()))
 	e.times(p.deadline, p.grants.Until(false), p.grants.Until(true))
 	for _, id := range sortedAttempts(p.lost) {
 		e.text(id.String())
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -204,21 +204,21 @@
 
 // beat carries out a Beat effect. It is tried once: the next heartbeat
 // replaces a lost one.
-func (s *store) beat(ctx context.Context, f Beat) Event {
+func (s *store) beat(ctx context.Context, f WriteHeartbeat) Event {
 	bounded, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
 	fence := rows.CellEpochKey(s.cell)
-	op := fmt.Sprintf("%s-beat-%d", s.writer.prefix, f.Beat.Counter)
+	op := fmt.Sprintf("%s-beat-%d", s.writer.prefix, f.Heartbeat.Counter)
 	_, err := s.table.Commit(bounded, storage.Txn{
 		Operation: op,
 		Checks:    []storage.Check{{Key: fence, Version: f.Fence}},
 		Puts: []storage.Put{
-			{Key: rows.CellHeartbeatKey(s.cell), Value: rows.Encode(f.Beat)},
+			{Key: rows.CellHeartbeatKey(s.cell), Value: rows.Encode(f.Heartbeat)},
 			{Key: s.writer.key + "/beat", Value: rows.Encode(writerRow{op})},
 		},
 	})
 	var conflict *storage.ConflictError
-	return Beaten{Fence: f.Fence, Sent: f.Sent, OK: err == nil, Fenced: errors.As(err, &conflict)}
+	return HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: err == nil, Fenced: errors.As(err, &conflict)}
 }
 
 // observe carries out an Observe effect.
@@ -228,7 +228,7 @@
 		return Observed{Err: err}
 	}
 	_, beat, err := readRow[rows.CellHeartbeat](ctx, s.table, rows.CellHeartbeatKey(s.cell))
-	return Observed{Err: err, Epoch: epoch, EpochVersion: version, BeatVersion: beat}
+	return Observed{Err: err, Epoch: epoch, EpochVersion: version, HeartbeatVersion: beat}
 }
 
 // scan carries out a Scan effect.
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -193,7 +193,7 @@
 	const id = model.JobID("j")
 	if k == Evict {
 		for i := range w.ctl {
-			w.ctl[i].inbox = append(w.ctl[i].inbox, control.Evicted{Job: id})
+			w.ctl[i].inbox = append(w.ctl[i].inbox, control.EvictRequested{Job: id})
 		}
 		return
 	}
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -28,11 +28,11 @@
 			b = binary.AppendVarint(b, v)
 		}
 	}
-	ints(int64(w.spent), int64(w.table.epoch.Epoch), int64(scale.Rank(w.table.epochVersion)), int64(scale.Rank(w.table.beatVersion)))
+	ints(int64(w.spent), int64(w.table.epoch.Epoch), int64(scale.RevisionRank(w.table.epochVersion)), int64(scale.RevisionRank(w.table.beatVersion)))
 	ints(int64(min(w.now, x.model.Window)), int64(w.boots))
 	for _, id := range slices.Sorted(maps.Keys(w.table.jobs)) {
 		r := w.table.jobs[id]
-		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.CancelRequested, scale.Rank(r.Version))
+		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.CancelRequested, scale.RevisionRank(r.Version))
 	}
 	for _, f := range w.active {
 		ints(int64(f.kind), int64(f.c), int64(f.a), int64(f.until-w.now))
@@ -55,7 +55,7 @@
 	return xxhash.Sum64(b)
 }
 
-func (w *world) appendController(b []byte, i int, scale control.Scale) []byte {
+func (w *world) appendController(b []byte, i int, scale control.Normalizer) []byte {
 	c := &w.ctl[i]
 	if c.core == nil {
 		return append(b, "killed"...)
@@ -65,14 +65,14 @@
 		b = fmt.Appendf(b, "op %T %v", op.effect, op.applied)
 		switch f := op.effect.(type) {
 		case control.Commit:
-			b = fmt.Appendf(b, "%d", scale.Rank(f.Fence))
+			b = fmt.Appendf(b, "%d", scale.RevisionRank(f.Fence))
 			for _, r := range f.Writes {
-				b = fmt.Appendf(b, "%s %s %d %d", r.ID, r.Row.Phase, r.Row.Attempt, scale.Rank(r.Version))
+				b = fmt.Appendf(b, "%s %s %d %d", r.ID, r.Row.Phase, r.Row.Attempt, scale.RevisionRank(r.Version))
 			}
 		case control.Claim:
-			b = fmt.Appendf(b, "%d", scale.Rank(f.Version))
-		case control.Beat:
-			b = fmt.Appendf(b, "%d %d", scale.Rank(f.Fence), f.Sent-w.now)
+			b = fmt.Appendf(b, "%d", scale.RevisionRank(f.Version))
+		case control.WriteHeartbeat:
+			b = fmt.Appendf(b, "%d %d", scale.RevisionRank(f.Fence), f.Sent-w.now)
 		}
 	}
 	for _, e := range c.inbox {
@@ -81,24 +81,24 @@
 	return b
 }
 
-func (w *world) appendControlEvent(b []byte, e control.Event, scale control.Scale) []byte {
+func (w *world) appendControlEvent(b []byte, e control.Event, scale control.Normalizer) []byte {
 	b = fmt.Appendf(b, "in %T", e)
 	switch e := e.(type) {
 	case control.Received:
 		b = append(b, e.Worker...)
 		b = w.appendMessages(b, index(e.Worker), []msg.Control{e.Msg}, scale)
-	case control.Beaten:
-		b = fmt.Appendf(b, "%d %d %v %v", scale.Rank(e.Fence), e.Sent-w.now, e.OK, e.Fenced)
+	case control.HeartbeatWritten:
+		b = fmt.Appendf(b, "%d %d %v %v", scale.RevisionRank(e.Fence), e.Sent-w.now, e.OK, e.Fenced)
 	case control.Scanned:
-		b = fmt.Appendf(b, "%d %v %d", scale.Rank(e.Fence), e.Err != nil, len(e.Rows))
+		b = fmt.Appendf(b, "%d %v %d", scale.RevisionRank(e.Fence), e.Err != nil, len(e.Rows))
 	case control.Committed:
-		b = fmt.Appendf(b, "%d", scale.Rank(e.Fence))
+		b = fmt.Appendf(b, "%d", scale.RevisionRank(e.Fence))
 	case control.Rejected:
-		b = fmt.Appendf(b, "%d %v %d", scale.Rank(e.Fence), e.Fenced, len(e.Rows))
+		b = fmt.Appendf(b, "%d %v %d", scale.RevisionRank(e.Fence), e.Fenced, len(e.Rows))
 	case control.Claimed:
-		b = fmt.Appendf(b, "%v %d", e.Won, scale.Rank(e.Version))
+		b = fmt.Appendf(b, "%v %d", e.Won, scale.RevisionRank(e.Version))
 	case control.Observed:
-		b = fmt.Appendf(b, "%v %d %d", e.Err != nil, scale.Rank(e.EpochVersion), scale.Rank(e.BeatVersion))
+		b = fmt.Appendf(b, "%v %d %d", e.Err != nil, scale.RevisionRank(e.EpochVersion), scale.RevisionRank(e.HeartbeatVersion))
 	case control.PeerUp:
 		b = fmt.Appendf(b, "%s %d", e.Worker.ID, e.Boot)
 	case control.PeerDown:
@@ -107,9 +107,9 @@
 	return b
 }
 
-func (w *world) appendAgent(b []byte, i int, scale control.Scale) []byte {
+func (w *world) appendAgent(b []byte, i int, scale control.Normalizer) []byte {
 	a := &w.agent[i]
-	seq := func(n uint64) int64 { return scale.Seq(a.id, n) }
+	seq := func(n uint64) int64 { return scale.SequenceOffset(a.id, n) }
 	for _, t := range a.runs {
 		b = fmt.Appendf(b, "%s %s %d", t.id, t.state, t.saved)
 		if t.state == model.TaskRunning {
@@ -137,7 +137,7 @@
 	return b
 }
 
-func (w *world) appendTaskEvent(b []byte, i int, e taskagent.Event, scale control.Scale) []byte {
+func (w *world) appendTaskEvent(b []byte, i int, e taskagent.Event, scale control.Normalizer) []byte {
 	b = fmt.Appendf(b, "in %T", e)
 	switch e := e.(type) {
 	case taskagent.Received:
@@ -168,8 +168,8 @@
 }
 
 // appendMessages encodes messages; usage reports have no influence here.
-func (w *world) appendMessages(b []byte, a int, list []msg.Control, scale control.Scale) []byte {
-	seq := func(n uint64) int64 { return scale.Seq(workerID(a), n) }
+func (w *world) appendMessages(b []byte, a int, list []msg.Control, scale control.Normalizer) []byte {
+	seq := func(n uint64) int64 { return scale.SequenceOffset(workerID(a), n) }
 	for _, m := range list {
 		b = fmt.Appendf(b, "%T", m)
 		switch m := m.(type) {
@@ -199,7 +199,7 @@
 
 // scale ranks the revisions of the state and counts lease sequence numbers
 // from the smallest one in use for a worker.
-func (w *world) scale() control.Scale {
+func (w *world) scale() control.Normalizer {
 	revisions := []storage.Revision{0, w.table.rev, w.table.epochVersion, w.table.beatVersion}
 	add := func(r storage.Revision) { revisions = append(revisions, r) }
 	for _, r := range w.table.jobs {
@@ -216,9 +216,9 @@
 	}
 	slices.Sort(revisions)
 	revisions = slices.Compact(revisions)
-	return control.Scale{
-		Rank: func(r storage.Revision) int { i, _ := slices.BinarySearch(revisions, r); return i },
-		Seq: func(id model.WorkerID, n uint64) int64 {
+	return control.Normalizer{
+		RevisionRank: func(r storage.Revision) int { i, _ := slices.BinarySearch(revisions, r); return i },
+		SequenceOffset: func(id model.WorkerID, n uint64) int64 {
 			if n == 0 {
 				return 1 << 40
 			}
--- a/internal/explore/platform.go
+++ b/internal/explore/platform.go
@@ -72,7 +72,7 @@
 	unreachable := errors.New("unreachable")
 	switch f := op.effect.(type) {
 	case control.Observe:
-		op.answer = control.Observed{Epoch: w.table.epoch, EpochVersion: w.table.epochVersion, BeatVersion: w.table.beatVersion}
+		op.answer = control.Observed{Epoch: w.table.epoch, EpochVersion: w.table.epochVersion, HeartbeatVersion: w.table.beatVersion}
 		if c.away || c.lossy {
 			op.answer = control.Observed{Err: unreachable}
 		}
@@ -81,8 +81,8 @@
 		if c.away || c.lossy {
 			op.answer = control.Scanned{Fence: f.Fence, Err: unreachable}
 		}
-	case control.Beat:
-		op.answer = control.Beaten{Fence: f.Fence, Sent: f.Sent}
+	case control.WriteHeartbeat:
+		op.answer = control.HeartbeatWritten{Fence: f.Fence, Sent: f.Sent}
 		if !c.away {
 			op.answer = w.beat(f, c.lossy)
 		}
@@ -95,16 +95,16 @@
 	}
 }
 
-func (w *world) beat(f control.Beat, lost bool) control.Event {
+func (w *world) beat(f control.WriteHeartbeat, lost bool) control.Event {
 	ok := f.Fence == w.table.epochVersion
 	if ok {
 		w.table.rev++
 		w.table.beatVersion = w.table.rev
 	}
 	if lost {
-		return control.Beaten{Fence: f.Fence, Sent: f.Sent}
+		return control.HeartbeatWritten{Fence: f.Fence, Sent: f.Sent}
 	}
-	return control.Beaten{Fence: f.Fence, Sent: f.Sent, OK: ok, Fenced: !ok}
+	return control.HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: ok, Fenced: !ok}
 }
 
 func (w *world) scan(f control.Scan) control.Event {
