--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -237,7 +237,7 @@
 		snapshot := place.Snapshot{Workers: ledger.Workers(), TeamUse: ledger.TeamUse()}
 		for k := range perRound {
 			r := jobRow(round*perRound + k)
-			snapshot.Jobs = append(snapshot.Jobs, place.Job{Spec: r.Spec, Labels: r.Spec.Labels, Size: r.Spec.Resources, Waiting: uint64(k)})
+			snapshot.Jobs = append(snapshot.Jobs, place.Job{Spec: r.Spec, Labels: r.Spec.Labels, Size: r.Spec.Resources, SubmitOrder: uint64(k)})
 		}
 		for _, a := range planner.Plan(snapshot).Assignments {
 			task := place.Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Team: a.Team, Size: a.Size, Labels: a.Labels}
--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -65,11 +65,11 @@
 		Actions: map[string]func(*job){
 			"sendStart": func(j *job) { j.core.sendStart(j) },
 			"sendStop": func(j *job) {
-				j.core.ledger.Stopping(j.attemptID())
+				j.core.ledger.MarkStopping(j.attemptID())
 				j.command(&msg.StopTask{Command: j.core.command(), Attempt: j.attemptID()})
 			},
 			"sendCheckpoint": func(j *job) {
-				j.core.ledger.Stopping(j.attemptID())
+				j.core.ledger.MarkStopping(j.attemptID())
 				j.command(&msg.CheckpointTask{Command: j.core.command(), Attempt: j.attemptID()})
 			},
 			"noteStarted": func(j *job) { j.core.stepJob(j, evJobStarted) },
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -35,7 +35,7 @@
 // Planner decides where waiting jobs run; place.Planner is one.
 type Planner interface {
 	Plan(s place.Snapshot) place.Plan
-	Explain(s place.Snapshot, job model.JobID) []place.Rejection
+	Explain(s place.Snapshot, job model.JobID) []place.Explanation
 }
 
 // Core decides for one cell that an entry contends for or owns. It is stepped
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -17,7 +17,7 @@
 	changed := on != p.draining
 	p.draining = on
 	if t := c.opts.Health; t != nil && (changed || on) {
-		c.applyHealth(t.Drain(c.now, p.worker.ID, on))
+		c.applyHealth(t.SetDraining(c.now, p.worker.ID, on))
 	}
 	c.planning = c.planning || changed
 }
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -23,7 +23,7 @@
 		if up {
 			t.Add(c.now, p.worker.ID)
 		}
-		c.applyHealth(t.Link(c.now, p.worker.ID, up))
+		c.applyHealth(t.SetLinkUp(c.now, p.worker.ID, up))
 	}
 }
 
@@ -65,8 +65,8 @@
 func (c *Core) applyHealth(changes []health.Change) {
 	for _, ch := range changes {
 		switch {
-		case ch.Park != "":
-			if j := c.jobs[ch.Park]; j != nil {
+		case ch.ParkedJob != "":
+			if j := c.jobs[ch.ParkedJob]; j != nil {
 				j.parked = ch.Reason
 			}
 		case c.peers[ch.Worker] != nil:
@@ -98,7 +98,7 @@
 	if t == nil {
 		return place.WorkerReady
 	}
-	if unproven, limit := t.Starts(c.now, id); limit > 0 && unproven >= limit {
+	if unproven, limit := t.UnprovenAttempts(c.now, id); limit > 0 && unproven >= limit {
 		return place.WorkerSuspect
 	}
 	return t.State(id)
@@ -114,6 +114,6 @@
 
 func (c *Core) forgetHealth(id model.JobID) {
 	if t := c.opts.Health; t != nil {
-		t.Forget(id)
+		t.ForgetJob(id)
 	}
 }
--- a/internal/control/interference.go
+++ b/internal/control/interference.go
@@ -76,9 +76,9 @@
 	}
 	for _, j := range c.tasksOn(p) {
 		t := c.interferenceTask(j)
-		if t.Percent == 0 {
-			t.Percent = c.interference.Admit(host, t)
-			c.setLimit(j, t.Percent)
+		if t.CPULimitPercent == 0 {
+			t.CPULimitPercent = c.interference.Admit(host, t)
+			c.setLimit(j, t.CPULimitPercent)
 		}
 		host.Tasks = append(host.Tasks, t)
 	}
@@ -92,7 +92,7 @@
 			c.evict(j.id, a.Reason)
 			continue
 		}
-		c.setLimit(j, a.Percent)
+		c.setLimit(j, a.CPULimitPercent)
 	}
 	c.repeatLimits(p)
 }
@@ -130,7 +130,7 @@
 
 func (c *Core) interferenceTask(j *job) interfere.Task {
 	t := interfere.Task{
-		Attempt: j.attemptID(), Class: j.row.Spec.Class, CPU: j.size.CPU, Percent: j.attempt.percent,
+		Attempt: j.attemptID(), Class: j.row.Spec.Class, CPU: j.size.CPU, CPULimitPercent: j.attempt.percent,
 		YieldRank: c.rules.YieldRank(c.jobLabels(j.row.Spec)), Protected: j.row.Spec.Urgent,
 	}
 	if w, ok := c.ledger.Worker(j.attempt.worker); ok {
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -61,7 +61,7 @@
 }
 
 func (c *Core) waiting(j *job) place.Job {
-	return place.Job{Spec: j.row.Spec, Labels: c.labelsOf(j), Size: j.size, Waiting: j.order, Avoid: c.avoid(j.id)}
+	return place.Job{Spec: j.row.Spec, Labels: c.labelsOf(j), Size: j.size, SubmitOrder: j.order, Avoid: c.avoid(j.id)}
 }
 
 // plan places waiting jobs: each assignment is verified and reserved at the
@@ -92,8 +92,8 @@
 		c.stepJob(j, evPlace)
 		delete(c.claims, j.id)
 	}
-	c.preempt(plan.Waiting)
-	for _, v := range plan.Waiting {
+	c.preempt(plan.Unplaced)
+	for _, v := range plan.Unplaced {
 		c.wait(v)
 	}
 }
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -106,7 +106,7 @@
 	if j == nil || !j.attempt.live || j.attemptID() != r.Attempt || j.attempt.worker != p.worker.ID {
 		return
 	}
-	c.ledger.Report(r.Attempt, r.Usage)
-	c.ledger.Progress(r.Attempt, r.RanFor)
+	c.ledger.RecordUsage(r.Attempt, r.Usage)
+	c.ledger.SetLostWork(r.Attempt, r.RanFor)
 	c.saveCheckpoint(j, r.Checkpoint)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -12,14 +12,14 @@
 
 // Explanation says why a job is where it is.
 type Explanation struct {
-	Job     model.JobID       `json:"job"`
-	Known   bool              `json:"known"` // false: over, or not of this cell, or this entry is not the owner
-	Phase   model.Phase       `json:"phase,omitempty"`
-	Attempt string            `json:"attempt,omitempty"` // state name of charts/attempt.scxml
-	Worker  model.WorkerID    `json:"worker,omitempty"`
-	Reason  string            `json:"reason,omitempty"`
-	Verdict *place.Verdict    `json:"verdict,omitempty"` // of the last plan
-	Workers []place.Rejection `json:"workers,omitempty"` // one for each worker, of a waiting job
+	Job     model.JobID         `json:"job"`
+	Known   bool                `json:"known"` // false: over, or not of this cell, or this entry is not the owner
+	Phase   model.Phase         `json:"phase,omitempty"`
+	Attempt string              `json:"attempt,omitempty"` // state name of charts/attempt.scxml
+	Worker  model.WorkerID      `json:"worker,omitempty"`
+	Reason  string              `json:"reason,omitempty"`
+	Verdict *place.Verdict      `json:"verdict,omitempty"` // of the last plan
+	Workers []place.Explanation `json:"workers,omitempty"` // one for each worker, of a waiting job
 }
 
 // Status reports what is known of the cell.
--- a/internal/explore/platform.go
+++ b/internal/explore/platform.go
@@ -157,7 +157,7 @@
 // firstFit is a planner without state.
 type firstFit struct{}
 
-func (firstFit) Explain(place.Snapshot, model.JobID) []place.Rejection { return nil }
+func (firstFit) Explain(place.Snapshot, model.JobID) []place.Explanation { return nil }
 
 func (firstFit) Plan(s place.Snapshot) (p place.Plan) {
 	free := make([]model.Resources, len(s.Workers))
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -53,8 +53,8 @@
 func (c *cell) note(changes []Change) {
 	for _, ch := range changes {
 		switch {
-		case ch.Park != "":
-			c.parked[ch.Park] = ch.Reason
+		case ch.ParkedJob != "":
+			c.parked[ch.ParkedJob] = ch.Reason
 		case ch.State == place.WorkerQuarantined && !c.bad[ch.Worker]:
 			c.goodHeld[ch.Worker] = true
 		case ch.State == place.WorkerReady:
@@ -74,7 +74,7 @@
 		if load >= slots {
 			continue
 		}
-		unproven, limit := c.t.Starts(c.now, w)
+		unproven, limit := c.t.UnprovenAttempts(c.now, w)
 		if slices.Contains(c.t.Avoid(job), w) || limit > 0 && unproven >= limit ||
 			state != place.WorkerReady && (state != place.WorkerProbation || load > 0) {
 			continue
@@ -214,14 +214,14 @@
 	fail := func(now time.Duration, job string) {
 		c.Failed(now, "w", model.AttemptID{Job: model.JobID(job), Number: 1}, model.Class(job))
 	}
-	require.Equal(t, place.WorkerSuspect, c.Link(0, "w", false)[0].State)
-	at, ok := c.Next()
+	require.Equal(t, place.WorkerSuspect, c.SetLinkUp(0, "w", false)[0].State)
+	at, ok := c.NextTick()
 	require.True(t, ok)
 	require.Empty(t, c.Tick(at-1))
 	require.Equal(t, place.WorkerDown, c.Tick(at)[0].State)
-	c.Drain(at, "w", true)
-	require.Equal(t, place.WorkerDraining, c.Link(at, "w", true)[0].State)
-	require.Equal(t, place.WorkerReady, c.Drain(at, "w", false)[0].State)
+	c.SetDraining(at, "w", true)
+	require.Equal(t, place.WorkerDraining, c.SetLinkUp(at, "w", true)[0].State)
+	require.Equal(t, place.WorkerReady, c.SetDraining(at, "w", false)[0].State)
 	fail(at, "a")
 	fail(at, "a")
 	fail(at, "b")
@@ -229,16 +229,16 @@
 	fail(at, "c")
 	fail(at, "d")
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
-	c.Link(at, "w", false)
-	c.Link(at, "w", true)
+	c.SetLinkUp(at, "w", false)
+	c.SetLinkUp(at, "w", true)
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
-	c.Drain(at, "w", true)
-	c.Drain(at, "w", false)
+	c.SetDraining(at, "w", true)
+	c.SetDraining(at, "w", false)
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
 	require.Equal(t, place.WorkerProbation, c.Tick(at + quarantine)[0].State)
 	fail(at+quarantine, "e")
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
-	require.True(t, c.Remove(at, "w")[0].Gone)
+	require.True(t, c.Remove(at, "w")[0].Removed)
 	require.Equal(t, place.WorkerDown, c.State("w"))
-	require.Empty(t, c.Link(at, "w", true))
+	require.Empty(t, c.SetLinkUp(at, "w", true))
 }
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -25,11 +25,11 @@
 // Change is a change that the owner has to apply: of a worker's state, or a
 // job to park.
 type Change struct {
-	Worker model.WorkerID // empty for a job
-	State  place.WorkerState
-	Gone   bool // the worker was removed
-	Park   model.JobID
-	Reason string
+	Worker    model.WorkerID // empty for a job
+	State     place.WorkerState
+	Removed   bool // the worker was removed
+	ParkedJob model.JobID
+	Reason    string
 }
 
 // Tracker follows the workers of a cell and the failures of its jobs. It has
@@ -68,9 +68,9 @@
 	return place.WorkerDown
 }
 
-// Starts returns how many attempts on the worker are unproven and how many
+// UnprovenAttempts returns how many attempts on the worker are unproven and how many
 // may be; a limit of 0 is none.
-func (t *Tracker) Starts(now time.Duration, id model.WorkerID) (unproven, limit int) {
+func (t *Tracker) UnprovenAttempts(now time.Duration, id model.WorkerID) (unproven, limit int) {
 	if w := t.workers[id]; w != nil {
 		return w.unproven(now), w.maxUnproven()
 	}
@@ -91,9 +91,9 @@
 	return ids
 }
 
-// Forget drops the record of a job that ended, was cancelled or is to be
+// ForgetJob drops the record of a job that ended, was cancelled or is to be
 // tried again by an operator's request.
-func (t *Tracker) Forget(job model.JobID) { delete(t.jobs, job) }
+func (t *Tracker) ForgetJob(job model.JobID) { delete(t.jobs, job) }
 
 // Started notes a start of an attempt on a worker.
 func (t *Tracker) Started(now time.Duration, id model.WorkerID, a model.AttemptID) {
@@ -111,7 +111,7 @@
 
 // Succeeded notes a completed attempt.
 func (t *Tracker) Succeeded(now time.Duration, id model.WorkerID, a model.AttemptID, class model.Class) []Change {
-	t.Forget(a.Job)
+	t.ForgetJob(a.Job)
 	delete(t.classes, class)
 	if w := t.workers[id]; w != nil {
 		started, known := w.starts[a]
@@ -174,9 +174,9 @@
 	}
 	switch {
 	case good >= parkWorkers:
-		t.changes = append(t.changes, Change{Park: job, Reason: fmt.Sprintf("failed on %d good workers", good)})
+		t.changes = append(t.changes, Change{ParkedJob: job, Reason: fmt.Sprintf("failed on %d good workers", good)})
 	case j.total >= parkFailures:
-		t.changes = append(t.changes, Change{Park: job, Reason: fmt.Sprintf("failed %d times", j.total)})
+		t.changes = append(t.changes, Change{ParkedJob: job, Reason: fmt.Sprintf("failed %d times", j.total)})
 	}
 }
 
@@ -217,16 +217,16 @@
 	return 2*held <= len(t.workers) || held == 1 && len(t.workers) > 1
 }
 
-// Link notes that the link to a worker's agent was lost or is back.
-func (t *Tracker) Link(now time.Duration, id model.WorkerID, up bool) []Change {
+// SetLinkUp notes that the link to a worker's agent was lost or is back.
+func (t *Tracker) SetLinkUp(now time.Duration, id model.WorkerID, up bool) []Change {
 	if up {
 		return t.event(now, id, evLinkBack, "the link is back")
 	}
 	return t.event(now, id, evLinkLost, "the link to its agent is lost")
 }
 
-// Drain starts or ends the draining of a worker.
-func (t *Tracker) Drain(now time.Duration, id model.WorkerID, on bool) []Change {
+// SetDraining starts or ends the draining of a worker.
+func (t *Tracker) SetDraining(now time.Duration, id model.WorkerID, on bool) []Change {
 	if on {
 		return t.event(now, id, evDrain, "an operator drains it")
 	}
@@ -257,7 +257,7 @@
 	if gone {
 		delete(t.workers, w.id)
 	}
-	t.changes = append(t.changes, Change{Worker: w.id, State: place.WorkerState(w.state), Gone: gone, Reason: reason})
+	t.changes = append(t.changes, Change{Worker: w.id, State: place.WorkerState(w.state), Removed: gone, Reason: reason})
 }
 
 // Tick fires the timeouts that are due.
@@ -271,8 +271,8 @@
 	return t.take()
 }
 
-// Next returns when Tick has something to do; ok is false if it has nothing.
-func (t *Tracker) Next() (at time.Duration, ok bool) {
+// NextTick returns when Tick has something to do; ok is false if it has nothing.
+func (t *Tracker) NextTick() (at time.Duration, ok bool) {
 	for _, w := range t.workers {
 		if d, _, set := workerChart.Timeout(w.state); set && (!ok || w.entered+d < at) {
 			at, ok = w.entered+d, true
--- a/internal/policy/interfere/control.go
+++ b/internal/policy/interfere/control.go
@@ -10,14 +10,14 @@
 
 // Task is a batch task on a host.
 type Task struct {
-	Attempt   model.AttemptID
-	Class     model.Class
-	CPU       model.MilliCPU
-	Percent   int // present throttle; 100 is none
-	YieldRank int // index of the first yields-first selector that matches
-	LostWork  time.Duration
-	Protected bool // urgent work: throttled last and never stopped
-	Stopping  bool // was told to stop; still runs
+	Attempt         model.AttemptID
+	Class           model.Class
+	CPU             model.MilliCPU
+	CPULimitPercent int // present throttle; 100 is none
+	YieldRank       int // index of the first yields-first selector that matches
+	LostWork        time.Duration
+	Protected       bool // urgent work: throttled last and never stopped
+	Stopping        bool // was told to stop; still runs
 }
 
 // Host is a worker with a service and batch tasks.
@@ -39,10 +39,10 @@
 
 // Action is one step for one task.
 type Action struct {
-	Attempt model.AttemptID
-	Step    Step
-	Percent int
-	Reason  string
+	Attempt         model.AttemptID
+	Step            Step
+	CPULimitPercent int
+	Reason          string
 }
 
 // Options of a controller. Zero values take the defaults.
@@ -133,7 +133,7 @@
 		d.loads = append(d.loads, f.update(now, s.Forecast()))
 	}
 	for i, t := range h.Tasks {
-		d.limits[i] = cmp.Or(t.Percent, 100)
+		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
 	state.history.add(now, &h, d.exposure())
 	enough := d.choose()
@@ -144,7 +144,7 @@
 // Admit returns the limit in percent with which a task of a class may start
 // on a host without a service missing its target.
 func (c *Controller) Admit(h Host, t Task) int {
-	if c.Harm(h.Services, t.Class) <= leastHarm {
+	if c.MaxCoefficient(h.Services, t.Class) <= leastHarm {
 		return 100
 	}
 	h.Tasks = append(slices.Clone(h.Tasks), t)
@@ -159,7 +159,7 @@
 	}
 	last := len(h.Tasks) - 1
 	for i, t := range h.Tasks {
-		d.limits[i] = cmp.Or(t.Percent, 100)
+		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
 	for d.limits[last] = 100; d.limits[last] > leastPercent && d.upper() > 0; {
 		d.limits[last] -= percentStep
@@ -186,12 +186,12 @@
 	c.bounds[s] = max(leastBound, min(mostBound, z))
 }
 
-// Harm returns the greatest mean effect of a batch class on the services, 0
+// MaxCoefficient returns the greatest mean effect of a batch class on the services, 0
 // if it harms none.
-func (c *Controller) Harm(services []ServiceLoad, class model.Class) float64 {
+func (c *Controller) MaxCoefficient(services []ServiceLoad, class model.Class) float64 {
 	harm := 0.0
 	for _, s := range services {
-		harm = max(harm, c.learner.Effect(s.Service, class).Mean)
+		harm = max(harm, c.learner.Coefficient(s.Service, class).Mean)
 	}
 	return harm
 }
--- a/internal/policy/interfere/control_test.go
+++ b/internal/policy/interfere/control_test.go
@@ -26,7 +26,7 @@
 }
 
 func task(job string, class model.Class, cores int64) Task {
-	return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Class: class, CPU: model.MilliCPU(cores * 1000), Percent: 100}
+	return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Class: class, CPU: model.MilliCPU(cores * 1000), CPULimitPercent: 100}
 }
 
 func loaded(load float64, tasks ...Task) Host {
@@ -44,7 +44,7 @@
 	percent := map[model.JobID]int{"first": 100, "second": 100, "quiet": 100}
 	for _, a := range actions {
 		require.Equal(t, StepThrottle, a.Step)
-		percent[a.Attempt.Job] = a.Percent
+		percent[a.Attempt.Job] = a.CPULimitPercent
 	}
 	require.Equal(t, 100, percent["quiet"])
 	require.Less(t, percent["first"], percent["second"])
@@ -57,12 +57,12 @@
 func TestLimitsRiseAfterACalmTime(t *testing.T) {
 	c := taught(-1)
 	limited := task("a", "noisy", 8)
-	limited.Percent = 20
+	limited.CPULimitPercent = 20
 	require.Empty(t, c.Decide(0, loaded(0.1, limited)))
 	require.Empty(t, c.Decide(time.Second, loaded(0.1, limited)))
 	actions := c.Decide(4*time.Second, loaded(0.1, limited))
 	require.Len(t, actions, 1)
-	require.Equal(t, 100, actions[0].Percent)
+	require.Equal(t, 100, actions[0].CPULimitPercent)
 }
 
 // Guards against evictions where a limit is enough, more than one eviction at
@@ -83,13 +83,13 @@
 			}
 			for i := range tasks {
 				if tasks[i].Attempt == a.Attempt {
-					tasks[i].Percent = a.Percent
+					tasks[i].CPULimitPercent = a.CPULimitPercent
 				}
 			}
 		}
 	}
 	require.Equal(t, []model.JobID{"cheap"}, stops)
-	require.Equal(t, leastPercent, tasks[2].Percent)
+	require.Equal(t, leastPercent, tasks[2].CPULimitPercent)
 }
 
 // Guards against a surge that is only noticed when the lagging report shows
@@ -135,7 +135,7 @@
 		}
 		c.Observe(Report{Worker: "w", Service: short, From: at, To: at + 10*time.Second, Target: time.Second, P99: time.Duration(math.Exp(y) * float64(time.Second))})
 	}
-	require.InDelta(t, 2, c.learner.Effect(short, "noisy").Mean, 0.5)
+	require.InDelta(t, 2, c.learner.Coefficient(short, "noisy").Mean, 0.5)
 }
 
 // Guards against a new service class that starts without what is known of the
@@ -143,6 +143,6 @@
 func TestNewPairStartsAtTheClassMean(t *testing.T) {
 	c := taught(-1)
 	other := ServiceClass{"permit-desk", "new"}
-	require.Greater(t, c.learner.Effect(other, "noisy").Mean, 1.0)
-	require.Less(t, c.learner.Effect(other, "quiet").Mean, 0.4)
+	require.Greater(t, c.learner.Coefficient(other, "noisy").Mean, 1.0)
+	require.Less(t, c.learner.Coefficient(other, "quiet").Mean, 0.4)
 }
--- a/internal/policy/interfere/decision.go
+++ b/internal/policy/interfere/decision.go
@@ -81,7 +81,7 @@
 	harm := map[model.Class]float64{}
 	for _, t := range d.host.Tasks {
 		if _, ok := harm[t.Class]; !ok {
-			harm[t.Class] = d.c.Harm(d.host.Services, t.Class)
+			harm[t.Class] = d.c.MaxCoefficient(d.host.Services, t.Class)
 		}
 	}
 	order := make([]int, 0, len(d.host.Tasks))
@@ -153,7 +153,7 @@
 }
 
 func (d *decision) action(i int, reason string) Action {
-	return Action{Attempt: d.host.Tasks[i].Attempt, Step: StepThrottle, Percent: d.target[i], Reason: reason}
+	return Action{Attempt: d.host.Tasks[i].Attempt, Step: StepThrottle, CPULimitPercent: d.target[i], Reason: reason}
 }
 
 // stop chooses one victim when the lowest limits have not been enough for a
--- a/internal/policy/interfere/learner.go
+++ b/internal/policy/interfere/learner.go
@@ -167,9 +167,9 @@
 	return Estimate{dot(r.mean, x), math.Sqrt(max(0, r.cov.quadratic(x)) + r.noise)}
 }
 
-// Effect estimates a pair: the change of ln(p99/target) at full load if the
+// Coefficient estimates a pair: the change of ln(p99/target) at full load if the
 // batch class had the whole host.
-func (l *Learner) Effect(s ServiceClass, c model.Class) Estimate {
+func (l *Learner) Coefficient(s ServiceClass, c model.Class) Estimate {
 	i := baseTerms + l.class(c)
 	r := l.service(s)
 	if r.fresh < 0 {
--- a/internal/policy/interfere/measure_test.go
+++ b/internal/policy/interfere/measure_test.go
@@ -62,7 +62,7 @@
 	p.acted[host] = now + 1
 	lowest := 100
 	for _, t := range h.Tasks {
-		lowest = min(lowest, t.Percent)
+		lowest = min(lowest, t.CPULimitPercent)
 	}
 	if worst > 1 && lowest == 25 {
 		largest := slices.MaxFunc(h.Tasks, func(a, b Task) int { return cmp.Compare(a.CPU, b.CPU) })
@@ -74,8 +74,8 @@
 	}
 	var out []Action
 	for _, t := range h.Tasks {
-		if t.Percent != percent {
-			out = append(out, Action{Attempt: t.Attempt, Percent: percent})
+		if t.CPULimitPercent != percent {
+			out = append(out, Action{Attempt: t.Attempt, CPULimitPercent: percent})
 		}
 	}
 	return out
@@ -119,8 +119,8 @@
 	}
 	var out []Action
 	for i, t := range h.Tasks {
-		if t.Percent != int(limits[i]) {
-			out = append(out, Action{Attempt: t.Attempt, Percent: int(limits[i])})
+		if t.CPULimitPercent != int(limits[i]) {
+			out = append(out, Action{Attempt: t.Attempt, CPULimitPercent: int(limits[i])})
 		}
 	}
 	return out
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -125,8 +125,8 @@
 			return
 		}
 		s.back = s.back[1:]
-		t.Percent, t.LostWork = 100, 0
-		t.Percent = s.policy.admit(i, s.view(i, h, s.load(i, max(0, now-1))), t.Task)
+		t.CPULimitPercent, t.LostWork = 100, 0
+		t.CPULimitPercent = s.policy.admit(i, s.view(i, h, s.load(i, max(0, now-1))), t.Task)
 		used += t.CPU
 		h.tasks = append(h.tasks, t)
 	}
@@ -135,7 +135,7 @@
 func (h *simHost) exposure() Exposure {
 	e := Exposure{}
 	for _, t := range h.tasks {
-		e[t.Class] += float64(t.CPU) / float64(h.CPU) * float64(t.Percent) / 100
+		e[t.Class] += float64(t.CPU) / float64(h.CPU) * float64(t.CPULimitPercent) / 100
 	}
 	return e
 }
@@ -167,7 +167,7 @@
 	}
 	var left []*simTask
 	for _, t := range h.tasks {
-		done := float64(t.CPU) / 1000 * float64(t.Percent) / 100
+		done := float64(t.CPU) / 1000 * float64(t.CPULimitPercent) / 100
 		t.left -= done
 		t.LostWork = min(lostOnStop, t.LostWork/time.Second+1) * time.Second
 		if now >= s.measureFrom {
@@ -231,7 +231,7 @@
 			continue
 		}
 		if a.Step == StepThrottle {
-			t.Percent = a.Percent
+			t.CPULimitPercent = a.CPULimitPercent
 			if now >= s.measureFrom {
 				s.throttles++
 			}
--- a/internal/policy/place/ledger.go
+++ b/internal/policy/place/ledger.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// SetStarts records how many unproven attempts a worker has and may have.
-func (l *Ledger) SetStarts(id model.WorkerID, unproven, limit int) {
+// SetUnproven records how many unproven attempts a worker has and may have.
+func (l *Ledger) SetUnproven(id model.WorkerID, unproven, limit int) {
 	if a := l.accounts[id]; a != nil && (a.Unproven != unproven || a.MaxUnproven != limit) {
 		a.Unproven, a.MaxUnproven = unproven, limit
 		a.Revision++
@@ -97,7 +97,7 @@
 func (l *Ledger) Reserve(a Assignment, t Task, p Policy) Reason {
 	account := l.accounts[a.Worker]
 	if account == nil || account.gone {
-		return ReasonGone
+		return ReasonUnknownWorker
 	}
 	if l.charges[t.Attempt] != nil {
 		return ReasonNone // a repeated reservation is the same one
@@ -140,10 +140,10 @@
 	a.Revision++
 }
 
-// Report records a measured use of an attempt and raises its charge if the
+// RecordUsage records a measured use of an attempt and raises its charge if the
 // use is a new peak. A charge never falls: the next measurement is late, and
 // the use may return.
-func (l *Ledger) Report(id model.AttemptID, u model.Usage) {
+func (l *Ledger) RecordUsage(id model.AttemptID, u model.Usage) {
 	a, t := l.find(id)
 	if t == nil {
 		return
@@ -154,16 +154,16 @@
 	}
 }
 
-// Progress records the work that an eviction of the attempt would now lose.
-func (l *Ledger) Progress(id model.AttemptID, lost time.Duration) {
+// SetLostWork records the work that an eviction of the attempt would now lose.
+func (l *Ledger) SetLostWork(id model.AttemptID, lost time.Duration) {
 	if _, t := l.find(id); t != nil {
 		t.LostWork = lost
 	}
 }
 
-// Stopping records that an attempt was told to stop or that its outcome is
+// MarkStopping records that an attempt was told to stop or that its outcome is
 // unknown. It stays charged.
-func (l *Ledger) Stopping(id model.AttemptID) {
+func (l *Ledger) MarkStopping(id model.AttemptID) {
 	if a, t := l.find(id); t != nil && !t.Stopping {
 		t.Stopping = true
 		a.Revision++
--- a/internal/policy/place/ledger_test.go
+++ b/internal/policy/place/ledger_test.go
@@ -45,7 +45,7 @@
 func (m *ledgerModel) submit(t *rapid.T) {
 	m.next++
 	j := waiting(fmt.Sprint(m.next), m.drawSize(t), nil)
-	j.Spec.Team, j.Spec.Urgent, j.Waiting = rapid.SampledFrom(modelTeams).Draw(t, "team"), rapid.Bool().Draw(t, "urgent"), uint64(m.next)
+	j.Spec.Team, j.Spec.Urgent, j.SubmitOrder = rapid.SampledFrom(modelTeams).Draw(t, "team"), rapid.Bool().Draw(t, "urgent"), uint64(m.next)
 	m.pending = append(m.pending, j)
 }
 
@@ -90,13 +90,13 @@
 	if m.honest && !use.Fits(m.size[id]) {
 		use = m.size[id]
 	}
-	m.ledger.Report(id, model.Usage{Resources: use})
+	m.ledger.RecordUsage(id, model.Usage{Resources: use})
 	if _, ok := m.where[id]; ok {
 		m.size[id] = m.size[id].Max(use)
 	}
 }
 
-func (m *ledgerModel) stop(t *rapid.T) { m.ledger.Stopping(m.attempt(t)) }
+func (m *ledgerModel) stop(t *rapid.T) { m.ledger.MarkStopping(m.attempt(t)) }
 
 func (m *ledgerModel) release(t *rapid.T) {
 	id := m.attempt(t)
@@ -169,8 +169,8 @@
 		require.Equal(t, ReasonNone, l.Reserve(Assignment{Worker: model.WorkerID(id), Job: task.Attempt.Job}, task, Policy{Rules: &Rules{}}))
 	}
 	require.Empty(t, l.Overloads())
-	l.Report(model.AttemptID{Job: "a", Number: 1}, model.Usage{Resources: res(17, 1)})
-	l.Report(model.AttemptID{Job: "b", Number: 1}, model.Usage{Resources: res(20, 1)})
+	l.RecordUsage(model.AttemptID{Job: "a", Number: 1}, model.Usage{Resources: res(17, 1)})
+	l.RecordUsage(model.AttemptID{Job: "b", Number: 1}, model.Usage{Resources: res(20, 1)})
 	require.Equal(t, []Overload{{"b", res(4, 0)}, {"a", res(1, 0)}}, l.Overloads())
 	require.True(t, l.Adopt("a", Task{Attempt: model.AttemptID{Job: "found", Number: 2}, Size: res(1, 1)}))
 	require.False(t, l.Adopt("unknown", Task{}))
--- a/internal/policy/place/measure_test.go
+++ b/internal/policy/place/measure_test.go
@@ -92,7 +92,7 @@
 
 func (p *packing) submit(now time.Duration, j measure.Job, order uint64) {
 	p.run[j.Spec.ID], p.since[j.Spec.ID] = j.Runtime, now
-	p.queue = append(p.queue, place.Job{Spec: j.Spec, Size: j.Spec.Resources, Waiting: order})
+	p.queue = append(p.queue, place.Job{Spec: j.Spec, Size: j.Spec.Resources, SubmitOrder: order})
 }
 
 func (p *packing) round(now time.Duration) {
@@ -201,7 +201,7 @@
 func benchJob(mix *measure.Mix, order int) place.Job {
 	j := mix.Job()
 	labels := model.Labels{"team": string(j.Spec.Team), "class": string(j.Spec.Class), "stage": fmt.Sprint(order % 7)}
-	return place.Job{Spec: j.Spec, Size: j.Spec.Resources, Labels: labels, Waiting: uint64(order)}
+	return place.Job{Spec: j.Spec, Size: j.Spec.Resources, Labels: labels, SubmitOrder: uint64(order)}
 }
 
 // BenchmarkDecision measures one start: plan, verify, reserve and, to keep
--- a/internal/policy/place/order.go
+++ b/internal/policy/place/order.go
@@ -36,7 +36,7 @@
 	if h[i].ratio != h[j].ratio {
 		return h[i].ratio < h[j].ratio
 	}
-	if a, b := h[i].jobs[0].Waiting, h[j].jobs[0].Waiting; a != b {
+	if a, b := h[i].jobs[0].SubmitOrder, h[j].jobs[0].SubmitOrder; a != b {
 		return a < b
 	}
 	return h[i].team < h[j].team
@@ -81,7 +81,7 @@
 		}
 		q.jobs = append(q.jobs, j)
 	}
-	earlier := func(a, b *Job) int { return cmp.Compare(a.Waiting, b.Waiting) }
+	earlier := func(a, b *Job) int { return cmp.Compare(a.SubmitOrder, b.SubmitOrder) }
 	step := fairStep(order, whole)
 	ratio := func(q *teamQueue) float64 { return math.Round(q.relative(whole) / step) }
 	for _, q := range order {
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -34,7 +34,7 @@
 
 func jobs(list ...Job) []Job {
 	for i := range list {
-		list[i].Waiting = uint64(i)
+		list[i].SubmitOrder = uint64(i)
 	}
 	return list
 }
@@ -49,7 +49,7 @@
 
 func reasons(p Plan) map[model.JobID]Reason {
 	out := map[model.JobID]Reason{}
-	for _, v := range p.Waiting {
+	for _, v := range p.Unplaced {
 		out[v.Job] = v.Reason
 	}
 	return out
@@ -142,8 +142,8 @@
 	p := New(Options{}).Plan(s)
 	require.Len(t, p.Assignments, 2)
 	require.NotEqual(t, p.Assignments[0].Worker, p.Assignments[1].Worker)
-	require.Equal(t, ReasonMustStayApart, p.Waiting[0].Reason)
-	require.Equal(t, "rule", p.Waiting[0].Selector)
+	require.Equal(t, ReasonMustStayApart, p.Unplaced[0].Reason)
+	require.Equal(t, "rule", p.Unplaced[0].Selector)
 	s.Selectors = nil
 	s.Jobs = jobs(waiting("1", res(9, 1), l), waiting("2", res(9, 1), l), waiting("3", res(9, 1), l))
 	require.Len(t, New(Options{}).Plan(s).Assignments, 2)
@@ -184,7 +184,7 @@
 	require.Equal(t, map[model.JobID]Reason{"huge": ReasonImpossible, "later": ReasonResources}, reasons(p))
 	require.Equal(t, map[model.JobID]model.WorkerID{"small": "a"}, placed(p))
 	s.Workers = nil
-	require.Equal(t, ReasonWorkerState, New(Options{}).Plan(s).Waiting[0].Reason)
+	require.Equal(t, ReasonWorkerState, New(Options{}).Plan(s).Unplaced[0].Reason)
 }
 
 // Guards against a stream of small jobs that starves a large one for ever.
@@ -206,8 +206,8 @@
 			break
 		}
 		if at == 8 {
-			require.Equal(t, ReasonKept, p.Explain(s, list[4].Spec.ID)[0].Reason)
-			require.Contains(t, plan.Waiting[0].Text(), "worker a is kept free")
+			require.Equal(t, ReasonReserved, p.Explain(s, list[4].Spec.ID)[0].Reason)
+			require.Contains(t, plan.Unplaced[0].Text(), "worker a is kept free")
 		}
 		for _, a := range plan.Assignments {
 			running = append(running, Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Size: a.Size})
@@ -291,7 +291,7 @@
 	s := Snapshot{Workers: []Worker{host("a", res(16, 60)), host("b", res(16, 60), Task{Size: res(16, 60)})}, Jobs: []Job{j}}
 	p := New(Options{}).Plan(s)
 	require.Empty(t, p.Assignments)
-	require.Equal(t, map[Reason]int{ReasonAvoid: 1, ReasonResources: 1}, p.Waiting[0].Workers)
+	require.Equal(t, map[Reason]int{ReasonAvoid: 1, ReasonResources: 1}, p.Unplaced[0].Workers)
 	require.Equal(t, ReasonAvoid, Explain(s, "j")[0].Reason)
 	s.Workers = s.Workers[:1]
 	require.Len(t, New(Options{}).Plan(s).Assignments, 1)
--- a/internal/policy/place/planner.go
+++ b/internal/policy/place/planner.go
@@ -9,10 +9,10 @@
 
 // Options bound a planner's rounds. Zero values take the defaults.
 type Options struct {
-	MaxStarts    int // assignments of one round; default 1024
-	Candidates   int // workers scored for one job, the tightest first; default 64
-	ReserveAfter int // rounds without a place after which a worker is kept for a job; default 100
-	MaxKept      int // workers kept at once; default 1 for each 32 workers, at least 1
+	MaxStarts          int // assignments of one round; default 1024
+	Candidates         int // workers scored for one job, the tightest first; default 64
+	ReserveAfter       int // rounds without a place after which a worker is kept for a job; default 100
+	MaxReservedWorkers int // workers kept at once; default 1 for each 32 workers, at least 1
 }
 
 const (
@@ -68,7 +68,7 @@
 	}
 	offer(&s, p.whole, teams, rest(true), r.try)
 	offer(&s, p.whole, teams, rest(false), r.try)
-	p.count(r.plan.Waiting)
+	p.count(r.plan.Unplaced)
 	r.plan.Findings = p.rules.found
 	return r.plan
 }
--- a/internal/policy/place/reason.go
+++ b/internal/policy/place/reason.go
@@ -13,12 +13,12 @@
 	ReasonMayShare
 	ReasonMustStayApart
 	ReasonQuota
-	ReasonImpossible // fits no worker even when it is empty
-	ReasonRound      // the round placed the limit of tasks
-	ReasonKept       // the worker is kept for a job that waited too long
-	ReasonGone       // the worker is not known
-	ReasonUnproven   // the worker must first prove that it can run what it has
-	ReasonAvoid      // the job failed on the worker
+	ReasonImpossible    // fits no worker even when it is empty
+	ReasonRoundLimit    // the round placed the limit of tasks
+	ReasonReserved      // the worker is kept for a job that waited too long
+	ReasonUnknownWorker // the worker is not known
+	ReasonUnproven      // the worker must first prove that it can run what it has
+	ReasonAvoid         // the job failed on the worker
 )
 
 var reasonNames = [...]string{"none", "resources", "worker-state", "may-share", "must-stay-apart",
@@ -52,12 +52,12 @@
 		return "fits no worker even when it is empty; declare a smaller size"
 	case ReasonQuota:
 		return "the team's quota leaves no room for the job"
-	case ReasonRound:
+	case ReasonRoundLimit:
 		return "the round already started its limit of tasks; the next round continues"
 	}
 	text := fmt.Sprintf("no worker has a place now (%s), %d rounds so far", v.counts(), v.Rounds)
-	if v.Kept != "" {
-		text += fmt.Sprintf("; worker %s is kept free for it", v.Kept)
+	if v.ReservedWorker != "" {
+		text += fmt.Sprintf("; worker %s is kept free for it", v.ReservedWorker)
 	}
 	return text
 }
--- a/internal/policy/place/reserve.go
+++ b/internal/policy/place/reserve.go
@@ -19,7 +19,7 @@
 // waited longest fit, so that a stream of small jobs cannot starve a large
 // one. An urgent job may still use a kept worker.
 func (p *Planner) keep(s *Snapshot) {
-	limit := cmp.Or(p.opts.MaxKept, max(1, len(p.byFree)/workersForEachKept))
+	limit := cmp.Or(p.opts.MaxReservedWorkers, max(1, len(p.byFree)/workersForEachKept))
 	var due []*Job
 	kept := 0
 	for i := range s.Jobs {
@@ -39,7 +39,7 @@
 		if c := cmp.Compare(p.waits[b.Spec.ID].rounds, p.waits[a.Spec.ID].rounds); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.Waiting, b.Waiting)
+		return cmp.Compare(a.SubmitOrder, b.SubmitOrder)
 	})
 	p.credit = min(p.credit+keptShare*float64(limit)-float64(kept), float64(p.opts.ReserveAfter*limit))
 	for _, j := range due {
@@ -87,7 +87,7 @@
 	for i := range waiting {
 		w := p.waits[waiting[i].Job]
 		switch waiting[i].Reason {
-		case ReasonImpossible, ReasonQuota, ReasonRound, ReasonWorkerState:
+		case ReasonImpossible, ReasonQuota, ReasonRoundLimit, ReasonWorkerState:
 			// Keeping a worker would not help, but the wait so far counts.
 			if w != nil {
 				w.seen = p.round
--- a/internal/policy/place/round.go
+++ b/internal/policy/place/round.go
@@ -93,7 +93,7 @@
 	case !b.allows(j.Size):
 		return Verdict{Reason: ReasonQuota}, true
 	case len(r.plan.Assignments) >= r.p.opts.MaxStarts:
-		return Verdict{Reason: ReasonRound}, true
+		return Verdict{Reason: ReasonRoundLimit}, true
 	}
 	return Verdict{}, false
 }
@@ -101,9 +101,9 @@
 func (r *round) wait(j *Job, v Verdict) {
 	v.Job = j.Spec.ID
 	if w := r.p.waits[v.Job]; w != nil {
-		v.Rounds, v.Kept = w.rounds, w.kept
+		v.Rounds, v.ReservedWorker = w.rounds, w.kept
 	}
-	r.plan.Waiting = append(r.plan.Waiting, v)
+	r.plan.Unplaced = append(r.plan.Unplaced, v)
 }
 
 func (r *round) assign(j *Job, b *budget, v *view) {
@@ -198,7 +198,7 @@
 // reject is check with kept workers; the profile of the job is in scratch.
 func (p *Planner) reject(v *view, urgent bool, size model.Resources) (Reason, int) {
 	if v.kept && !urgent && v.accepts() {
-		return ReasonKept, -1
+		return ReasonReserved, -1
 	}
 	return v.check(p.rules, &p.scratch, size, v.available())
 }
--- a/internal/policy/place/types.go
+++ b/internal/policy/place/types.go
@@ -58,10 +58,10 @@
 
 // Job is a job that waits for a place.
 type Job struct {
-	Spec    model.JobSpec
-	Labels  model.Labels // spec labels with "team" and "class" added
-	Size    model.Resources
-	Waiting uint64 // submission order: lower was submitted earlier
+	Spec        model.JobSpec
+	Labels      model.Labels // spec labels with "team" and "class" added
+	Size        model.Resources
+	SubmitOrder uint64 // submission order: lower was submitted earlier
 	// Avoid lists workers on which the job failed. They are used only when
 	// the job fits no other worker.
 	Avoid []model.WorkerID
@@ -106,20 +106,20 @@
 	Selector string      `json:"selector,omitempty"` // name of the selector, for selector reasons
 	// Workers counts the workers by reason; verdicts share it, so it is
 	// read-only.
-	Workers map[Reason]int `json:"workers,omitempty"`
-	Rounds  int            `json:"rounds"`         // number of rounds in which the job found no place
-	Kept    model.WorkerID `json:"kept,omitempty"` // the worker kept free for the job, if any
+	Workers        map[Reason]int `json:"workers,omitempty"`
+	Rounds         int            `json:"rounds"`         // number of rounds in which the job found no place
+	ReservedWorker model.WorkerID `json:"kept,omitempty"` // the worker kept free for the job, if any
 }
 
 // Plan is the result of a round.
 type Plan struct {
 	Assignments []Assignment
-	Waiting     []Verdict
+	Unplaced    []Verdict
 	Findings    finding.List // selectors that do not parse; they are not applied
 }
 
-// Rejection is what one worker means for a job. ReasonNone: it would take it.
-type Rejection struct {
+// Explanation is what one worker means for a job. ReasonNone: it would take it.
+type Explanation struct {
 	Worker   model.WorkerID `json:"worker"`
 	Reason   Reason         `json:"reason"`
 	Selector string         `json:"selector,omitempty"`
--- a/internal/policy/place/verify.go
+++ b/internal/policy/place/verify.go
@@ -18,7 +18,7 @@
 // team. claimed is the room on the worker that claims keep for other jobs.
 func Verify(w Worker, a Assignment, rules *Rules, team TeamBudget, claimed model.Resources) Reason {
 	if w.ID != a.Worker {
-		return ReasonGone
+		return ReasonUnknownWorker
 	}
 	b := budget{team.Use, team.Quota, team.Limited}
 	if !b.allows(a.Size) {
@@ -33,11 +33,11 @@
 
 // Explain says for each worker whether it would take the job now. It is nil
 // when the job does not wait in the snapshot.
-func Explain(s Snapshot, job model.JobID) []Rejection { return New(Options{}).Explain(s, job) }
+func Explain(s Snapshot, job model.JobID) []Explanation { return New(Options{}).Explain(s, job) }
 
 // Explain is the function of that name with the workers that the planner
 // keeps for other jobs.
-func (p *Planner) Explain(s Snapshot, job model.JobID) []Rejection {
+func (p *Planner) Explain(s Snapshot, job model.JobID) []Explanation {
 	var j *Job
 	for i := range s.Jobs {
 		if s.Jobs[i].Spec.ID == job {
@@ -51,21 +51,21 @@
 	profile := rules.profile(j.Labels)
 	quota, limited := s.Quotas[j.Spec.Team]
 	team := budget{s.TeamUse[j.Spec.Team], quota, limited}
-	out := make([]Rejection, 0, len(s.Workers))
+	out := make([]Explanation, 0, len(s.Workers))
 	for i := range s.Workers {
 		out = append(out, p.explain(&s, &s.Workers[i], j, rules, &profile, &team))
 	}
 	return out
 }
 
-func (p *Planner) explain(s *Snapshot, w *Worker, j *Job, rules *Rules, profile *profile, team *budget) Rejection {
+func (p *Planner) explain(s *Snapshot, w *Worker, j *Job, rules *Rules, profile *profile, team *budget) Explanation {
 	v := newView(w, rules)
 	for _, c := range s.Claims {
 		if c.Worker == w.ID && c.Job != j.Spec.ID {
 			v.claimed = v.claimed.Add(c.Size)
 		}
 	}
-	r := Rejection{Worker: w.ID}
+	r := Explanation{Worker: w.ID}
 	reason, rule := v.check(rules, profile, j.Size, v.available())
 	holder, kept := p.keptFor(w.ID)
 	switch {
@@ -78,7 +78,7 @@
 	case reason == ReasonNone && slices.Contains(j.Avoid, w.ID):
 		r.Reason, r.Text = ReasonAvoid, "the job failed on the worker"
 	case reason == ReasonNone && kept && holder != j.Spec.ID && !j.Spec.Urgent:
-		r.Reason = ReasonKept
+		r.Reason = ReasonReserved
 		r.Text = fmt.Sprintf("the worker is kept free for job %s, which has waited %d rounds", holder, p.waits[holder].rounds)
 	default:
 		r.Reason = reason
