--- a/internal/agent/exchanges.go
+++ b/internal/agent/exchanges.go
@@ -39,7 +39,7 @@
 	if c == nil {
 		return msg.RefusedNoCredit
 	}
-	c.borrower.Recent++
+	c.borrower.RecentRequests++
 	if s.backend.state != beReady && s.backend.state != beSuspect && s.backend.state != beDraining {
 		s.giveBack(c)
 		return msg.RefusedDraining
--- a/internal/agent/lending.go
+++ b/internal/agent/lending.go
@@ -37,15 +37,15 @@
 	s.flat = s.flat[:0]
 	for _, b := range s.borrowers {
 		s.count(b)
-		s.flat = append(s.flat, b.Borrower)
+		s.flat = append(s.flat, b.Holder)
 	}
 	state := credits.Slots{Total: s.backend.Slots - s.withoutBorrower(), LookAhead: look, Open: s.backend.open}
 	s.grants = credits.Plan(state, s.flat, s.grants[:0])
 	for i, b := range s.borrowers {
-		b.Granted = s.flat[i].Granted
+		b.GrantedSinceReport = s.flat[i].GrantedSinceReport
 	}
 	for _, g := range s.grants {
-		s.carryOut(s.borrowers[g.Borrower], g.Count)
+		s.carryOut(s.borrowers[g.Holder], g.Count)
 	}
 	s.tellLong()
 }
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -20,7 +20,7 @@
 
 // borrower is an entry with a link.
 type borrower struct {
-	credits.Borrower
+	credits.Holder
 	generation uint64
 	out        peer.Out
 	longSent   int // last Long that the entry was told
@@ -57,7 +57,7 @@
 	timers     *actor.Timers[timerKey]
 	now        time.Time
 	grants     []credits.Grant // scratch
-	flat       []credits.Borrower
+	flat       []credits.Holder
 }
 
 func newSlots(host model.Worker) *slots {
@@ -143,7 +143,7 @@
 func (s *slots) tick() {
 	s.now = time.Now()
 	for _, b := range s.borrowers {
-		b.Recent /= 2
+		b.RecentRequests /= 2
 	}
 	s.reportUsage()
 	s.settle()
@@ -152,7 +152,7 @@
 func (s *slots) entryUp(m EntryUp) {
 	s.entryDown(EntryDown{Entry: m.Hello.Entry, Generation: m.Hello.Generation})
 	b := &borrower{generation: m.Hello.Generation, out: m.Out, longSent: -1}
-	b.Entry, b.Near = m.Hello.Entry, m.Hello.DataCentre == s.dataCentre
+	b.Entry, b.SameDataCentre = m.Hello.Entry, m.Hello.DataCentre == s.dataCentre
 	s.borrowers = append(s.borrowers, b)
 	s.sendBackend(b)
 }
@@ -191,7 +191,7 @@
 	}
 	switch m := m.Msg.(type) {
 	case *msg.Demand:
-		b.Queued, b.Tightest, b.Granted = m.Queued, m.MinRemaining, 0
+		b.Queued, b.MinRemaining, b.GrantedSinceReport = m.Queued, m.MinRemaining, 0
 	case *msg.CreditReturn:
 		if m.Generation == b.generation {
 			s.returned(b, m.Count)
--- a/internal/policy/credits/credits.go
+++ b/internal/policy/credits/credits.go
@@ -9,25 +9,25 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Borrower is an entry as the agent sees it.
-type Borrower struct {
-	Entry model.EntryID
-	Near  bool // in the agent's data centre
-	Idle  int  // credits lent and not known to be spent
+// Holder is an entry as the agent sees it.
+type Holder struct {
+	Entry          model.EntryID
+	SameDataCentre bool // in the agent's data centre
+	Idle           int  // credits lent and not known to be spent
 	// Running counts spent credits whose exchange has not ended.
-	Running  int
-	Recalled int           // credits asked back and not yet returned or spent
-	Queued   int           // from the newest demand report
-	Tightest time.Duration // time left of the tightest queued request; 0: none
-	// Granted counts the credits granted since the newest demand report: the
+	Running      int
+	Recalled     int           // credits asked back and not yet returned or spent
+	Queued       int           // from the newest demand report
+	MinRemaining time.Duration // time left of the tightest queued request; 0: none
+	// GrantedSinceReport counts the credits granted since the newest demand report: the
 	// report does not know of them yet.
-	Granted int
-	// Recent is a fading count of requests, for dividing idle slots.
-	Recent float64
+	GrantedSinceReport int
+	// RecentRequests is a fading count of requests, for dividing idle slots.
+	RecentRequests float64
 }
 
 // need is how many more requests the entry could start than it has credits.
-func (b *Borrower) need() int { return b.Queued - b.Granted }
+func (b *Holder) need() int { return b.Queued - b.GrantedSinceReport }
 
 // Slots is the state of a backend server's slots.
 type Slots struct {
@@ -38,13 +38,13 @@
 
 // Grant gives credits to, or recalls them from, the borrower at an index.
 type Grant struct {
-	Borrower int
-	Count    int // negative: recall
+	Holder int
+	Count  int // negative: recall
 }
 
 // Plan appends to out the grants and recalls for the current state. The
 // borrowers are changed as if they had been carried out.
-func Plan(s Slots, borrowers []Borrower, out []Grant) []Grant {
+func Plan(s Slots, borrowers []Holder, out []Grant) []Grant {
 	if !s.Open || len(borrowers) == 0 {
 		return recallAll(borrowers, out)
 	}
@@ -66,7 +66,7 @@
 	return spread(s, borrowers, free, out)
 }
 
-func lent(borrowers []Borrower) int {
+func lent(borrowers []Holder) int {
 	n := 0
 	for i := range borrowers {
 		n += borrowers[i].Idle + borrowers[i].Running
@@ -74,7 +74,7 @@
 	return n
 }
 
-func anyNeed(borrowers []Borrower) bool {
+func anyNeed(borrowers []Holder) bool {
 	for i := range borrowers {
 		if borrowers[i].need() > 0 {
 			return true
@@ -83,16 +83,16 @@
 	return false
 }
 
-func grant(borrowers []Borrower, out []Grant, i int) []Grant {
+func grant(borrowers []Holder, out []Grant, i int) []Grant {
 	borrowers[i].Idle++
-	borrowers[i].Granted++
+	borrowers[i].GrantedSinceReport++
 	for k := range out {
-		if out[k].Borrower == i && out[k].Count > 0 {
+		if out[k].Holder == i && out[k].Count > 0 {
 			out[k].Count++
 			return out
 		}
 	}
-	return append(out, Grant{Borrower: i, Count: 1})
+	return append(out, Grant{Holder: i, Count: 1})
 }
 
 // neediest returns the borrower with unmet need that holds the fewest credits
@@ -100,7 +100,7 @@
 // requests wait equally long at each. Giving every slot to the entry with the
 // earliest deadline made the shares of two equal entries swing between 5 and
 // 102 of 88 slots. Ties go to the earlier deadline, then to the near entry.
-func neediest(borrowers []Borrower) int {
+func neediest(borrowers []Holder) int {
 	best := -1
 	for i := range borrowers {
 		if borrowers[i].need() <= 0 {
@@ -113,21 +113,21 @@
 	return best
 }
 
-func before(a, b *Borrower) bool {
+func before(a, b *Holder) bool {
 	// held(a)/need(a) < held(b)/need(b) without division
 	x, y := (a.Idle+a.Running)*b.need(), (b.Idle+b.Running)*a.need()
 	if x != y {
 		return x < y
 	}
-	if a.Tightest != b.Tightest {
-		return a.Tightest < b.Tightest
+	if a.MinRemaining != b.MinRemaining {
+		return a.MinRemaining < b.MinRemaining
 	}
-	return a.Near && !b.Near
+	return a.SameDataCentre && !b.SameDataCentre
 }
 
 // recallFor asks back idle credits of entries without a queue while others
 // wait for more than the free slots and the credits asked back already.
-func recallFor(borrowers []Borrower, out []Grant, free int) []Grant {
+func recallFor(borrowers []Holder, out []Grant, free int) []Grant {
 	wanted := 0
 	for i := range borrowers {
 		wanted += max(0, borrowers[i].need()) - borrowers[i].Recalled
@@ -144,7 +144,7 @@
 		if n := min(wanted, b.Idle-b.Recalled); n > 0 {
 			b.Recalled += n
 			wanted -= n
-			out = append(out, Grant{Borrower: i, Count: -n})
+			out = append(out, Grant{Holder: i, Count: -n})
 		}
 	}
 	return out
@@ -152,32 +152,32 @@
 
 // spread lends free slots in advance, in proportion to recent use, so that a
 // request at a quiet time finds a credit at its entry.
-func spread(s Slots, borrowers []Borrower, free int, out []Grant) []Grant {
+func spread(s Slots, borrowers []Holder, free int, out []Grant) []Grant {
 	total := 0.0
 	for i := range borrowers {
-		total += borrowers[i].Recent + 1
+		total += borrowers[i].RecentRequests + 1
 	}
 	for ; free > 0; free-- {
 		best, gap := -1, math.Inf(-1)
 		for i := range borrowers {
 			b := &borrowers[i]
-			share := float64(s.Total) * (b.Recent + 1) / total
+			share := float64(s.Total) * (b.RecentRequests + 1) / total
 			if g := share - float64(b.Idle+b.Running); g > gap {
 				best, gap = i, g
 			}
 		}
 		out = grant(borrowers, out, best)
-		borrowers[best].Granted-- // not an answer to a demand report
+		borrowers[best].GrantedSinceReport-- // not an answer to a demand report
 	}
 	return out
 }
 
-func recallAll(borrowers []Borrower, out []Grant) []Grant {
+func recallAll(borrowers []Holder, out []Grant) []Grant {
 	for i := range borrowers {
 		b := &borrowers[i]
 		if n := b.Idle - b.Recalled; n > 0 {
 			b.Recalled += n
-			out = append(out, Grant{Borrower: i, Count: -n})
+			out = append(out, Grant{Holder: i, Count: -n})
 		}
 	}
 	return out
--- a/internal/policy/credits/credits_test.go
+++ b/internal/policy/credits/credits_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-func drawBorrowers(t *rapid.T) []Borrower {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Borrower {
-		b := Borrower{
-			Near: rapid.Bool().Draw(t, "near"), Idle: rapid.IntRange(0, 6).Draw(t, "idle"), Running: rapid.IntRange(0, 6).Draw(t, "running"),
-			Queued: rapid.IntRange(0, 40).Draw(t, "queued"), Recent: rapid.Float64Range(0, 1000).Draw(t, "recent"),
-			Tightest: time.Duration(rapid.IntRange(0, 500).Draw(t, "tightest")) * time.Millisecond,
+func drawBorrowers(t *rapid.T) []Holder {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Holder {
+		b := Holder{
+			SameDataCentre: rapid.Bool().Draw(t, "near"), Idle: rapid.IntRange(0, 6).Draw(t, "idle"), Running: rapid.IntRange(0, 6).Draw(t, "running"),
+			Queued: rapid.IntRange(0, 40).Draw(t, "queued"), RecentRequests: rapid.Float64Range(0, 1000).Draw(t, "recent"),
+			MinRemaining: time.Duration(rapid.IntRange(0, 500).Draw(t, "tightest")) * time.Millisecond,
 		}
 		b.Recalled = rapid.IntRange(0, b.Idle).Draw(t, "recalled")
-		b.Granted = rapid.IntRange(0, 8).Draw(t, "granted")
+		b.GrantedSinceReport = rapid.IntRange(0, 8).Draw(t, "granted")
 		return b
 	}), 0, 5).Draw(t, "borrowers")
 }
@@ -28,11 +28,11 @@
 		s := Slots{Total: rapid.IntRange(-4, 16).Draw(t, "total"), LookAhead: rapid.IntRange(0, 8).Draw(t, "look-ahead"),
 			Open: rapid.Bool().Draw(t, "open")}
 		before := drawBorrowers(t)
-		after := append([]Borrower(nil), before...)
+		after := append([]Holder(nil), before...)
 		queued := anyNeed(before)
 		granted := 0
 		for _, g := range Plan(s, after, nil) {
-			b := before[g.Borrower]
+			b := before[g.Holder]
 			if g.Count > 0 {
 				granted += g.Count
 				assert.True(t, s.Open)
@@ -62,15 +62,15 @@
 
 // Guards against an entry that keeps idle credits while another one waits.
 func TestRecallForWaiting(t *testing.T) {
-	b := []Borrower{{Idle: 8}, {Queued: 3}}
-	assert.Equal(t, []Grant{{Borrower: 0, Count: -3}}, Plan(Slots{Total: 8, Open: true}, b, nil))
+	b := []Holder{{Idle: 8}, {Queued: 3}}
+	assert.Equal(t, []Grant{{Holder: 0, Count: -3}}, Plan(Slots{Total: 8, Open: true}, b, nil))
 	assert.Empty(t, Plan(Slots{Total: 8, Open: true}, b, nil), "asked back once")
 }
 
 // Guards against shares that differ from the queues' proportions.
 func TestSharesFollowQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := []Borrower{{Queued: rapid.IntRange(20, 200).Draw(t, "a")}, {Queued: rapid.IntRange(20, 200).Draw(t, "b")}}
+		b := []Holder{{Queued: rapid.IntRange(20, 200).Draw(t, "a")}, {Queued: rapid.IntRange(20, 200).Draw(t, "b")}}
 		want := 16 * float64(b[0].Queued) / float64(b[0].Queued+b[1].Queued)
 		Plan(Slots{Total: 8, LookAhead: 8, Open: true}, b, nil)
 		assert.InDelta(t, want, b[0].Idle, 2)
@@ -100,7 +100,7 @@
 // becomes free is lent again, over many rounds.
 func TestEqualQueuesKeepEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := []Borrower{{Queued: 50}, {Queued: 50}}
+		b := []Holder{{Queued: 50}, {Queued: 50}}
 		s := Slots{Total: 8, LookAhead: 4, Open: true}
 		for range 200 {
 			Plan(s, b, nil)
@@ -111,7 +111,7 @@
 			}
 			if rapid.Bool().Draw(t, "report") {
 				for i := range b {
-					b[i].Granted = 0
+					b[i].GrantedSinceReport = 0
 				}
 			}
 			if i := rapid.IntRange(0, 1).Draw(t, "ends"); b[i].Running > 0 {
@@ -130,12 +130,12 @@
 	assert.Equal(t, 1, LookAhead(8, 3*time.Millisecond, time.Minute))
 }
 
-func planInput(entries int) ([]Borrower, []Borrower) {
-	b := make([]Borrower, entries)
+func planInput(entries int) ([]Holder, []Holder) {
+	b := make([]Holder, entries)
 	for i := range b {
-		b[i] = Borrower{Queued: 10 + i, Running: 1, Idle: i % 2, Tightest: time.Duration(i) * time.Millisecond}
+		b[i] = Holder{Queued: 10 + i, Running: 1, Idle: i % 2, MinRemaining: time.Duration(i) * time.Millisecond}
 	}
-	return b, make([]Borrower, entries)
+	return b, make([]Holder, entries)
 }
 
 // Guards against garbage for each message that the slots actor handles.
