--- a/internal/agent/exchanges.go
+++ b/internal/agent/exchanges.go
@@ -157,7 +157,7 @@
 	if m.unreached {
 		event = exUnreached
 	} else {
-		s.classes.Finished(rec.class, m.ran)
+		s.classes.AddSample(rec.class, m.ran)
 		s.usage.ended(rec.class, m.ran)
 		s.mean += (float64(m.ran) - s.mean) * meanSmoothing
 	}
--- a/internal/agent/lending.go
+++ b/internal/agent/lending.go
@@ -15,7 +15,7 @@
 func (s *slots) longRunning() int {
 	n := 0
 	for _, r := range s.running {
-		if r.long || s.classes.Aged(r.class, s.now.Sub(r.began)) {
+		if r.long || s.classes.CountsAsLong(r.class, s.now.Sub(r.began)) {
 			n++
 		}
 	}
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -50,7 +50,7 @@
 	records    records
 	waiting    []*exchangeRecord // accepted, first come first served
 	running    map[model.RequestID]*exchangeRecord
-	classes    *dispatch.Classes
+	classes    *dispatch.ClassEstimates
 	mean       float64 // of all classes, nanoseconds
 	usage      usage
 	worker     model.WorkerID
@@ -62,7 +62,7 @@
 
 func newSlots(host model.Worker) *slots {
 	return &slots{
-		worker: host.ID, dataCentre: host.DataCentre, records: newRecords(), classes: dispatch.NewClasses(),
+		worker: host.ID, dataCentre: host.DataCentre, records: newRecords(), classes: dispatch.NewClassEstimates(),
 		running: map[model.RequestID]*exchangeRecord{}, timers: actor.NewTimers[timerKey](),
 	}
 }
--- a/internal/entry/avoid_test.go
+++ b/internal/entry/avoid_test.go
@@ -25,7 +25,7 @@
 	}
 	s := d.service("s")
 	for range 50 { // the other instance looks far slower than the penalty of a failure
-		s.classes.Finished("c", 10*time.Second)
+		s.classes.AddSample("c", 10*time.Second)
 	}
 	for _, i := range s.instances {
 		i.slowness = map[model.BackendID]float64{"lost": 0.1, "other": 1}[i.Backend]
--- a/internal/entry/credits.go
+++ b/internal/entry/credits.go
@@ -190,7 +190,7 @@
 	s := d.service(m.service)
 	s.leave(m.to.id)
 	if m.started && !m.failed {
-		s.classes.Finished(m.class, m.ran)
+		s.classes.AddSample(m.class, m.ran)
 	}
 	i := d.instanceOf(m.to)
 	if i == nil {
@@ -216,8 +216,8 @@
 	for _, s := range d.services {
 		for id, r := range s.running {
 			ran := d.now.Sub(r.since)
-			if !r.since.IsZero() && ran > max(r.aged, time.Second) && s.classes.Aged(r.class, ran) {
-				s.classes.Finished(r.class, ran)
+			if !r.since.IsZero() && ran > max(r.aged, time.Second) && s.classes.CountsAsLong(r.class, ran) {
+				s.classes.AddSample(r.class, ran)
 				r.aged = 2 * ran
 				s.running[id] = r
 			}
@@ -228,7 +228,7 @@
 // reportDemand tells the agents of a service how long the queue is, when that
 // has changed.
 func (d *dispatcher) reportDemand(s *service) {
-	now := demand{queued: s.queue.Len(), short: s.queue.Short()}
+	now := demand{queued: s.queue.Len(), short: s.queue.ShortLen()}
 	if !s.anyLongAllowed() {
 		now.queued = now.short // a credit would not help the long ones
 	}
@@ -237,7 +237,7 @@
 	}
 	s.demanded, s.reported = now, d.now
 	m := &msg.Demand{Service: s.name, Queued: now.queued, Short: now.short}
-	if at, ok := s.queue.Tightest(); ok {
+	if at, ok := s.queue.EarliestDeadline(); ok {
 		m.MinRemaining = max(at.Sub(d.now), time.Millisecond)
 	}
 	// Each agent sees an equal part of the queue: the whole of it at every
@@ -283,7 +283,7 @@
 		}
 		for _, c := range s.classes.Names() {
 			st.Classes = append(st.Classes, model.ClassStatus{
-				Class: c, Long: s.classes.Long(c), P50: s.classes.Quantile(c, 0.5),
+				Class: c, Long: s.classes.IsLong(c), P50: s.classes.Quantile(c, 0.5),
 				P99: s.classes.Quantile(c, 0.99), P999: s.classes.Quantile(c, 0.999),
 			})
 		}
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -144,7 +144,7 @@
 	if s, ok := d.services[name]; ok {
 		return s
 	}
-	classes := dispatch.NewClasses()
+	classes := dispatch.NewClassEstimates()
 	s := &service{
 		name: name, classes: classes, queue: dispatch.NewQueue(dispatch.Options{}, classes),
 		calls: map[dispatch.Key]chan<- callMessage{}, running: map[model.RequestID]runningRequest{},
@@ -193,13 +193,13 @@
 func (d *dispatcher) admit(m admit) {
 	s := d.service(m.service)
 	if m.retry {
-		if m.ran && !s.budget.Take() {
+		if m.ran && !s.budget.TakeRetry() {
 			s.refuse(m.call, dispatch.RefusedFull)
 			return
 		}
 		s.queue.Requeue(d.now, m.req)
 	} else {
-		s.budget.Request()
+		s.budget.AddRequest()
 		if why := s.queue.Admit(d.now, m.req, s.inProgress(), s.idle()); why != dispatch.Accepted {
 			s.refuse(m.call, why)
 			return
@@ -245,7 +245,7 @@
 	d.nextID++
 	i.Credits--
 	i.Running++
-	long := s.classes.Long(r.Class)
+	long := s.classes.IsLong(r.Class)
 	if long {
 		i.longFree--
 	}
--- a/internal/entry/response.go
+++ b/internal/entry/response.go
@@ -12,7 +12,7 @@
 // answerNotRun says that the request was not run, and why.
 func (c *call) answerNotRun() {
 	switch {
-	case c.refusal == dispatch.RefusedTimed || time.Now().After(c.req.Deadline):
+	case c.refusal == dispatch.RefusedExpired || time.Now().After(c.req.Deadline):
 		c.answer(http.StatusGatewayTimeout, model.OutcomeNotRun, "no slot was free early enough to finish before the deadline")
 	case c.declined == msg.RefusedDeadline || c.declined == msg.RefusedCancelled:
 		c.answer(http.StatusGatewayTimeout, model.OutcomeNotRun, "the deadline passed before the request was started")
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -23,7 +23,7 @@
 type service struct {
 	name      model.Service
 	queue     *dispatch.Queue
-	classes   *dispatch.Classes
+	classes   *dispatch.ClassEstimates
 	budget    dispatch.RetryBudget
 	calls     map[dispatch.Key]chan<- callMessage // of the queued requests
 	instances []*instance
@@ -83,7 +83,7 @@
 // choose picks the instance for the next request. An instance whose agent
 // still allows a long request is preferred while long ones wait.
 func (s *service) choose(now time.Time) (*instance, bool) {
-	long := s.queue.Len() > s.queue.Short()
+	long := s.queue.Len() > s.queue.ShortLen()
 	s.flat = s.flat[:0]
 	mayLong := false
 	for _, i := range s.instances {
@@ -97,7 +97,7 @@
 		}
 		s.flat = append(s.flat, c)
 	}
-	if mayLong && s.queue.Short() == 0 {
+	if mayLong && s.queue.ShortLen() == 0 {
 		for k, i := range s.instances {
 			if !s.longAllowed(i) {
 				s.flat[k].Credits = 0
--- a/internal/policy/dispatch/choose.go
+++ b/internal/policy/dispatch/choose.go
@@ -69,11 +69,11 @@
 	maxRetryTokens = 20  // burst
 )
 
-// Request records a first try.
-func (b *RetryBudget) Request() { b.tokens = min(b.tokens+retryShare, maxRetryTokens) }
+// AddRequest records a first try.
+func (b *RetryBudget) AddRequest() { b.tokens = min(b.tokens+retryShare, maxRetryTokens) }
 
-// Take spends a retry if the budget allows it.
-func (b *RetryBudget) Take() bool {
+// TakeRetry spends a retry if the budget allows it.
+func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/policy/dispatch/cold_test.go
+++ b/internal/policy/dispatch/cold_test.go
@@ -11,7 +11,7 @@
 // to others, refusing every request but the first of a tenant although
 // agents lend it slots once they hear of its demand.
 func TestAdmitWithoutCreditsYet(t *testing.T) {
-	q, now := NewQueue(Options{}, NewClasses()), time.Now()
+	q, now := NewQueue(Options{}, NewClassEstimates()), time.Now()
 	for n := range 40 {
 		r := Request{Key: Key(n), Tenant: "tenant", Arrived: now, Deadline: now.Add(30 * time.Second)}
 		require.Equal(t, Accepted, q.Admit(now, r, Load{}, false), "request %d", n)
@@ -21,7 +21,7 @@
 // Guards against an entry refusing every request after a busy time: nothing
 // was in progress any more, which the estimate took for no slots.
 func TestAdmitAfterABusyTime(t *testing.T) {
-	q, now := NewQueue(Options{}, NewClasses()), time.Now()
+	q, now := NewQueue(Options{}, NewClassEstimates()), time.Now()
 	busy := Load{Sent: Count{Short: 24}, Started: Count{Short: 24}, Slots: 24}
 	admit := func(n int, load Load) {
 		r := Request{Key: Key(n), Tenant: "tenant", Arrived: now, Deadline: now.Add(30 * time.Second)}
@@ -35,9 +35,9 @@
 // Guards against an entry without credits refusing requests of a class that
 // takes seconds although the free slots of the backend servers suffice.
 func TestAdmitCountsOnFreeSlots(t *testing.T) {
-	classes := NewClasses()
+	classes := NewClassEstimates()
 	for range minSamples {
-		classes.Finished("", time.Second)
+		classes.AddSample("", time.Second)
 	}
 	q, now := NewQueue(Options{}, classes), time.Now()
 	for n := range 24 {
@@ -49,9 +49,9 @@
 // Guards against a burst after a busy time being refused because the requests
 // in progress are taken for all the slots there are, while most are free.
 func TestAdmitWithFewInProgress(t *testing.T) {
-	classes := NewClasses()
+	classes := NewClassEstimates()
 	for range minSamples {
-		classes.Finished("", 5*time.Second)
+		classes.AddSample("", 5*time.Second)
 	}
 	q, now := NewQueue(Options{}, classes), time.Now()
 	admit := func(n int, load Load) {
--- a/internal/policy/dispatch/estimate.go
+++ b/internal/policy/dispatch/estimate.go
@@ -7,16 +7,16 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Classes learns how long the requests of each class of a service hold a
+// ClassEstimates learns how long the requests of each class of a service hold a
 // slot. Lengths are not known in advance and may drift.
-type Classes struct {
+type ClassEstimates struct {
 	byName map[model.Class]*classStats
 	forced map[model.Class]bool // long by configuration
 }
 
-// NewClasses returns estimates that know nothing yet.
-func NewClasses() *Classes {
-	return &Classes{byName: map[model.Class]*classStats{}, forced: map[model.Class]bool{}}
+// NewClassEstimates returns estimates that know nothing yet.
+func NewClassEstimates() *ClassEstimates {
+	return &ClassEstimates{byName: map[model.Class]*classStats{}, forced: map[model.Class]bool{}}
 }
 
 const (
@@ -36,10 +36,10 @@
 )
 
 // SetLong marks a class as long by configuration.
-func (c *Classes) SetLong(name model.Class, long bool) { c.forced[name] = long }
+func (c *ClassEstimates) SetLong(name model.Class, long bool) { c.forced[name] = long }
 
-// Finished records that a request of the class held a slot for d.
-func (c *Classes) Finished(name model.Class, d time.Duration) {
+// AddSample records that a request of the class held a slot for d.
+func (c *ClassEstimates) AddSample(name model.Class, d time.Duration) {
 	s, ok := c.byName[name]
 	if !ok {
 		if len(c.byName) >= maxClasses {
@@ -52,7 +52,7 @@
 }
 
 // Mean is the expected slot time of a request of the class.
-func (c *Classes) Mean(name model.Class) time.Duration {
+func (c *ClassEstimates) Mean(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return time.Duration(s.mean)
 	}
@@ -61,7 +61,7 @@
 
 // Typical is the slot time that most requests of the class stay within, for
 // deciding whether there is time left to run one.
-func (c *Classes) Typical(name model.Class) time.Duration {
+func (c *ClassEstimates) Typical(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.95)
 	}
@@ -70,17 +70,17 @@
 
 // Floor is the slot time that half of the requests of the class exceed: with
 // less time left, running one would most likely be a waste.
-func (c *Classes) Floor(name model.Class) time.Duration {
+func (c *ClassEstimates) Floor(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.5)
 	}
 	return 0
 }
 
-// Long reports whether the class may hold only a part of the slots. A class
+// IsLong reports whether the class may hold only a part of the slots. A class
 // that is not known yet counts as long once another class of the service is
 // known: its first requests could otherwise take every slot for hours.
-func (c *Classes) Long(name model.Class) bool {
+func (c *ClassEstimates) IsLong(name model.Class) bool {
 	if long, set := c.forced[name]; set {
 		return long
 	}
@@ -100,15 +100,15 @@
 	return others && s.quantile(0.95) > longRatio*quickest
 }
 
-// Aged reports whether a request of the class that has run for d counts as
+// CountsAsLong reports whether a request of the class that has run for d counts as
 // long from now on.
-func (c *Classes) Aged(name model.Class, d time.Duration) bool {
+func (c *ClassEstimates) CountsAsLong(name model.Class, d time.Duration) bool {
 	s := c.known(name)
 	return s != nil && d > agedRatio*s.quantile(0.95)
 }
 
 // Quantile returns a quantile of the class's slot times, 0 when unknown.
-func (c *Classes) Quantile(name model.Class, q float64) time.Duration {
+func (c *ClassEstimates) Quantile(name model.Class, q float64) time.Duration {
 	if s := c.byName[name]; s != nil && s.count > 0 {
 		return s.quantile(q)
 	}
@@ -116,7 +116,7 @@
 }
 
 // Names lists the classes that were seen, in no order.
-func (c *Classes) Names() []model.Class {
+func (c *ClassEstimates) Names() []model.Class {
 	names := make([]model.Class, 0, len(c.byName))
 	for n := range c.byName {
 		names = append(names, n)
@@ -124,7 +124,7 @@
 	return names
 }
 
-func (c *Classes) known(name model.Class) *classStats {
+func (c *ClassEstimates) known(name model.Class) *classStats {
 	if s := c.byName[name]; s != nil && s.count >= minSamples {
 		return s
 	}
--- a/internal/policy/dispatch/estimate_test.go
+++ b/internal/policy/dispatch/estimate_test.go
@@ -17,9 +17,9 @@
 		requests, retries := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "request") {
-				b.Request()
+				b.AddRequest()
 				requests++
-			} else if b.Take() {
+			} else if b.TakeRetry() {
 				retries++
 			}
 			assert.LessOrEqual(t, float64(retries), retryShare*float64(requests)+1e-9)
@@ -30,42 +30,42 @@
 // Guards against classes whose length is learned wrong or not followed when
 // it drifts.
 func TestClassLearning(t *testing.T) {
-	c := NewClasses()
-	assert.False(t, c.Long("read"), "nothing is known yet")
+	c := NewClassEstimates()
+	assert.False(t, c.IsLong("read"), "nothing is known yet")
 	for range minSamples {
-		c.Finished("read", 10*time.Millisecond)
+		c.AddSample("read", 10*time.Millisecond)
 	}
-	assert.True(t, c.Long("watch"), "unknown beside a known class")
-	assert.False(t, c.Long("read"))
+	assert.True(t, c.IsLong("watch"), "unknown beside a known class")
+	assert.False(t, c.IsLong("read"))
 	for range minSamples {
-		c.Finished("watch", time.Minute)
-		c.Finished("consent", 50*time.Millisecond)
+		c.AddSample("watch", time.Minute)
+		c.AddSample("consent", 50*time.Millisecond)
 	}
-	assert.True(t, c.Long("watch"))
-	assert.False(t, c.Long("consent"))
-	assert.True(t, c.Aged("read", time.Second))
-	assert.False(t, c.Aged("read", 20*time.Millisecond))
+	assert.True(t, c.IsLong("watch"))
+	assert.False(t, c.IsLong("consent"))
+	assert.True(t, c.CountsAsLong("read", time.Second))
+	assert.False(t, c.CountsAsLong("read", 20*time.Millisecond))
 	for range 4 * halveAfter {
-		c.Finished("watch", 10*time.Millisecond)
+		c.AddSample("watch", 10*time.Millisecond)
 	}
-	assert.False(t, c.Long("watch"), "it has become short")
+	assert.False(t, c.IsLong("watch"), "it has become short")
 	assert.InDelta(t, float64(10*time.Millisecond), float64(c.Mean("watch")), float64(time.Millisecond))
 	c.SetLong("read", true)
-	assert.True(t, c.Long("read"), "the configuration takes precedence")
+	assert.True(t, c.IsLong("read"), "the configuration takes precedence")
 }
 
 // Guards against a sole class that counts as long, and so gets only half of
 // the slots, because its slot times vary on a busy host.
 func TestSoleClassIsNotLong(t *testing.T) {
-	c := NewClasses()
+	c := NewClassEstimates()
 	for i := range 100 {
 		d := 200 * time.Microsecond
 		if i%10 == 0 {
 			d = 20 * time.Millisecond
 		}
-		c.Finished("default", d)
+		c.AddSample("default", d)
 	}
-	assert.False(t, c.Long("default"))
+	assert.False(t, c.IsLong("default"))
 }
 
 // Guards against quantiles that leave the range of the samples by more than a
@@ -73,9 +73,9 @@
 func TestQuantileOfSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.IntRange(1, 100_000), minSamples, 400).Draw(t, "ms")
-		c := NewClasses()
+		c := NewClassEstimates()
 		for _, v := range ms {
-			c.Finished("read", time.Duration(v)*time.Millisecond)
+			c.AddSample("read", time.Duration(v)*time.Millisecond)
 		}
 		sort.Ints(ms)
 		for _, q := range []float64{0.5, 0.95} {
--- a/internal/policy/dispatch/queue.go
+++ b/internal/policy/dispatch/queue.go
@@ -50,11 +50,11 @@
 
 // Reasons for a refusal.
 const (
-	Accepted     Refusal = iota
-	RefusedFull          // the queue or the tenant's share of it is full
-	RefusedLate          // it could not start in time, or would make others late
-	RefusedNone          // there is no backend server to wait for
-	RefusedTimed         // the deadline came while it was queued
+	Accepted         Refusal = iota
+	RefusedFull              // the queue or the tenant's share of it is full
+	RefusedLate              // it could not start in time, or would make others late
+	RefusedNoBackend         // there is no backend server to wait for
+	RefusedExpired           // the deadline came while it was queued
 )
 
 // Options are the bounds of a queue. The zero value of a field selects its
@@ -87,7 +87,7 @@
 	bands   [2]band // short, long
 	index   map[Key]*node
 	free    []*node
-	classes *Classes
+	classes *ClassEstimates
 	speed   [2]float64 // slots that serve each band, smoothed
 	learned time.Time  // when speed was updated
 	origin  time.Time  // of the profiles' buckets
@@ -99,18 +99,18 @@
 )
 
 // NewQueue returns an empty queue that takes its estimates from classes.
-func NewQueue(opts Options, classes *Classes) *Queue {
+func NewQueue(opts Options, classes *ClassEstimates) *Queue {
 	return &Queue{opts: opts.withDefaults(), index: map[Key]*node{}, classes: classes}
 }
 
 // Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.index) }
 
-// Short returns the number of queued requests of short classes.
-func (q *Queue) Short() int { return q.bands[shortBand].size }
+// ShortLen returns the number of queued requests of short classes.
+func (q *Queue) ShortLen() int { return q.bands[shortBand].size }
 
-// Tightest returns the earliest deadline of the queued requests.
-func (q *Queue) Tightest() (time.Time, bool) {
+// EarliestDeadline returns the earliest deadline of the queued requests.
+func (q *Queue) EarliestDeadline() (time.Time, bool) {
 	var first time.Time
 	for i := range q.bands {
 		if at, ok := q.bands[i].tightest(); ok && (first.IsZero() || at.Before(first)) {
@@ -140,7 +140,7 @@
 func (q *Queue) describe(n *node, r Request) {
 	n.req, n.cost, n.band = r, q.classes.Mean(r.Class), shortBand
 	n.latest = r.Deadline.Add(-q.classes.Typical(r.Class))
-	if q.classes.Long(r.Class) {
+	if q.classes.IsLong(r.Class) {
 		n.band = longBand
 	}
 }
@@ -234,7 +234,7 @@
 		if now.After(n.latest) { // it gets no slot time, so its tenant is not charged
 			q.bands[n.band].remove(n)
 			q.release(n)
-			drop(r, RefusedTimed)
+			drop(r, RefusedExpired)
 			continue
 		}
 		q.bands[n.band].take(n)
--- a/internal/policy/dispatch/queue_test.go
+++ b/internal/policy/dispatch/queue_test.go
@@ -14,11 +14,11 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // learned returns classes with known lengths.
-func learned(means map[model.Class]time.Duration) *Classes {
-	c := NewClasses()
+func learned(means map[model.Class]time.Duration) *ClassEstimates {
+	c := NewClassEstimates()
 	for name, d := range means {
 		for range minSamples {
-			c.Finished(name, d)
+			c.AddSample(name, d)
 		}
 	}
 	return c
@@ -74,7 +74,7 @@
 						first = r.Deadline
 					}
 				}
-				at, ok := q.Tightest()
+				at, ok := q.EarliestDeadline()
 				assert.Equal(t, len(queued) > 0, ok)
 				assert.True(t, at.Equal(first), "tightest %v, want %v", at, first)
 			},
@@ -178,7 +178,7 @@
 // Guards against an entry that refuses a burst because it has nothing in
 // progress yet, although the backend servers would lend it slots.
 func TestColdEntryAdmitsABurst(t *testing.T) {
-	q := NewQueue(Options{}, NewClasses())
+	q := NewQueue(Options{}, NewClassEstimates())
 	for k := range Key(28) {
 		assert.Equal(t, Accepted, q.Admit(epoch, request(k, "a", 10*time.Second), Load{Instances: 3}, false))
 	}
