--- a/cmd/bambooscaled/run.go
+++ b/cmd/bambooscaled/run.go
@@ -184,7 +184,7 @@
 		c.Table = storage.NewHTTPTable(platformConfig(s.Daemon.Table))
 	}
 	if s.Agent.Worker != nil {
-		host := taskagent.NewHTTPWorker(s.Agent.Worker.String(), http.DefaultClient)
+		host := taskagent.NewHTTPWorkerClient(s.Agent.Worker.String(), http.DefaultClient)
 		if err := describeWorker(cmd.Context(), host, &c.Worker); err != nil {
 			return nil, err
 		}
@@ -200,7 +200,7 @@
 
 // describeWorker fills in the capacity that the settings leave open. The
 // worker may start after its agent, so it is asked until it answers.
-func describeWorker(ctx context.Context, host taskagent.Worker, w *model.Worker) error {
+func describeWorker(ctx context.Context, host taskagent.WorkerClient, w *model.Worker) error {
 	for w.Capacity.CPU == 0 || w.Capacity.Memory == 0 {
 		limited, cancel := context.WithTimeout(ctx, describeTimeout)
 		found, err := host.Describe(limited)
--- a/cmd/bambooscaled/run_test.go
+++ b/cmd/bambooscaled/run_test.go
@@ -13,7 +13,7 @@
 
 // silentWorker does not answer the first call.
 type silentWorker struct {
-	taskagent.Worker
+	taskagent.WorkerClient
 	calls *int
 }
 
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -126,7 +126,7 @@
 func (w *world) startAgent(a *agent) {
 	w.boots++
 	a.boot, a.group, a.links = w.boots, actor.NewGroup(w.ctx, w.failed), map[model.EntryID]*wire{}
-	a.owner = taskagent.Start(a.group, taskagent.Config{Worker: a.worker, Cell: cellName, Host: a.host,
+	a.owner = taskagent.Start(a.group, taskagent.Config{Worker: a.worker, Cell: cellName, Client: a.host,
 		Log: &log.Logger{Level: log.DebugLevel, Handler: log.HandlerFunc(func(l *log.Entry) error {
 			if pause := a.pause.Swap(nil); pause != nil {
 				<-*pause
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -29,8 +29,8 @@
 	Entries  []string // addresses for agents, to connect to first
 	Announce net.Listener
 	Dialer   link.Dialer
-	Host     taskagent.Worker // nil: the host runs no tasks
-	Table    storage.Table    // nil: only Entries are connected to
+	Host     taskagent.WorkerClient // nil: the host runs no tasks
+	Table    storage.Table          // nil: only Entries are connected to
 	Log      log.Interface
 }
 
@@ -67,7 +67,7 @@
 		},
 	}
 	if c.Host != nil {
-		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Host: c.Host, Log: c.Log})
+		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Client: c.Host, Log: c.Log})
 		links.Subscribers = append(links.Subscribers, agentTasks{g.Context(), owner})
 	}
 	connector := spawnConnector(g, links, c.Region, c.Entries)
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -143,9 +143,9 @@
 	case taskagent.Received:
 		b = append(b, e.Entry...)
 		b = w.appendMessages(b, i, []msg.Control{e.Msg}, scale)
-	case taskagent.Answer:
+	case taskagent.CallResult:
 		b = fmt.Appendf(b, "%d %s %v %v %s", e.Call, e.Attempt, e.Err != nil, e.Refused, e.Checkpoint)
-	case taskagent.Listed:
+	case taskagent.ListResult:
 		b = fmt.Appendf(b, "%v", e.Err != nil)
 		for _, t := range e.Tasks {
 			b = fmt.Appendf(b, "%s %s", t.Attempt, t.State)
--- a/internal/explore/worker.go
+++ b/internal/explore/worker.go
@@ -56,10 +56,10 @@
 
 func lost(e taskagent.Event) taskagent.Event {
 	switch e := e.(type) {
-	case taskagent.Answer:
-		return taskagent.Answer{Call: e.Call, Attempt: e.Attempt, Err: context.DeadlineExceeded}
+	case taskagent.CallResult:
+		return taskagent.CallResult{Call: e.Call, Attempt: e.Attempt, Err: context.DeadlineExceeded}
 	default:
-		return taskagent.Listed{Err: context.DeadlineExceeded}
+		return taskagent.ListResult{Err: context.DeadlineExceeded}
 	}
 }
 
@@ -72,28 +72,28 @@
 		if d := min(lease.WorkerTTL, f.Until-w.now); t != nil && t.state == model.TaskRunning && d > 0 {
 			t.lease = w.now + d
 		}
-		return taskagent.Answer{Call: taskagent.DidRenew, Attempt: f.Attempt}
+		return taskagent.CallResult{Call: taskagent.RenewCall, Attempt: f.Attempt}
 	case taskagent.CallCheckpoint:
-		ans := taskagent.Answer{Call: taskagent.DidCheckpoint, Attempt: f.Attempt}
+		ans := taskagent.CallResult{Call: taskagent.CheckpointCall, Attempt: f.Attempt}
 		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
 			t.saved++
 			ans.Checkpoint = taskagent.CheckpointPrefix(f.Attempt) + string(rune('0'+t.saved))
 		}
 		return ans
 	case taskagent.CallThrottle:
-		return taskagent.Answer{Call: taskagent.DidThrottle, Attempt: f.Attempt}
+		return taskagent.CallResult{Call: taskagent.ThrottleCall, Attempt: f.Attempt}
 	case taskagent.CallStop:
 		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
 			t.state = model.TaskStopped
 			w.note("%s stops %s", a.id, f.Attempt)
 		}
-		return taskagent.Answer{Call: taskagent.DidStop, Attempt: f.Attempt}
+		return taskagent.CallResult{Call: taskagent.StopCall, Attempt: f.Attempt}
 	}
 	var list []taskagent.Task
 	for _, t := range a.runs {
 		list = append(list, taskagent.Task{Attempt: t.id, State: t.state, Result: taskagent.ResultName(t.id)})
 	}
-	return taskagent.Listed{Tasks: list}
+	return taskagent.ListResult{Tasks: list}
 }
 
 // taskCPU is the size of every job, capacityCPU that of a worker.
@@ -105,10 +105,10 @@
 	id := f.Request.Attempt
 	d := min(lease.WorkerTTL, f.Until-w.now)
 	if d <= 0 {
-		return taskagent.Answer{Call: taskagent.DidStart, Attempt: id, Refused: true, Err: errors.New("the lease ended")}
+		return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id, Refused: true, Err: errors.New("the lease ended")}
 	}
 	if a.task(id) != nil {
-		return taskagent.Answer{Call: taskagent.DidStart, Attempt: id}
+		return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id}
 	}
 	w.note("%s starts %s", a.id, id)
 	for i := range w.agent {
@@ -123,7 +123,7 @@
 		w.failure = string(a.id) + " has no room for " + id.String()
 	}
 	a.runs = append(a.runs, task{id: id, began: w.now, lease: w.now + d, state: model.TaskRunning})
-	return taskagent.Answer{Call: taskagent.DidStart, Attempt: id}
+	return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id}
 }
 
 // running counts the tasks that run, once each is settled.
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -235,10 +235,10 @@
 	for _, e := range inbox {
 		w.stepAgent(i, e)
 	}
-	if a.core.Next() <= w.now {
+	if a.core.NextTick() <= w.now {
 		w.stepAgent(i, taskagent.Tick{})
 	}
-	if a.core.Next() <= w.now && w.failure == "" {
+	if a.core.NextTick() <= w.now && w.failure == "" {
 		w.failure = "an agent's timer stays due: its actor would spin"
 	}
 }
--- a/internal/taskagent/commands.go
+++ b/internal/taskagent/commands.go
@@ -153,7 +153,7 @@
 	c.send(u)
 }
 
-func (c *Core) onAnswer(a Answer) {
+func (c *Core) onAnswer(a CallResult) {
 	h := c.holds[a.Attempt]
 	if h == nil {
 		return
@@ -162,24 +162,24 @@
 		c.emit(Log{event.TaskWorkerError, map[string]any{"call": a.Call.String(), "attempt": a.Attempt.String(), "error": a.Err.Error()}})
 	}
 	switch a.Call {
-	case DidStart:
+	case StartCall:
 		c.onStarted(h, a)
-	case DidRenew:
+	case RenewCall:
 		h.renewing = false
-	case DidCheckpoint:
+	case CheckpointCall:
 		h.checkpoint = false
 		if a.Err == nil && a.Checkpoint != "" {
 			h.report.checkpoint = a.Checkpoint
 			c.step(h, evCheckpointed)
 		}
-	case DidStop:
+	case StopCall:
 		if a.Err == nil || a.NoTask {
 			c.step(h, evStopped)
 		}
 	}
 }
 
-func (c *Core) onStarted(h *hold, a Answer) {
+func (c *Core) onStarted(h *hold, a CallResult) {
 	switch {
 	case a.Err == nil:
 		c.step(h, evStarted)
@@ -193,7 +193,7 @@
 }
 
 // onListed compares the worker's tasks with the attempts known here.
-func (c *Core) onListed(e Listed) {
+func (c *Core) onListed(e ListResult) {
 	c.listing = false
 	if e.Err != nil {
 		c.emit(Log{event.TaskWorkerError, map[string]any{"call": "list", "error": e.Err.Error()}})
--- a/internal/taskagent/core.go
+++ b/internal/taskagent/core.go
@@ -68,16 +68,16 @@
 		delete(c.links, e.Entry)
 	case Received:
 		c.receive(e.Entry, e.Msg)
-	case Answer:
+	case CallResult:
 		c.onAnswer(e)
-	case Listed:
+	case ListResult:
 		c.onListed(e)
 	}
 	return c.effects
 }
 
-// Next returns when the next timer is due.
-func (c *Core) Next() time.Duration {
+// NextTick returns when the next timer is due.
+func (c *Core) NextTick() time.Duration {
 	next := min(c.listAt, c.renewAt, c.usageAt)
 	for _, h := range c.holds {
 		if h.deadline > 0 {
--- a/internal/taskagent/core_test.go
+++ b/internal/taskagent/core_test.go
@@ -25,7 +25,7 @@
 	s := &script{T: t, core: NewCore(model.Worker{ID: "w1"}, "c1")}
 	s.do(LinkUp{"a"})
 	s.do(LinkUp{"b"})
-	s.do(Listed{})
+	s.do(ListResult{})
 	return s
 }
 
@@ -35,7 +35,7 @@
 func (s *script) wait(d time.Duration) *script {
 	var all []Effect
 	for end := s.now + d; s.now < end; {
-		s.now = min(end, max(s.core.Next(), s.now+time.Millisecond))
+		s.now = min(end, max(s.core.NextTick(), s.now+time.Millisecond))
 		s.do(Tick{})
 		all = append(all, s.effects...)
 	}
@@ -87,7 +87,7 @@
 	s.renew("a", 1).from("a", start(1))
 	_, n := effect[CallStart](s)
 	require.Equal(s, 1, n)
-	return s.do(Answer{Call: DidStart, Attempt: one})
+	return s.do(CallResult{Call: StartCall, Attempt: one})
 }
 
 // Guards against a start command that arrives after the stop of its attempt.
@@ -139,7 +139,7 @@
 	s.wait(time.Second)
 	_, n = effect[CallStop](s)
 	require.Equal(t, 1, n)
-	s.do(Answer{Call: DidStop, Attempt: one})
+	s.do(CallResult{Call: StopCall, Attempt: one})
 	require.Equal(t, model.TaskStopped, s.reported().State)
 	require.Equal(t, "lease expired", s.reported().Reason)
 }
@@ -169,7 +169,7 @@
 // Guards against a lost or a doubled final report.
 func TestFinalReportIsRepeatedUntilAcknowledged(t *testing.T) {
 	s := newScript(t).running()
-	s.do(Listed{Tasks: []Task{{Attempt: one, State: model.TaskDone, Result: "result/j/1"}}})
+	s.do(ListResult{Tasks: []Task{{Attempt: one, State: model.TaskDone, Result: "result/j/1"}}})
 	require.Equal(t, "result/j/1", s.reported().Result)
 	require.Equal(t, "result/j/1", s.wait(reportRetry).reported().Result)
 	s.from("a", &msg.TaskAck{Command: cmd(1), Attempt: one}).wait(keepFor - time.Second)
@@ -183,7 +183,7 @@
 	s.do(LinkUp{"a"}).from("a", &msg.CellClaim{Command: cmd(4)}).from("a", start(4))
 	_, n := effect[CallStart](s)
 	require.Zero(t, n, "the worker's tasks are not known yet")
-	s.do(Listed{Tasks: []Task{{Attempt: one, State: model.TaskRunning}}})
+	s.do(ListResult{Tasks: []Task{{Attempt: one, State: model.TaskRunning}}})
 	require.Equal(t, model.TaskRunning, s.reported().State)
 	s.wait(2*time.Second).renew("a", 4)
 	_, n = effect[CallRenew](s)
@@ -193,25 +193,25 @@
 // Guards against a task whose start call timed out and which runs nevertheless.
 func TestUnknownStartIsStopped(t *testing.T) {
 	s := newScript(t).renew("a", 1).from("a", start(1))
-	s.do(Answer{Call: DidStart, Attempt: one, Err: errors.New("timeout")})
+	s.do(CallResult{Call: StartCall, Attempt: one, Err: errors.New("timeout")})
 	require.Nil(t, s.reported(), "the attempt may run")
 	_, n := effect[CallStop](s)
 	require.Equal(t, 1, n)
 	s.wait(stopRetry)
 	_, n = effect[CallStop](s)
 	require.Equal(t, 1, n)
-	s.do(Answer{Call: DidStop, Attempt: one, NoTask: true, Err: ErrNoTask})
+	s.do(CallResult{Call: StopCall, Attempt: one, NoTask: true, Err: ErrNoTask})
 	require.Equal(t, model.TaskFailed, s.reported().State)
 }
 
 // Guards against a warning for a call whose task had just ended, and against
 // silence when the worker fails.
 func TestEndedTaskIsNoWorkerError(t *testing.T) {
-	for _, call := range []Call{DidRenew, DidCheckpoint, DidThrottle} {
+	for _, call := range []Call{RenewCall, CheckpointCall, ThrottleCall} {
 		s := newScript(t).running()
-		_, n := effect[Log](s.do(Answer{Call: call, Attempt: one, Err: ErrRefused, Refused: true}))
+		_, n := effect[Log](s.do(CallResult{Call: call, Attempt: one, Err: ErrRefused, Refused: true}))
 		require.Zero(t, n, call.String())
-		_, n = effect[Log](s.do(Answer{Call: call, Attempt: one, Err: errors.New("timeout")}))
+		_, n = effect[Log](s.do(CallResult{Call: call, Attempt: one, Err: errors.New("timeout")}))
 		require.Equal(t, 1, n, call.String())
 	}
 }
--- a/internal/taskagent/events.go
+++ b/internal/taskagent/events.go
@@ -26,9 +26,9 @@
 		Entry model.EntryID
 		Msg   msg.Control
 	}
-	// Answer is the result of a call to the worker. Each call but CallList is
+	// CallResult is the result of a call to the worker. Each call but CallList is
 	// answered once.
-	Answer struct {
+	CallResult struct {
 		Call       Call
 		Attempt    model.AttemptID
 		Checkpoint string
@@ -36,8 +36,8 @@
 		Refused    bool // the call certainly had no effect
 		NoTask     bool // the worker does not know the task
 	}
-	// Listed answers CallList.
-	Listed struct {
+	// ListResult answers CallList.
+	ListResult struct {
 		Tasks []Task
 		Err   error
 	}
@@ -45,11 +45,11 @@
 
 // over reports whether a call failed only because the task has ended at the
 // worker, which the next list shows.
-func (a Answer) over() bool {
+func (a CallResult) over() bool {
 	switch a.Call {
-	case DidRenew, DidCheckpoint, DidThrottle:
+	case RenewCall, CheckpointCall, ThrottleCall:
 		return a.NoTask || a.Refused
-	case DidStop:
+	case StopCall:
 		return a.NoTask
 	}
 	return false
@@ -60,11 +60,11 @@
 
 // Calls to the worker.
 const (
-	DidStart Call = iota
-	DidRenew
-	DidCheckpoint
-	DidThrottle
-	DidStop
+	StartCall Call = iota
+	RenewCall
+	CheckpointCall
+	ThrottleCall
+	StopCall
 )
 
 // String returns the name of the call for logs.
@@ -103,13 +103,13 @@
 	}
 )
 
-func (Tick) isEvent()     {}
-func (Paused) isEvent()   {}
-func (LinkUp) isEvent()   {}
-func (LinkDown) isEvent() {}
-func (Received) isEvent() {}
-func (Answer) isEvent()   {}
-func (Listed) isEvent()   {}
+func (Tick) isEvent()       {}
+func (Paused) isEvent()     {}
+func (LinkUp) isEvent()     {}
+func (LinkDown) isEvent()   {}
+func (Received) isEvent()   {}
+func (CallResult) isEvent() {}
+func (ListResult) isEvent() {}
 
 func (Send) isEffect()           {}
 func (CallStart) isEffect()      {}
--- a/internal/taskagent/http.go
+++ b/internal/taskagent/http.go
@@ -19,17 +19,17 @@
 // maxWorkerResponse bounds what is read of one response of the worker.
 const maxWorkerResponse = 8 << 20
 
-// HTTPWorker is the Worker behind the HTTP interface of docs/design.md
+// HTTPWorkerClient is the Worker behind the HTTP interface of docs/design.md
 // section 7.
-type HTTPWorker struct {
+type HTTPWorkerClient struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPWorker returns a client of the worker at base, such as
+// NewHTTPWorkerClient returns a client of the worker at base, such as
 // http://127.0.0.1:9000.
-func NewHTTPWorker(base string, client *http.Client) *HTTPWorker {
-	return &HTTPWorker{base: strings.TrimRight(base, "/"), client: client}
+func NewHTTPWorkerClient(base string, client *http.Client) *HTTPWorkerClient {
+	return &HTTPWorkerClient{base: strings.TrimRight(base, "/"), client: client}
 }
 
 // StartBody is the body of POST /v1/tasks.
@@ -84,7 +84,7 @@
 }
 
 // Start implements Worker.
-func (w *HTTPWorker) Start(ctx context.Context, r StartRequest) error {
+func (w *HTTPWorkerClient) Start(ctx context.Context, r StartRequest) error {
 	return w.call(ctx, http.MethodPost, "/v1/tasks", StartBody{
 		ID: r.Attempt.String(), Resources: r.Resources, LeaseMs: r.Lease.Milliseconds(), Program: r.Program,
 		Checkpoint: r.Checkpoint, ResultName: r.ResultName, CheckpointPrefix: r.CheckpointPrefix,
@@ -92,24 +92,24 @@
 }
 
 // Renew implements Worker.
-func (w *HTTPWorker) Renew(ctx context.Context, id model.AttemptID, d time.Duration) error {
+func (w *HTTPWorkerClient) Renew(ctx context.Context, id model.AttemptID, d time.Duration) error {
 	return w.call(ctx, http.MethodPost, taskPath(id, "renew"), RenewBody{LeaseMs: d.Milliseconds()}, nil)
 }
 
 // Checkpoint implements Worker.
-func (w *HTTPWorker) Checkpoint(ctx context.Context, id model.AttemptID) (string, error) {
+func (w *HTTPWorkerClient) Checkpoint(ctx context.Context, id model.AttemptID) (string, error) {
 	var reply CheckpointReply
 	err := w.call(ctx, http.MethodPost, taskPath(id, "checkpoint"), struct{}{}, &reply)
 	return reply.Checkpoint, err
 }
 
 // Throttle implements Worker.
-func (w *HTTPWorker) Throttle(ctx context.Context, id model.AttemptID, percent int) error {
+func (w *HTTPWorkerClient) Throttle(ctx context.Context, id model.AttemptID, percent int) error {
 	return w.call(ctx, http.MethodPost, taskPath(id, "throttle"), ThrottleBody{Percent: percent}, nil)
 }
 
 // Stop implements Worker.
-func (w *HTTPWorker) Stop(ctx context.Context, id model.AttemptID) error {
+func (w *HTTPWorkerClient) Stop(ctx context.Context, id model.AttemptID) error {
 	err := w.call(ctx, http.MethodPost, taskPath(id, "stop"), struct{}{}, nil)
 	if errors.Is(err, ErrRefused) {
 		return nil // 409: the task had ended
@@ -119,7 +119,7 @@
 
 // List implements Worker. Tasks whose id is not that of an attempt are not
 // ours and are left out.
-func (w *HTTPWorker) List(ctx context.Context) ([]Task, error) {
+func (w *HTTPWorkerClient) List(ctx context.Context) ([]Task, error) {
 	var list []TaskEntry
 	if err := w.call(ctx, http.MethodGet, "/v1/tasks", nil, &list); err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 }
 
 // Describe implements Worker.
-func (w *HTTPWorker) Describe(ctx context.Context) (model.Worker, error) {
+func (w *HTTPWorkerClient) Describe(ctx context.Context) (model.Worker, error) {
 	var worker model.Worker
 	err := w.call(ctx, http.MethodGet, "/v1/worker", nil, &worker)
 	return worker, err
@@ -150,7 +150,7 @@
 	return "/v1/tasks/" + url.PathEscape(id.String()) + "/" + verb
 }
 
-func (w *HTTPWorker) call(ctx context.Context, method, path string, body, reply any) error {
+func (w *HTTPWorkerClient) call(ctx context.Context, method, path string, body, reply any) error {
 	var payload io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
--- a/internal/taskagent/http_test.go
+++ b/internal/taskagent/http_test.go
@@ -35,7 +35,7 @@
 	})
 	srv := httptest.NewServer(mux)
 	defer srv.Close()
-	w := NewHTTPWorker(srv.URL, srv.Client())
+	w := NewHTTPWorkerClient(srv.URL, srv.Client())
 	require.NoError(t, w.Start(t.Context(), StartRequest{Attempt: one, Resources: model.Resources{CPU: 500},
 		Lease: 15 * time.Second, ResultName: ResultName(one)}))
 	require.ErrorIs(t, w.Start(t.Context(), StartRequest{Attempt: one}), ErrRefused)
--- a/internal/taskagent/taskagent.go
+++ b/internal/taskagent/taskagent.go
@@ -48,7 +48,7 @@
 type Config struct {
 	Worker model.Worker
 	Cell   model.Cell
-	Host   Worker
+	Client WorkerClient
 	Log    log.Interface
 }
 
@@ -94,7 +94,7 @@
 		o.apply(LinkUp{entry})
 	}
 	return actor.Loop[Message, Event]{
-		Now: o.now, NextTick: o.core.Next, Apply: o.apply,
+		Now: o.now, NextTick: o.core.NextTick, Apply: o.apply,
 		Translate: func(m Message) (Event, bool) {
 			e := o.translate(m)
 			return e, e != nil
@@ -131,8 +131,8 @@
 			event.Log(o.cfg.Log, f.Event, f.Fields)
 		case CallList:
 			o.call(callTimeout, func(ctx context.Context) Event {
-				tasks, err := o.cfg.Host.List(ctx)
-				return Listed{Tasks: tasks, Err: err}
+				tasks, err := o.cfg.Client.List(ctx)
+				return ListResult{Tasks: tasks, Err: err}
 			})
 		default:
 			o.callTask(f)
@@ -142,28 +142,28 @@
 
 // callTask makes a call that concerns one attempt.
 func (o *owner) callTask(f Effect) {
-	host := o.cfg.Host
+	host := o.cfg.Client
 	switch f := f.(type) {
 	case CallStart:
-		o.callLeased(DidStart, f.Request.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
+		o.callLeased(StartCall, f.Request.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
 			r := f.Request
 			r.Lease = d
 			return host.Start(ctx, r)
 		})
 	case CallRenew:
-		o.callLeased(DidRenew, f.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
+		o.callLeased(RenewCall, f.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
 			return host.Renew(ctx, f.Attempt, d)
 		})
 	case CallStop:
-		o.call(callTimeout, func(ctx context.Context) Event { return answer(DidStop, f.Attempt, host.Stop(ctx, f.Attempt)) })
+		o.call(callTimeout, func(ctx context.Context) Event { return answer(StopCall, f.Attempt, host.Stop(ctx, f.Attempt)) })
 	case CallThrottle:
 		o.call(callTimeout, func(ctx context.Context) Event {
-			return answer(DidThrottle, f.Attempt, host.Throttle(ctx, f.Attempt, f.Percent))
+			return answer(ThrottleCall, f.Attempt, host.Throttle(ctx, f.Attempt, f.Percent))
 		})
 	case CallCheckpoint:
 		o.call(checkpointTimeout, func(ctx context.Context) Event {
 			name, err := host.Checkpoint(ctx, f.Attempt)
-			a := answer(DidCheckpoint, f.Attempt, err)
+			a := answer(CheckpointCall, f.Attempt, err)
 			a.Checkpoint = name
 			return a
 		})
@@ -177,7 +177,7 @@
 	o.call(callTimeout, func(ctx context.Context) Event {
 		d := min(lease.WorkerTTL, until-o.now())
 		if d <= 0 {
-			return Answer{Call: call, Attempt: id, Refused: true, Err: errLeaseEnded}
+			return CallResult{Call: call, Attempt: id, Refused: true, Err: errLeaseEnded}
 		}
 		return answer(call, id, do(ctx, d))
 	})
@@ -185,8 +185,8 @@
 
 var errLeaseEnded = errors.New("the lease ended before the call was made")
 
-func answer(call Call, id model.AttemptID, err error) Answer {
-	return Answer{Call: call, Attempt: id, Err: err, Refused: errors.Is(err, ErrRefused), NoTask: errors.Is(err, ErrNoTask)}
+func answer(call Call, id model.AttemptID, err error) CallResult {
+	return CallResult{Call: call, Attempt: id, Err: err, Refused: errors.Is(err, ErrRefused), NoTask: errors.Is(err, ErrNoTask)}
 }
 
 func (o *owner) call(timeout time.Duration, do func(context.Context) Event) {
--- a/internal/taskagent/worker.go
+++ b/internal/taskagent/worker.go
@@ -17,9 +17,9 @@
 	ErrNoTask = errors.New("the worker does not know the task")
 )
 
-// Worker is the interface of the host on which tasks run. Calls may be made by
+// WorkerClient is the interface of the host on which tasks run. Calls may be made by
 // any goroutine. Start is idempotent by attempt.
-type Worker interface {
+type WorkerClient interface {
 	Start(ctx context.Context, r StartRequest) error
 	// Renew sets the worker's own lease of a task to d from receipt.
 	Renew(ctx context.Context, id model.AttemptID, d time.Duration) error
