--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -22,7 +22,7 @@
 	// Patience is how long after its last fault a schedule may take until
 	// every job is over.
 	Patience time.Duration
-	Charts   fs.FS // replaces charts/hold.scxml; nil: the embedded one
+	Charts   fs.FS // replaces charts/agentattempt.scxml; nil: the embedded one
 	NoFence  bool  // the table ignores preconditions: a planted fault
 	// MaxStates ends the exploration; 0 is no limit.
 	MaxStates int
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-// changed returns the charts with a replacement in hold.scxml.
+// changed returns the charts with a replacement in agentattempt.scxml.
 func changed(t *testing.T, old, new string) fs.FS {
-	raw, err := fs.ReadFile(charts.Files, "hold.scxml")
+	raw, err := fs.ReadFile(charts.Files, "agentattempt.scxml")
 	require.NoError(t, err)
 	require.Contains(t, string(raw), old)
-	return fstest.MapFS{"hold.scxml": {Data: bytes.ReplaceAll(raw, []byte(old), []byte(new))}}
+	return fstest.MapFS{"agentattempt.scxml": {Data: bytes.ReplaceAll(raw, []byte(old), []byte(new))}}
 }
--- a/internal/taskagent/hold.go
+++ b/internal/taskagent/attempt.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// States of charts/hold.scxml.
+// States of charts/agentattempt.scxml.
 const (
 	stAbsent chart.State = iota
 	stStarting
@@ -19,7 +19,7 @@
 	stForgotten
 )
 
-// Events of charts/hold.scxml.
+// Events of charts/agentattempt.scxml.
 const (
 	evStart chart.Event = iota
 	evStarted
@@ -47,8 +47,8 @@
 	keepFor = 2 * time.Minute
 )
 
-// hold is what the agent knows of one attempt.
-type hold struct {
+// attempt is what the agent knows of one attempt.
+type attempt struct {
 	id       model.AttemptID
 	state    chart.State
 	deadline time.Duration // of the state's timeout; 0 when it has none
@@ -79,49 +79,49 @@
 	ranFor     time.Duration
 }
 
-var holdChart = chart.MustCompile(charts.Files, HoldBinding())
+var attemptChart = chart.MustCompile(charts.Files, AttemptBinding())
 
-// HoldBinding binds charts/hold.scxml. It is exported for the checks that
+// AttemptBinding binds charts/agentattempt.scxml. It is exported for the checks that
 // explore the chart.
-func HoldBinding() chart.Binding[hold] {
-	return chart.Binding[hold]{
-		Chart:  "hold",
+func AttemptBinding() chart.Binding[attempt] {
+	return chart.Binding[attempt]{
+		Chart:  "agentattempt",
 		States: []string{"absent", "starting", "running", "stopping", "reporting", "kept", "forgotten"},
 		Events: []string{"start", "started", "notStarted", "unknown", "stop", "expire", "found", "ended", "lost",
 			"checkpoint", "checkpointed", "throttle", "renew", "stopped", "retry", "acknowledge"},
-		Guards: map[string]func(*hold) bool{
-			"leased":   func(h *hold) bool { return h.core.lease.Valid(h.core.now, h.spec.LongRunning) },
-			"unwanted": func(h *hold) bool { return h.unwanted },
-			"listed":   func(h *hold) bool { return h.listed },
+		Guards: map[string]func(*attempt) bool{
+			"leased":   func(h *attempt) bool { return h.core.lease.Valid(h.core.now, h.spec.LongRunning) },
+			"unwanted": func(h *attempt) bool { return h.unwanted },
+			"listed":   func(h *attempt) bool { return h.listed },
 		},
-		Actions: holdActions(),
+		Actions: attemptActions(),
 		Delays:  map[string]time.Duration{"stopRetry": stopRetry, "reportRetry": reportRetry, "keepFor": keepFor},
 	}
 }
 
-func holdActions() map[string]func(*hold) {
-	stopped := func(reason string) func(*hold) {
-		return func(h *hold) { h.report.state, h.report.reason = model.TaskStopped, reason }
+func attemptActions() map[string]func(*attempt) {
+	stopped := func(reason string) func(*attempt) {
+		return func(h *attempt) { h.report.state, h.report.reason = model.TaskStopped, reason }
 	}
-	return map[string]func(*hold){
-		"callStart":      (*hold).callStart,
-		"callStop":       (*hold).callStop,
-		"callRenew":      (*hold).callRenew,
-		"callCheckpoint": (*hold).callCheckpoint,
-		"callThrottle":   func(h *hold) { h.core.emit(CallThrottle{h.id, h.percent}) },
-		"report":         func(h *hold) { h.core.sendReport(h) },
+	return map[string]func(*attempt){
+		"callStart":      (*attempt).callStart,
+		"callStop":       (*attempt).callStop,
+		"callRenew":      (*attempt).callRenew,
+		"callCheckpoint": (*attempt).callCheckpoint,
+		"callThrottle":   func(h *attempt) { h.core.emit(CallThrottle{h.id, h.percent}) },
+		"report":         func(h *attempt) { h.core.sendReport(h) },
 		"refuse":         stopped("no valid lease when the start command arrived"),
 		"bar":            stopped("stopped before it started"),
 		"lapse":          stopped("lease expired"),
 		"lose":           stopped("lost by the worker"),
-		"fail":           (*hold).fail,
-		"adopt":          (*hold).adopt,
-		"record":         func(*hold) {}, // the owner stored the worker's record before the event
-		"unwant":         func(h *hold) { h.unwanted = true },
+		"fail":           (*attempt).fail,
+		"adopt":          (*attempt).adopt,
+		"record":         func(*attempt) {}, // the owner stored the worker's record before the event
+		"unwant":         func(h *attempt) { h.unwanted = true },
 	}
 }
 
-func (h *hold) callStart() {
+func (h *attempt) callStart() {
 	h.report.state = model.TaskRunning
 	h.core.emit(CallStart{
 		Request: StartRequest{
@@ -132,14 +132,14 @@
 	})
 }
 
-func (h *hold) callStop() {
+func (h *attempt) callStop() {
 	if h.report.state == model.TaskRunning {
 		h.report.state, h.report.reason = model.TaskStopped, "stopped by command"
 	}
 	h.core.emit(CallStop{h.id})
 }
 
-func (h *hold) callRenew() {
+func (h *attempt) callRenew() {
 	if h.renewing {
 		return // the worker is slow; the next round sends a newer lease
 	}
@@ -147,7 +147,7 @@
 	h.core.emit(CallRenew{h.id, h.core.lease.Until(h.spec.LongRunning)})
 }
 
-func (h *hold) callCheckpoint() {
+func (h *attempt) callCheckpoint() {
 	if !h.checkpoint {
 		h.checkpoint = true
 		h.core.emit(CallCheckpoint{h.id})
@@ -155,21 +155,21 @@
 }
 
 // fail blames the task unless the start call came too late for the lease.
-func (h *hold) fail() {
+func (h *attempt) fail() {
 	h.report.state = model.TaskFailed
 	if !h.core.lease.Valid(h.core.now, h.spec.LongRunning) {
 		h.report.state = model.TaskStopped
 	}
 }
 
-func (h *hold) adopt() {
+func (h *attempt) adopt() {
 	h.adopted, h.adoptedAt = true, h.core.now
 	h.report.state = model.TaskRunning
 }
 
 // expiresAt is when the attempt has to be stopped for lack of a lease. An
 // adopted attempt runs on the worker's own lease until the controller renews.
-func (h *hold) expiresAt(c *Core) time.Duration {
+func (h *attempt) expiresAt(c *Core) time.Duration {
 	at := max(c.lease.Until(h.spec.LongRunning), c.confirmBy)
 	if h.adopted {
 		at = max(at, h.adoptedAt+workerTTL)
--- a/internal/taskagent/commands.go
+++ b/internal/taskagent/commands.go
@@ -31,14 +31,14 @@
 	case *msg.CheckpointTask:
 		c.command(from, m.Command, m.Attempt, evCheckpoint)
 	case *msg.ThrottleTask:
-		if h := c.holds[m.Attempt]; h != nil {
+		if h := c.attempts[m.Attempt]; h != nil {
 			if m.Cell == c.cell && m.Epoch >= c.epoch {
 				h.percent = m.Percent
 			}
 			c.command(from, m.Command, m.Attempt, evThrottle)
 		}
 	case *msg.TaskAck:
-		if h := c.holds[m.Attempt]; h != nil && c.admit(from, m.Command) {
+		if h := c.attempts[m.Attempt]; h != nil && c.admit(from, m.Command) {
 			c.step(h, evAcknowledge)
 		}
 	}
@@ -60,11 +60,11 @@
 }
 
 // attempt returns the record of an attempt, which it creates if there is room.
-func (c *Core) attempt(id model.AttemptID) *hold {
-	h := c.holds[id]
-	if h == nil && len(c.holds) < maxAttempts {
-		h = &hold{id: id, state: c.machine.Initial(), spec: model.JobSpec{ID: id.Job}}
-		c.holds[id] = h
+func (c *Core) attempt(id model.AttemptID) *attempt {
+	h := c.attempts[id]
+	if h == nil && len(c.attempts) < maxAttempts {
+		h = &attempt{id: id, state: c.machine.Initial(), spec: model.JobSpec{ID: id.Job}}
+		c.attempts[id] = h
 	}
 	return h
 }
@@ -90,7 +90,7 @@
 	if !c.admit(from, cmd) {
 		return
 	}
-	h := c.holds[id]
+	h := c.attempts[id]
 	if h == nil && e == evStop && c.adopted {
 		h = c.attempt(id)
 	}
@@ -117,7 +117,7 @@
 	return inv
 }
 
-func (c *Core) taskReport(h *hold) msg.TaskReport {
+func (c *Core) taskReport(h *attempt) msg.TaskReport {
 	r := msg.TaskReport{
 		Attempt: h.id, Epoch: c.epoch, State: h.report.state, Checkpoint: h.report.checkpoint,
 		Reason: h.report.reason, Usage: h.report.usage, RanFor: h.report.ranFor,
@@ -134,7 +134,7 @@
 	return r
 }
 
-func (c *Core) sendReport(h *hold) {
+func (c *Core) sendReport(h *attempt) {
 	r := c.taskReport(h)
 	c.send(&r)
 }
@@ -154,7 +154,7 @@
 }
 
 func (c *Core) onAnswer(a CallResult) {
-	h := c.holds[a.Attempt]
+	h := c.attempts[a.Attempt]
 	if h == nil {
 		return
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-func (c *Core) onStarted(h *hold, a CallResult) {
+func (c *Core) onStarted(h *attempt, a CallResult) {
 	switch {
 	case a.Err == nil:
 		c.step(h, evStarted)
@@ -199,7 +199,7 @@
 		c.emit(Log{event.TaskWorkerError, map[string]any{"call": "list", "error": e.Err.Error()}})
 		return
 	}
-	for _, h := range c.holds {
+	for _, h := range c.attempts {
 		h.listed = false
 	}
 	first := !c.adopted
@@ -220,7 +220,7 @@
 }
 
 func (c *Core) onTask(t Task) {
-	known := c.holds[t.Attempt] != nil
+	known := c.attempts[t.Attempt] != nil
 	h := c.attempt(t.Attempt)
 	if h == nil {
 		return
@@ -244,14 +244,14 @@
 	}
 }
 
-func (h *hold) record(now time.Duration, t Task) {
+func (h *attempt) record(now time.Duration, t Task) {
 	h.report.usage, h.report.usageAt, h.report.ranFor = t.Usage, now, t.RanFor
 	if t.Checkpoint != "" {
 		h.report.checkpoint = t.Checkpoint
 	}
 }
 
-func (h *hold) finish(t Task) {
+func (h *attempt) finish(t Task) {
 	// A task that its worker ended by command keeps the reason of the command.
 	if t.State == model.TaskStopped && h.report.state == model.TaskStopped {
 		return
--- a/internal/taskagent/core.go
+++ b/internal/taskagent/core.go
@@ -22,16 +22,16 @@
 // Core decides for the task attempts of one host. It is stepped with events
 // and returns effects; it does no input or output and has no goroutine.
 type Core struct {
-	worker  model.Worker
-	cell    model.Cell
-	now     time.Duration
-	epoch   model.Epoch
-	owner   model.EntryID // whose commands carried the epoch
-	lease   lease.Holder
-	holds   map[model.AttemptID]*hold
-	links   map[model.EntryID]bool
-	machine *chart.Machine[hold]
-	effects []Effect
+	worker   model.Worker
+	cell     model.Cell
+	now      time.Duration
+	epoch    model.Epoch
+	owner    model.EntryID // whose commands carried the epoch
+	lease    lease.Holder
+	attempts map[model.AttemptID]*attempt
+	links    map[model.EntryID]bool
+	machine  *chart.Machine[attempt]
+	effects  []Effect
 
 	// confirmBy is set after a pause: until then tasks wait for a renewal that
 	// confirms the lease before they are stopped.
@@ -47,8 +47,8 @@
 // NewCore returns the core of the agent of a worker in a cell.
 func NewCore(worker model.Worker, cell model.Cell) *Core {
 	return &Core{
-		worker: worker, cell: cell, machine: holdChart,
-		holds: map[model.AttemptID]*hold{}, links: map[model.EntryID]bool{},
+		worker: worker, cell: cell, machine: attemptChart,
+		attempts: map[model.AttemptID]*attempt{}, links: map[model.EntryID]bool{},
 	}
 }
 
@@ -79,7 +79,7 @@
 // NextTick returns when the next timer is due.
 func (c *Core) NextTick() time.Duration {
 	next := min(c.listAt, c.renewAt, c.usageAt)
-	for _, h := range c.holds {
+	for _, h := range c.attempts {
 		if h.deadline > 0 {
 			next = min(next, h.deadline)
 		}
@@ -93,7 +93,7 @@
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // step feeds an event to the chart of an attempt and arms its timeout.
-func (c *Core) step(h *hold, e chart.Event) bool {
+func (c *Core) step(h *attempt, e chart.Event) bool {
 	h.core = c
 	before := h.state
 	if !c.machine.Step(h, &h.state, e) {
@@ -109,16 +109,16 @@
 		}
 	}
 	if c.machine.Final(h.state) {
-		delete(c.holds, h.id)
+		delete(c.attempts, h.id)
 	}
 	return true
 }
 
 // sorted returns the attempts in a fixed order, so that effects are
 // reproducible.
-func (c *Core) sorted() []*hold {
-	list := make([]*hold, 0, len(c.holds))
-	for _, h := range c.holds {
+func (c *Core) sorted() []*attempt {
+	list := make([]*attempt, 0, len(c.attempts))
+	for _, h := range c.attempts {
 		list = append(list, h)
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -152,7 +152,7 @@
 }
 
 func (c *Core) list() {
-	if c.listing || c.adopted && len(c.holds) == 0 {
+	if c.listing || c.adopted && len(c.attempts) == 0 {
 		return
 	}
 	c.listing, c.listFrom = true, c.now
@@ -176,8 +176,8 @@
 // worker's lease is renewed until the controller confirms it. An unconfirmed
 // attempt is stopped after the worker's own lease has ended anyway.
 func (c *Core) onPaused() {
-	if len(c.holds) > 0 {
-		c.emit(Log{event.TaskAgentPaused, map[string]any{"attempts": len(c.holds)}})
+	if len(c.attempts) > 0 {
+		c.emit(Log{event.TaskAgentPaused, map[string]any{"attempts": len(c.attempts)}})
 	}
 	if c.lease.Valid(c.now, false) || c.lease.Valid(c.now, true) {
 		c.confirmBy = c.now + workerTTL
--- a/internal/taskagent/snapshot.go
+++ b/internal/taskagent/snapshot.go
@@ -13,7 +13,7 @@
 // UseCharts replaces the lifecycle of attempts by another version of its
 // chart, for checks that have to fail with a faulty one.
 func (c *Core) UseCharts(files fs.FS) error {
-	m, err := chart.Compile(files, HoldBinding())
+	m, err := chart.Compile(files, AttemptBinding())
 	if err == nil {
 		c.machine = m
 	}
@@ -25,11 +25,11 @@
 	n := *c
 	n.effects = nil
 	n.links = maps.Clone(c.links)
-	n.holds = make(map[model.AttemptID]*hold, len(c.holds))
-	for id, h := range c.holds {
+	n.attempts = make(map[model.AttemptID]*attempt, len(c.attempts))
+	for id, h := range c.attempts {
 		k := *h
 		k.core = nil
-		n.holds[id] = &k
+		n.attempts[id] = &k
 	}
 	return &n
 }
