--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -23,7 +23,7 @@
 
 // Events of charts/attempt.scxml.
 const (
-	evInherit chart.Event = iota
+	evAdopt chart.Event = iota
 	evCommitted
 	evRunning
 	evEnded
@@ -31,13 +31,13 @@
 	evEvict
 	evExpire
 	evAbsent
-	evSaved
-	evLate
+	evCheckpointCommitted
+	evAttemptTimeout
 )
 
 const (
-	commandRetry       = 2 * time.Second
-	checkpointPatience = 30 * time.Second // an eviction without a new checkpoint resumes from the last one
+	commandRetryInterval = 2 * time.Second
+	checkpointTimeout    = 30 * time.Second // an eviction without a new checkpoint resumes from the last one
 )
 
 // attempt is the live attempt of a job, or the last one.
@@ -58,7 +58,7 @@
 	return chart.Binding[job]{
 		Chart:  "attempt",
 		States: []string{"reserved", "starting", "running", "unknown", "checkpointing", "stopping", "over"},
-		Events: []string{"inherit", "committed", "running", "ended", "stop", "evict", "expire", "absent", "saved", "late"},
+		Events: []string{"adopt", "committed", "running", "ended", "stop", "evict", "expire", "absent", "checkpointCommitted", "timeout"},
 		Guards: map[string]func(*job) bool{
 			"evicting": func(j *job) bool { return j.phase == stEvicting },
 		},
@@ -72,12 +72,12 @@
 				j.core.ledger.MarkStopping(j.attemptID())
 				j.command(&msg.CheckpointTask{Command: j.core.command(), Attempt: j.attemptID()})
 			},
-			"noteStarted": func(j *job) { j.core.stepJob(j, evJobStarted) },
-			"settle":      func(j *job) { j.core.settle(j) },
-			"lose":        func(j *job) { j.core.lose(j) },
-			"withdraw":    func(j *job) { j.core.release(j, evInterrupted, outcomeNone) },
+			"reportStarted": func(j *job) { j.core.stepJob(j, evJobStarted) },
+			"endByReport":   func(j *job) { j.core.endByReport(j) },
+			"abandon":       func(j *job) { j.core.abandon(j) },
+			"withdraw":      func(j *job) { j.core.release(j, evInterrupted, outcomeNone) },
 		},
-		Delays: map[string]time.Duration{"commandRetry": commandRetry, "checkpointPatience": checkpointPatience},
+		Delays: map[string]time.Duration{"commandRetry": commandRetryInterval, "checkpointTimeout": checkpointTimeout},
 	}
 }
 
@@ -109,7 +109,7 @@
 }
 
 // settle ends an attempt by the final report of its agent.
-func (c *Core) settle(j *job) {
+func (c *Core) endByReport(j *job) {
 	switch j.attempt.report.State {
 	case model.TaskDone:
 		c.release(j, evFinished, outcomeDone)
@@ -121,9 +121,9 @@
 }
 
 // lose gives up an attempt whose lease has certainly expired.
-func (c *Core) lose(j *job) {
+func (c *Core) abandon(j *job) {
 	c.log(event.AttemptLost, map[string]any{"attempt": j.attemptID().String(), "worker": j.attempt.worker})
-	c.peers[j.attempt.worker].lost[j.attemptID()] = true
+	c.peers[j.attempt.worker].abandoned[j.attemptID()] = true
 	j.row.Reason = "the lease of attempt " + j.attemptID().String() + " expired"
 	c.release(j, evInterrupted, outcomeNone)
 }
--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -130,7 +130,7 @@
 		case h.kind == hookStart:
 			c.stepAttempt(j, evCommitted)
 		case h.kind == hookSaved:
-			c.stepAttempt(j, evSaved)
+			c.stepAttempt(j, evCheckpointCommitted)
 		}
 	}
 }
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -21,17 +21,17 @@
 
 // Events of charts/cell.scxml.
 const (
-	evSeen chart.Event = iota
+	evChanged chart.Event = iota
 	evVacant
-	evLapse
+	evHeartbeatExpired
 	evClaimed
 	evFenced
-	evBeaten
+	evHeartbeatWritten
 )
 
 // witnesses is the number of unchanged observations, one second apart, that a
 // claim needs: an outage of the table must not look like a silent owner.
-const witnesses = 5
+const minUnchangedObservations = 5
 
 // cell is the state of the ownership of a cell.
 type cell struct {
@@ -58,16 +58,16 @@
 	return chart.Binding[cell]{
 		Chart:  "cell",
 		States: []string{"watching", "claiming", "owning", "holding"},
-		Events: []string{"seen", "vacant", "lapse", "claimed", "fenced", "beaten"},
+		Events: []string{"changed", "vacant", "heartbeatExpired", "claimed", "fenced", "heartbeatWritten"},
 		Guards: map[string]func(*cell) bool{
-			"witnessed": func(l *cell) bool { return l.unchanged >= witnesses },
+			"ownerSilent": func(l *cell) bool { return l.unchanged >= minUnchangedObservations },
 		},
 		Actions: map[string]func(*cell){
-			"claim":  func(l *cell) { l.core.claim() },
-			"load":   func(l *cell) { l.core.load() },
-			"hold":   func(l *cell) { l.core.log(event.CellHolding, map[string]any{"epoch": uint64(l.owner.Epoch)}) },
-			"resume": func(l *cell) { l.core.resume() },
-			"forget": func(l *cell) { l.core.forget() },
+			"claim":         func(l *cell) { l.core.claim() },
+			"load":          func(l *cell) { l.core.load() },
+			"hold":          func(l *cell) { l.core.log(event.CellHolding, map[string]any{"epoch": uint64(l.owner.Epoch)}) },
+			"resume":        func(l *cell) { l.core.resume() },
+			"dropOwnership": func(l *cell) { l.core.dropOwnership() },
 		},
 		Delays: map[string]time.Duration{
 			"ownerExpiry": lease.OwnerExpiry, "holdAfter": lease.StopPlacingAfter, "holdBound": lease.LongRenewalLimit,
@@ -99,7 +99,7 @@
 	// Twice at most: an owner that was paused for long passes through holding.
 	for range 2 {
 		if l.deadline > 0 && l.deadline <= c.now {
-			c.stepCell(evLapse)
+			c.stepCell(evHeartbeatExpired)
 		}
 	}
 	switch {
@@ -134,7 +134,7 @@
 		c.stepCell(evVacant)
 	} else if changed {
 		l.unchanged = 0
-		c.stepCell(evSeen)
+		c.stepCell(evChanged)
 	}
 }
 
@@ -178,7 +178,7 @@
 		l.lastBeat = max(l.lastBeat, e.Sent)
 		// An answer that took longer than the timeout proves nothing about now.
 		if c.now-e.Sent < lease.StopPlacingAfter {
-			c.stepCell(evBeaten)
+			c.stepCell(evHeartbeatWritten)
 		}
 	}
 }
@@ -188,18 +188,18 @@
 	c.log(event.CellResumed, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
 	c.planning = true
 	for _, p := range c.sortedPeers() {
-		c.stepPeer(p, evOwned)
+		c.stepPeer(p, evOwnershipConfirmed)
 	}
 }
 
 // forget drops what only the owner may use.
-func (c *Core) forget() {
+func (c *Core) dropOwnership() {
 	c.log(event.CellLost, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
 	c.cell.unchanged = 0
 	c.cell.observeAt = c.now
 	for _, p := range c.sortedPeers() {
-		c.stepPeer(p, evForgotten)
-		if p.state == stAway {
+		c.stepPeer(p, evOwnershipLost)
+		if p.state == stUnlinked {
 			delete(c.peers, p.worker.ID)
 		}
 	}
@@ -213,7 +213,7 @@
 		return
 	}
 	c.log(event.ControlPaused, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
-	c.stepCell(evLapse)
+	c.stepCell(evHeartbeatExpired)
 	c.cell.beatAt = c.now
 }
 
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -86,7 +86,7 @@
 	c.loaded, c.scanned, c.planning = false, 0, false
 	c.batch.reset()
 	for _, p := range c.sortedPeers() {
-		p.forget()
+		p.resetClaim()
 		c.setWorker(p)
 	}
 }
@@ -214,7 +214,7 @@
 		if p.deadline > 0 && p.deadline <= c.now {
 			c.stepPeer(p, evRetry)
 		}
-		if p.state == stAway && p.attempts == 0 && c.now-p.awayAt > forgetPeer {
+		if p.state == stUnlinked && p.attempts == 0 && c.now-p.awayAt > forgetPeer {
 			delete(c.peers, p.worker.ID)
 			c.ledger.RemoveWorker(p.worker.ID)
 		}
@@ -230,7 +230,7 @@
 		if expired(j) {
 			c.stepAttempt(j, evExpire)
 		} else {
-			c.stepAttempt(j, evLate)
+			c.stepAttempt(j, evAttemptTimeout)
 		}
 	}
 }
@@ -264,7 +264,7 @@
 		c.loaded = true
 		c.planning = true
 		for _, p := range c.sortedPeers() {
-			c.stepPeer(p, evOwned)
+			c.stepPeer(p, evOwnershipConfirmed)
 		}
 	}
 }
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -82,7 +82,7 @@
 func (c *Core) rate(p *peer) {
 	state := place.WorkerSuspect
 	switch {
-	case p.state == stAway:
+	case p.state == stUnlinked:
 		state = place.WorkerDown
 	case p.state == stReady && p.rounds >= leaseRounds:
 		state = c.trust(p.worker.ID)
--- a/internal/control/job.go
+++ b/internal/control/job.go
@@ -164,7 +164,7 @@
 		}
 		return
 	case j == nil:
-		c.adopt(r)
+		c.addJob(r)
 		return
 	}
 	j.version = max(j.version, r.Version)
@@ -175,7 +175,7 @@
 }
 
 // adopt creates the record of a job from its row.
-func (c *Core) adopt(r JobRow) {
+func (c *Core) addJob(r JobRow) {
 	phase, known := phaseState[r.Row.Phase]
 	switch {
 	case !known:
@@ -193,7 +193,7 @@
 	c.index(j)
 	c.planning = true
 	if phase == stPlaced || phase == stJobRunning || phase == stEvicting {
-		c.inherit(j)
+		c.adoptAttempt(j)
 	}
 	if j.row.CancelRequested {
 		c.stepJob(j, evCancel)
@@ -201,7 +201,7 @@
 }
 
 // inherit charges an attempt of a predecessor, which may run.
-func (c *Core) inherit(j *job) {
+func (c *Core) adoptAttempt(j *job) {
 	p := c.peer(j.row.Worker)
 	if p.grants.Until(false) == 0 {
 		p.grants.SetUntil(c.now+lease.SuccessorWait(false), c.now+lease.SuccessorWait(true))
@@ -209,7 +209,7 @@
 	j.attempt = attempt{live: true, state: attemptChart.Initial(), number: j.row.Attempt, worker: j.row.Worker}
 	p.attempts++
 	c.ledger.Adopt(p.worker.ID, c.task(j, j.row.Attempt))
-	c.stepAttempt(j, evInherit)
+	c.stepAttempt(j, evAdopt)
 }
 
 // evict starts the eviction of a job that has a task.
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -14,7 +14,7 @@
 
 // States of charts/peer.scxml.
 const (
-	stAway chart.State = iota
+	stUnlinked chart.State = iota
 	stWaiting
 	stPeerClaiming
 	stReady
@@ -23,15 +23,15 @@
 // Events of charts/peer.scxml.
 const (
 	evUp chart.Event = iota
-	evOwned
+	evOwnershipConfirmed
 	evDown
 	evRetry
 	evInventory
-	evForgotten
+	evOwnershipLost
 )
 
 const (
-	claimRetry = 2 * time.Second
+	claimRetryInterval = 2 * time.Second
 	// forgetPeer is longer than a command can stay under way on a lost link.
 	forgetPeer = 10 * time.Minute
 	// leaseRounds is the number of acknowledged renewals after which an agent
@@ -59,7 +59,7 @@
 	rounds    int           // renewals acknowledged since the last inventory
 	// lost are attempts that were given up without a confirmed stop. The agent
 	// is told to stop them before its lease is renewed.
-	lost map[model.AttemptID]bool
+	abandoned map[model.AttemptID]bool
 
 	core *Core // set during a step
 }
@@ -69,14 +69,14 @@
 func PeerBinding() chart.Binding[peer] {
 	return chart.Binding[peer]{
 		Chart:  "peer",
-		States: []string{"away", "waiting", "claiming", "ready"},
-		Events: []string{"up", "owned", "down", "retry", "inventory", "forgotten"},
+		States: []string{"unlinked", "waiting", "claiming", "ready"},
+		Events: []string{"up", "ownershipConfirmed", "down", "retry", "inventory", "ownershipLost"},
 		Guards: map[string]func(*peer) bool{"mayClaim": func(p *peer) bool { return p.core.mayClaim(p) }},
 		Actions: map[string]func(*peer){
-			"sendClaim": func(p *peer) { p.core.send(p, &msg.CellClaim{Command: p.core.command()}) },
-			"confirm":   func(p *peer) { p.core.confirm(p) },
+			"sendClaim":    func(p *peer) { p.core.send(p, &msg.CellClaim{Command: p.core.command()}) },
+			"confirmClaim": func(p *peer) { p.core.confirmClaim(p) },
 		},
-		Delays: map[string]time.Duration{"claimRetry": claimRetry},
+		Delays: map[string]time.Duration{"claimRetry": claimRetryInterval},
 	}
 }
 
@@ -112,7 +112,7 @@
 // send addresses an agent. Without a link the message is dropped; every
 // command is repeated until it is answered.
 func (c *Core) send(p *peer, m msg.Control) {
-	if p.state != stAway {
+	if p.state != stUnlinked {
 		c.emit(Send{p.worker.ID, m})
 	}
 }
@@ -139,7 +139,7 @@
 func (c *Core) peer(id model.WorkerID) *peer {
 	p := c.peers[id]
 	if p == nil {
-		p = &peer{worker: model.Worker{ID: id}, lost: map[model.AttemptID]bool{}}
+		p = &peer{worker: model.Worker{ID: id}, abandoned: map[model.AttemptID]bool{}}
 		c.peers[id] = p
 		c.setWorker(p)
 	}
@@ -176,13 +176,13 @@
 	}
 }
 
-func (p *peer) forget() {
+func (p *peer) resetClaim() {
 	p.confirmed, p.claimed, p.rounds, p.attempts, p.grants = false, 0, 0, 0, lease.Grants{}
-	p.lost = map[model.AttemptID]bool{}
+	p.abandoned = map[model.AttemptID]bool{}
 }
 
 // confirm notes that the agent refuses older epochs from now on.
-func (c *Core) confirm(p *peer) {
+func (c *Core) confirmClaim(p *peer) {
 	if p.confirmed {
 		p.grants.Extend(c.now, lease.TTL, lease.TTL)
 	} else {
@@ -197,7 +197,7 @@
 	if p.state != stReady {
 		return
 	}
-	for _, id := range sortedAttempts(p.lost) {
+	for _, id := range sortedAttempts(p.abandoned) {
 		c.send(p, &msg.StopTask{Command: c.command(), Attempt: id})
 	}
 	ttl, long := c.ttl(false), c.ttl(true)
--- a/internal/control/preempt.go
+++ b/internal/control/preempt.go
@@ -13,7 +13,7 @@
 	// preemptEach bounds the preemptions of a round; each costs a snapshot.
 	preemptEach = 8
 	// claimFor outlasts an eviction that waits for its checkpoint in vain.
-	claimFor = 2 * checkpointPatience
+	claimFor = 2 * checkpointTimeout
 )
 
 // claim is room that is kept for an urgent job until a time.
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -58,7 +58,7 @@
 	j := c.jobs[r.Attempt.Job]
 	ended := r.State != model.TaskRunning
 	if ended {
-		delete(p.lost, r.Attempt)
+		delete(p.abandoned, r.Attempt)
 	}
 	current := j != nil && j.attempt.live && j.attemptID() == r.Attempt && j.attempt.worker == p.worker.ID
 	switch {
@@ -71,7 +71,7 @@
 			c.stepAttempt(j, evRunning)
 		}
 	case !ended:
-		p.lost[r.Attempt] = true
+		p.abandoned[r.Attempt] = true
 		c.send(p, &msg.StopTask{Command: c.command(), Attempt: r.Attempt})
 	}
 	if ended {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -25,7 +25,7 @@
 	n.ledger = place.NewLedger()
 	for id, p := range c.peers {
 		q := *p
-		q.core, q.lost = nil, maps.Clone(p.lost)
+		q.core, q.abandoned = nil, maps.Clone(p.abandoned)
 		n.peers[id] = &q
 		n.ledger.SetWorker(q.worker, c.config.Reserved[q.service], c.serviceLabels(&q))
 		if w, ok := c.ledger.Worker(id); ok {
@@ -74,7 +74,7 @@
 func (c *Core) AppendState(b []byte, s Normalizer) []byte {
 	e := encoder{b, c.now, s}
 	l := &c.cell
-	e.ints(int64(l.state), int64(l.owner.Epoch), int64(min(l.unchanged, witnesses)))
+	e.ints(int64(l.state), int64(l.owner.Epoch), int64(min(l.unchanged, minUnchangedObservations)))
 	e.text(string(l.owner.Owner))
 	e.flags(l.observing, l.beating, c.loaded, c.scanning, c.planning, c.batch.busy)
 	e.revisions(l.epochVersion, l.beatVersion, c.scanned)
@@ -141,7 +141,7 @@
 	e.flags(p.confirmed, p.grants.Acked())
 	e.ints(e.scale.SequenceOffset(p.worker.ID, p.grants.Sequence()))
 	e.times(p.deadline, p.grants.Until(false), p.grants.Until(true))
-	for _, id := range sortedAttempts(p.lost) {
+	for _, id := range sortedAttempts(p.abandoned) {
 		e.text(id.String())
 	}
 }
