--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -42,14 +42,14 @@
 
 // attempt is the live attempt of a job, or the last one.
 type attempt struct {
-	live     bool // charged to the worker
-	state    chart.State
-	deadline time.Duration // of the state's timeout; 0 when it has none
-	number   uint32
-	worker   model.WorkerID
-	report   msg.TaskReport // the newest
-	percent  int            // processor limit that the agent was told; 0: none yet
-	limitAt  time.Duration  // when it was told
+	live            bool // charged to the worker
+	state           chart.State
+	deadline        time.Duration // of the state's timeout; 0 when it has none
+	number          uint32
+	worker          model.WorkerID
+	report          msg.TaskReport // the newest
+	cpuLimitPercent int            // processor limit that the agent was told; 0: none yet
+	cpuLimitSentAt  time.Duration  // when it was told
 }
 
 // AttemptBinding binds charts/attempt.scxml. It is exported for the checks
@@ -66,11 +66,11 @@
 			"sendStart": func(j *job) { j.core.sendStart(j) },
 			"sendStop": func(j *job) {
 				j.core.ledger.MarkStopping(j.attemptID())
-				j.command(&msg.StopTask{Command: j.core.command(), Attempt: j.attemptID()})
+				j.command(&msg.StopTask{Command: j.core.newCommand(), Attempt: j.attemptID()})
 			},
 			"sendCheckpoint": func(j *job) {
 				j.core.ledger.MarkStopping(j.attemptID())
-				j.command(&msg.CheckpointTask{Command: j.core.command(), Attempt: j.attemptID()})
+				j.command(&msg.CheckpointTask{Command: j.core.newCommand(), Attempt: j.attemptID()})
 			},
 			"reportStarted": func(j *job) { j.core.stepJob(j, evJobStarted) },
 			"endByReport":   func(j *job) { j.core.endByReport(j) },
@@ -104,7 +104,7 @@
 		return
 	}
 	c.send(p, &msg.StartTask{
-		Command: c.command(), Attempt: j.attemptID(), Spec: j.row.Spec, Checkpoint: j.row.Checkpoint, TTL: lease.TTL,
+		Command: c.newCommand(), Attempt: j.attemptID(), Spec: j.row.Spec, Checkpoint: j.row.Checkpoint, TTL: lease.TTL,
 	})
 }
 
@@ -132,10 +132,10 @@
 func (c *Core) release(j *job, e chart.Event, o outcome) {
 	j.attempt.live = false
 	c.noteOutcome(j, o)
-	c.peers[j.attempt.worker].attempts--
+	c.peers[j.attempt.worker].chargedAttempts--
 	if size, ok := c.ledger.Release(j.attemptID()); ok {
 		j.size = j.size.Max(size)
 	}
-	c.planning = true
+	c.planNeeded = true
 	c.stepJob(j, e)
 }
--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -12,9 +12,9 @@
 
 // batch groups the changed job rows into one transaction at a time.
 type batch struct {
-	queue  []model.JobID // changed, in the order of the change
-	flight []model.JobID // in the transaction under way
-	busy   bool
+	queue    []model.JobID // changed, in the order of the change
+	inFlight []model.JobID // in the transaction under way
+	busy     bool
 }
 
 func (b *batch) reset() {
@@ -26,9 +26,9 @@
 func (b *batch) full() bool { return len(b.queue) >= batchRows }
 
 // write queues the row of a job after a change.
-func (c *Core) write(j *job) {
+func (c *Core) queueWrite(j *job) {
 	j.generation++
-	if !j.queued && j.written == 0 {
+	if !j.queued && j.inFlight == 0 {
 		j.queued = true
 		c.batch.queue = append(c.batch.queue, j.id)
 	}
@@ -37,21 +37,21 @@
 // flush starts the next transaction.
 func (c *Core) flush() {
 	b := &c.batch
-	if b.busy || len(b.queue) == 0 || !c.incumbent() || !c.loaded {
+	if b.busy || len(b.queue) == 0 || !c.isOwner() || !c.loaded {
 		return
 	}
 	n := min(len(b.queue), batchRows)
-	b.flight = slices.Clone(b.queue[:n])
+	b.inFlight = slices.Clone(b.queue[:n])
 	b.queue = slices.Delete(b.queue, 0, n)
 	b.busy = true
 	commit := Commit{Fence: c.cell.epochVersion}
-	for _, id := range b.flight {
+	for _, id := range b.inFlight {
 		j := c.jobs[id]
 		if j == nil {
 			continue // its row was deleted
 		}
 		j.queued = false
-		j.written = j.generation
+		j.inFlight = j.generation
 		j.row.Phase = model.Phase(jobChart.StateName(j.phase))
 		commit.Writes = append(commit.Writes, JobRow{ID: id, Row: j.row, Version: j.version})
 	}
@@ -63,16 +63,16 @@
 		c.batch.busy = false // of an earlier ownership
 		return
 	}
-	c.landed(func(j *job) {
+	c.finishTransaction(func(j *job) {
 		j.version = max(j.version, e.Revision)
-		j.committed = j.written
+		j.committed = j.inFlight
 	})
 }
 
 func (c *Core) onRejected(e Rejected) {
 	if e.Fence != c.cell.epochVersion || e.Fenced {
-		c.batch.busy, c.batch.flight = false, nil
-		if e.Fence == c.cell.epochVersion && c.incumbent() {
+		c.batch.busy, c.batch.inFlight = false, nil
+		if e.Fence == c.cell.epochVersion && c.isOwner() {
 			c.stepCell(evFenced)
 		}
 		return
@@ -81,7 +81,7 @@
 	for _, r := range e.Rows {
 		fresh[r.ID] = r
 	}
-	c.landed(func(j *job) {
+	c.finishTransaction(func(j *job) {
 		if r, ok := fresh[j.id]; ok {
 			j.version = 0 // a deleted row is written again
 			c.onRow(r)
@@ -91,26 +91,26 @@
 
 // landed applies the outcome of the transaction to its jobs, runs what waited
 // for them and queues the rows that have to be written again.
-func (c *Core) landed(outcome func(*job)) {
+func (c *Core) finishTransaction(outcome func(*job)) {
 	b := &c.batch
-	flight := b.flight
-	b.busy, b.flight = false, nil
+	flight := b.inFlight
+	b.busy, b.inFlight = false, nil
 	for _, id := range flight {
 		j := c.jobs[id]
 		if j == nil {
 			continue
 		}
 		outcome(j)
-		j.written = 0
+		j.inFlight = 0
 		c.runHooks(j)
 		if j.committed < j.generation && !j.queued {
 			j.queued = true
 			b.queue = append(b.queue, id)
 		}
 		if jobChart.Final(j.phase) && j.committed == j.generation {
-			c.finished[model.Phase(jobChart.StateName(j.phase))]++
+			c.finishedCounts[model.Phase(jobChart.StateName(j.phase))]++
 			c.forgetHealth(id)
-			c.drop(id)
+			c.removeJob(id)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 		switch {
 		case h.generation > j.committed:
 			j.hooks = append(j.hooks, h)
-		case h.kind == hookAck:
+		case h.kind == hookAcknowledge:
 			if p := c.peers[h.worker]; p != nil {
 				c.acknowledge(p, j, model.AttemptID{Job: j.id, Number: h.attempt})
 			}
 		case h.attempt != j.attempt.number:
 		case h.kind == hookStart:
 			c.stepAttempt(j, evCommitted)
-		case h.kind == hookSaved:
+		case h.kind == hookCheckpointCommitted:
 			c.stepAttempt(j, evCheckpointCommitted)
 		}
 	}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -46,16 +46,16 @@
 	for b.Loop() {
 		for end := now + time.Second; now < end; {
 			now = min(end, max(c.Next(), now+time.Millisecond))
-			for _, f := range c.Step(now, Tick{}) {
-				answer(c, now, f)
+			for _, effect := range c.Step(now, Tick{}) {
+				applyAnswer(c, now, effect)
 			}
 		}
 	}
 }
 
-func answer(c *Core, now time.Duration, f Effect) {
+func applyAnswer(c *Core, now time.Duration, effect Effect) {
 	var more []Effect
-	switch f := f.(type) {
+	switch f := effect.(type) {
 	case WriteHeartbeat:
 		more = c.Step(now, HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: true})
 	case Scan:
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, g := range append([]Effect(nil), more...) {
-		answer(c, now, g)
+		applyAnswer(c, now, g)
 	}
 }
 
@@ -78,19 +78,19 @@
 	c, now := cellAtTarget(b)
 	for range 20 {
 		now += 500 * time.Millisecond
-		for _, f := range c.Step(now, Tick{}) {
-			answer(c, now, f)
+		for _, effect := range c.Step(now, Tick{}) {
+			applyAnswer(c, now, effect)
 		}
 	}
 	n := 0
 	for b.Loop() {
-		now += planEvery
+		now += planInterval
 		n++
 		id := model.JobID(fmt.Sprintf("n%d", n))
 		c.scanning = true
-		for _, f := range c.Step(now, Scanned{Fence: 1, Through: 2, Rows: []JobRow{{ID: id, Version: 2, Row: model.JobRow{
+		for _, effect := range c.Step(now, Scanned{Fence: 1, Through: 2, Rows: []JobRow{{ID: id, Version: 2, Row: model.JobRow{
 			Spec: model.JobSpec{ID: id, Team: "t", Class: "b", Resources: model.Resources{CPU: 1}}}}}}) {
-			answer(c, now, f)
+			applyAnswer(c, now, effect)
 		}
 	}
 }
--- a/internal/control/charts.go
+++ b/internal/control/charts.go
@@ -9,7 +9,7 @@
 // The compiled charts. Their actions step each other's machines, which the
 // compiler takes for an initialization cycle, so init sets them.
 var (
-	cellChart    *chart.Machine[cell]
+	cellChart    *chart.Machine[cellState]
 	peerChart    *chart.Machine[peer]
 	jobChart     *chart.Machine[job]
 	attemptChart *chart.Machine[job]
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -73,7 +73,7 @@
 func (StatusQuery) isMessage()   {}
 func (ExplainQuery) isMessage()  {}
 
-const mailbox = 1024
+const mailboxSize = 1024
 
 // Config describes a controller.
 type Config struct {
@@ -89,11 +89,11 @@
 func Start(g *actor.Group, cfg Config) actor.Address[Message] {
 	links := map[model.WorkerID]AgentUp{} // outlives a failed run
 	return actor.Spawn(g, actor.Spec[Message]{
-		Name: "control " + string(cfg.Cell), Mailbox: mailbox, Restart: actor.OnFailure,
+		Name: "control " + string(cfg.Cell), Mailbox: mailboxSize, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan Message) error {
 			sub := g.Sub()
 			defer sub.Stop()
-			return newOwner(sub, cfg, links).run(ctx, in)
+			return newController(sub, cfg, links).run(ctx, in)
 		},
 	})
 }
@@ -109,18 +109,18 @@
 
 // owner carries out the effects of the core. Its helpers call the table and
 // send the results to answers.
-type owner struct {
-	core    *Core
-	log     log.Interface
-	began   time.Time
-	links   map[model.WorkerID]AgentUp
-	answers chan Event
-	writes  actor.Address[Effect] // Claim and Commit
-	beats   actor.Address[Effect]
-	reads   actor.Address[Effect] // Observe and Scan
+type controller struct {
+	core       *Core
+	log        log.Interface
+	startedAt  time.Time
+	links      map[model.WorkerID]AgentUp
+	answers    chan Event
+	writes     actor.Address[Effect] // Claim and Commit
+	heartbeats actor.Address[Effect]
+	reads      actor.Address[Effect] // Observe and Scan
 }
 
-func newOwner(g *actor.Group, cfg Config, links map[model.WorkerID]AgentUp) *owner {
+func newController(g *actor.Group, cfg Config, links map[model.WorkerID]AgentUp) *controller {
 	opts := cfg.Options
 	switch {
 	case cfg.NewPlanner != nil:
@@ -135,18 +135,18 @@
 	s := &store{table: cfg.Table, cell: cfg.Cell, log: cfg.Log, writer: &writer{
 		table: cfg.Table, log: cfg.Log, key: rows.WriterKey(id),
 		// Unique for each run, also after a restart within the process.
-		prefix: fmt.Sprintf("%s/%x/%x", id, uint64(cfg.Boot), time.Now().UnixNano()),
+		operationPrefix: fmt.Sprintf("%s/%x/%x", id, uint64(cfg.Boot), time.Now().UnixNano()),
 	}}
-	o := &owner{core: NewCore(opts), log: cfg.Log, began: time.Now(), links: links, answers: make(chan Event, 16)}
-	o.writes = o.helper(g, "writer", func(ctx context.Context, f Effect) Event {
-		if claim, ok := f.(Claim); ok {
+	o := &controller{core: NewCore(opts), log: cfg.Log, startedAt: time.Now(), links: links, answers: make(chan Event, 16)}
+	o.writes = o.helper(g, "writer", func(ctx context.Context, effect Effect) Event {
+		if claim, ok := effect.(Claim); ok {
 			return s.claim(ctx, claim)
 		}
-		return s.commitRows(ctx, f.(Commit))
+		return s.commitRows(ctx, effect.(Commit))
 	})
-	o.beats = o.helper(g, "beat", func(ctx context.Context, f Effect) Event { return s.beat(ctx, f.(WriteHeartbeat)) })
-	o.reads = o.helper(g, "reader", func(ctx context.Context, f Effect) Event {
-		if scan, ok := f.(Scan); ok {
+	o.heartbeats = o.helper(g, "beat", func(ctx context.Context, effect Effect) Event { return s.writeHeartbeat(ctx, effect.(WriteHeartbeat)) })
+	o.reads = o.helper(g, "reader", func(ctx context.Context, effect Effect) Event {
+		if scan, ok := effect.(Scan); ok {
 			return s.scan(ctx, scan)
 		}
 		return s.observe(ctx)
@@ -156,14 +156,14 @@
 
 // helper spawns an actor that carries out effects one after the other. The
 // core has at most one of each kind unanswered, so its mailbox has room.
-func (o *owner) helper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
+func (o *controller) helper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
 	return actor.Spawn(g, actor.Spec[Effect]{Name: name, Mailbox: 4, Run: func(ctx context.Context, in <-chan Effect) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case f := <-in:
-				e := do(ctx, f)
+			case effect := <-in:
+				e := do(ctx, effect)
 				if e == nil {
 					return nil
 				}
@@ -176,9 +176,9 @@
 	}})
 }
 
-func (o *owner) now() time.Duration { return time.Since(o.began) }
+func (o *controller) now() time.Duration { return time.Since(o.startedAt) }
 
-func (o *owner) run(ctx context.Context, in <-chan Message) error {
+func (o *controller) run(ctx context.Context, in <-chan Message) error {
 	for _, up := range o.links {
 		o.apply(PeerUp{Worker: up.Worker, Boot: up.Boot})
 	}
@@ -193,7 +193,7 @@
 }
 
 // translate returns the event of a message, or nil when it needs none.
-func (o *owner) translate(m Message) Event {
+func (o *controller) translate(m Message) Event {
 	switch m := m.(type) {
 	case AgentUp:
 		o.links[m.Worker.ID] = m
@@ -220,19 +220,19 @@
 	return nil
 }
 
-func (o *owner) apply(e Event) {
-	for _, f := range o.core.Step(o.now(), e) {
-		switch f := f.(type) {
+func (o *controller) apply(e Event) {
+	for _, effect := range o.core.Step(o.now(), e) {
+		switch effect := effect.(type) {
 		case Send:
-			o.links[f.Worker].Link.TrySend(f.Msg)
+			o.links[effect.Worker].Link.TrySend(effect.Msg)
 		case Log:
-			event.Log(o.log, f.Event, f.Fields)
+			event.Log(o.log, effect.Event, effect.Fields)
 		case Claim, Commit:
-			o.writes.TrySend(f)
+			o.writes.TrySend(effect)
 		case WriteHeartbeat:
-			o.beats.TrySend(f)
+			o.heartbeats.TrySend(effect)
 		case Observe, Scan:
-			o.reads.TrySend(f)
+			o.reads.TrySend(effect)
 		}
 	}
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	observeEvery = time.Second
-	scanEvery    = 250 * time.Millisecond // urgent work starts within 1.4 s
-	sweepEvery   = 500 * time.Millisecond // resolution of the attempts' timeouts
-	maxSleep     = time.Second            // bounds how late a pause is noticed
-	planEvery    = 20 * time.Millisecond  // bounds the transactions of a writer
+	observeInterval = time.Second
+	scanInterval    = 250 * time.Millisecond // urgent work starts within 1.4 s
+	sweepInterval   = 500 * time.Millisecond // resolution of the attempts' timeouts
+	maxSleep        = time.Second            // bounds how late a pause is noticed
+	planInterval    = 20 * time.Millisecond  // bounds the transactions of a writer
 )
 
 // Options describe a controller. Planner and Health belong to its core; Start
@@ -42,48 +42,48 @@
 // with events and returns effects; it does no input or output and has no
 // goroutine.
 type Core struct {
-	opts    Options
-	now     time.Duration
-	effects []Effect
-	cell    cell
-	peers   map[model.WorkerID]*peer
-	jobs    map[model.JobID]*job // that are not over
-	pending map[model.JobID]*job // of these, the ones that wait for a place
-	config  Configuration
-	rules   *place.Rules
-	ledger  *place.Ledger
-	batch   batch
-	claims  map[model.JobID]claim // room that evictions make for urgent jobs
+	opts           Options
+	now            time.Duration
+	effects        []Effect
+	cell           cellState
+	peers          map[model.WorkerID]*peer
+	jobs           map[model.JobID]*job // that are not over
+	pending        map[model.JobID]*job // of these, the ones that wait for a place
+	config         Configuration
+	rules          *place.Rules
+	ledger         *place.Ledger
+	batch          batch
+	capacityClaims map[model.JobID]capacityClaim // room that evictions make for urgent jobs
 
-	loaded   bool // the job rows were read completely at this epoch
-	scanning bool
-	scanned  storage.Revision
-	planning bool                // something changed that a plan may use
-	finished map[model.Phase]int // jobs that are over
+	loaded         bool // the job rows were read completely at this epoch
+	scanning       bool
+	scannedThrough storage.Revision
+	planNeeded     bool                // something changed that a plan may use
+	finishedCounts map[model.Phase]int // jobs that are over
 	// evictions counts by team and class since the cell was claimed.
 	evictions map[evictionKey]int
 
 	interference *interfere.Controller
 
-	scanAt, sweepAt, renewAt, planAt, limitAt time.Duration
+	scanAt, sweepAt, renewAt, planAt, throttleAt time.Duration
 }
 
 // NewCore returns the core of a controller that watches its cell.
 func NewCore(opts Options) *Core {
-	c := &Core{opts: opts, peers: map[model.WorkerID]*peer{}, cell: cell{deadline: lease.OwnerExpiry}}
+	c := &Core{opts: opts, peers: map[model.WorkerID]*peer{}, cell: cellState{deadline: lease.OwnerExpiry}}
 	c.rules, _ = place.CompileRules(nil)
 	c.interference = interfere.New(interfere.Options{})
-	c.reset()
+	c.resetJobs()
 	return c
 }
 
 // reset drops what is known of jobs.
-func (c *Core) reset() {
-	c.jobs, c.pending, c.finished = map[model.JobID]*job{}, map[model.JobID]*job{}, map[model.Phase]int{}
+func (c *Core) resetJobs() {
+	c.jobs, c.pending, c.finishedCounts = map[model.JobID]*job{}, map[model.JobID]*job{}, map[model.Phase]int{}
 	c.evictions = map[evictionKey]int{}
 	c.ledger = place.NewLedger()
-	c.claims = map[model.JobID]claim{}
-	c.loaded, c.scanned, c.planning = false, 0, false
+	c.capacityClaims = map[model.JobID]capacityClaim{}
+	c.loaded, c.scannedThrough, c.planNeeded = false, 0, false
 	c.batch.reset()
 	for _, p := range c.sortedPeers() {
 		p.resetClaim()
@@ -98,7 +98,7 @@
 	if _, paused := e.(Paused); paused {
 		c.onPaused()
 	}
-	c.timers()
+	c.runTimers()
 	switch e := e.(type) {
 	case PeerUp:
 		c.onPeerUp(e)
@@ -111,13 +111,13 @@
 	case EvictRequested:
 		c.evict(e.Job, e.Reason)
 	case ScanRequested:
-		if c.incumbent() {
+		if c.isOwner() {
 			c.scan()
 		}
 	default:
 		c.onStore(e)
 	}
-	c.work()
+	c.startWork()
 	return c.effects
 }
 
@@ -128,7 +128,7 @@
 	case Claimed:
 		c.onClaimed(e)
 	case HeartbeatWritten:
-		c.onBeaten(e)
+		c.onHeartbeatWritten(e)
 	case Scanned:
 		c.onScanned(e)
 	case Committed:
@@ -149,10 +149,10 @@
 	}
 	due(c.cell.deadline, c.cell.deadline > 0)
 	due(c.cell.observeAt, c.cell.state == stWatching && !c.cell.observing)
-	if !c.incumbent() {
+	if !c.isOwner() {
 		return next
 	}
-	due(c.cell.beatAt, !c.cell.beating)
+	due(c.cell.heartbeatAt, !c.cell.writingHeartbeat)
 	due(c.scanAt, !c.scanning)
 	due(c.sweepAt, true)
 	due(c.renewAt, true)
@@ -162,7 +162,7 @@
 
 // mayPlan reports whether a round would place something if it were due.
 func (c *Core) mayPlan() bool {
-	return c.cell.state == stOwning && c.loaded && c.planning && !c.batch.full()
+	return c.cell.state == stOwning && c.loaded && c.planNeeded && !c.batch.full()
 }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
@@ -173,18 +173,18 @@
 }
 
 // incumbent reports whether this entry acts as the owner of the cell.
-func (c *Core) incumbent() bool { return c.cell.state == stOwning || c.cell.state == stHolding }
+func (c *Core) isOwner() bool { return c.cell.state == stOwning || c.cell.state == stHolding }
 
-func (c *Core) timers() {
+func (c *Core) runTimers() {
 	c.cellTimers()
-	if !c.incumbent() {
+	if !c.isOwner() {
 		return
 	}
 	if c.scanAt <= c.now {
 		c.scan()
 	}
 	if c.sweepAt <= c.now {
-		c.sweepAt = c.now + sweepEvery
+		c.sweepAt = c.now + sweepInterval
 		c.sweep()
 	}
 	if c.renewAt <= c.now {
@@ -196,9 +196,9 @@
 }
 
 // work starts what the step made possible.
-func (c *Core) work() {
+func (c *Core) startWork() {
 	if c.mayPlan() && c.planAt <= c.now {
-		c.planAt = c.now + planEvery
+		c.planAt = c.now + planInterval
 		c.plan()
 	}
 	c.flush()
@@ -208,13 +208,13 @@
 // whose lease has certainly expired.
 func (c *Core) sweep() {
 	c.tickHealth()
-	c.limit()
+	c.throttle()
 	c.drain()
 	for _, p := range c.sortedPeers() {
 		if p.deadline > 0 && p.deadline <= c.now {
 			c.stepPeer(p, evRetry)
 		}
-		if p.state == stUnlinked && p.attempts == 0 && c.now-p.awayAt > forgetPeer {
+		if p.state == stUnlinked && p.chargedAttempts == 0 && c.now-p.unlinkedAt > peerRetention {
 			delete(c.peers, p.worker.ID)
 			c.ledger.RemoveWorker(p.worker.ID)
 		}
@@ -226,7 +226,7 @@
 		a := &j.attempt
 		return a.live && (a.deadline > 0 && a.deadline <= c.now || expired(j))
 	}
-	for _, j := range selected(c.jobs, due) {
+	for _, j := range selectJobs(c.jobs, due) {
 		if expired(j) {
 			c.stepAttempt(j, evExpire)
 		} else {
@@ -239,15 +239,15 @@
 	if c.scanning {
 		return
 	}
-	c.scanAt = c.now + scanEvery
+	c.scanAt = c.now + scanInterval
 	c.scanning = true
-	c.emit(Scan{Fence: c.cell.epochVersion, After: c.scanned})
+	c.emit(Scan{Fence: c.cell.epochVersion, After: c.scannedThrough})
 }
 
 func (c *Core) onScanned(e Scanned) {
 	c.scanning = false
 	switch {
-	case !c.incumbent():
+	case !c.isOwner():
 		return
 	case e.Fence != c.cell.epochVersion:
 		c.scan() // the rows were read before we claimed the cell
@@ -259,16 +259,16 @@
 	for _, r := range e.Rows {
 		c.onRow(r)
 	}
-	c.scanned = e.Through
+	c.scannedThrough = e.Through
 	if !c.loaded {
 		c.loaded = true
-		c.planning = true
+		c.planNeeded = true
 		for _, p := range c.sortedPeers() {
 			c.stepPeer(p, evOwnershipConfirmed)
 		}
 	}
 }
 
-func (c *Core) beatRow() rows.CellHeartbeat {
+func (c *Core) heartbeatRow() rows.CellHeartbeat {
 	return rows.CellHeartbeat{Owner: c.opts.Entry, Boot: c.opts.Boot, Counter: c.cell.counter}
 }
--- a/internal/control/counts_test.go
+++ b/internal/control/counts_test.go
@@ -7,13 +7,13 @@
 )
 
 // running counts the tasks that run on the workers.
-func (w *world) running() (n int) {
+func (w *world) runningTasks() (n int) {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
 	for _, a := range w.agents {
-		for _, r := range a.host.runs {
-			r.settle()
-			if r.state == model.TaskRunning {
+		for _, t := range a.host.tasks {
+			t.update()
+			if t.state == model.TaskRunning {
 				n++
 			}
 		}
@@ -22,8 +22,8 @@
 }
 
 // commits counts the transactions of controllers without their heartbeats.
-func (w *world) commits() (n int) {
-	w.table.set(func() {
+func (w *world) commitCount() (n int) {
+	w.table.withLock(func() {
 		for writer, count := range w.table.commits {
 			if !strings.Contains(writer, "-beat-") {
 				n += count
@@ -34,15 +34,15 @@
 }
 
 // started counts the tasks that were started on the workers.
-func (w *world) started() int {
+func (w *world) startedTasks() int {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
 	return w.hosts.started
 }
 
 // done counts the completed runs of a job.
-func (w *world) done(id model.JobID) int {
+func (w *world) completedRuns(id model.JobID) int {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
-	return w.hosts.done[id]
+	return w.hosts.completed[id]
 }
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -9,17 +9,17 @@
 
 // drainEach bounds the tasks of a draining worker that are being moved at the
 // same time: each needs a checkpoint and a place elsewhere.
-const drainEach = 4
+const maxMovesPerWorker = 4
 
 // followDrain starts or ends the draining of a worker as its labels say.
-func (c *Core) followDrain(p *peer) {
-	on := merged(p.worker.Labels, c.config.Workers[p.worker.ID])[model.LabelDrain] == "true"
+func (c *Core) updateDraining(p *peer) {
+	on := mergeLabels(p.worker.Labels, c.config.Workers[p.worker.ID])[model.LabelDrain] == "true"
 	changed := on != p.draining
 	p.draining = on
-	if t := c.opts.Health; t != nil && (changed || on) {
-		c.applyHealth(t.SetDraining(c.now, p.worker.ID, on))
+	if tracker := c.opts.Health; tracker != nil && (changed || on) {
+		c.applyHealth(tracker.SetDraining(c.now, p.worker.ID, on))
 	}
-	c.planning = c.planning || changed
+	c.planNeeded = c.planNeeded || changed
 }
 
 // drain moves the tasks of draining workers, a few at a time.
@@ -54,7 +54,7 @@
 		return cmp.Compare(a.attempt.report.RanFor, b.attempt.report.RanFor)
 	})
 	for _, j := range list {
-		if moving == drainEach {
+		if moving == maxMovesPerWorker {
 			return
 		}
 		if j.phase == stJobRunning {
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -19,27 +19,27 @@
 
 // table is an in-memory table service with faults.
 type table struct {
-	t       *testing.T
-	mu      sync.Mutex
-	rows    map[string]storage.Row
-	rev     storage.Revision
-	away    bool
-	delay   time.Duration
-	lose    func(storage.Txn) bool // the response is lost after the write
-	late    time.Duration          // a transaction whose response is lost takes effect after this
-	commits map[string]int         // by writer: the operation id up to the last dash
+	t               *testing.T
+	mu              sync.Mutex
+	rows            map[string]storage.Row
+	rev             storage.Revision
+	unavailable     bool
+	delay           time.Duration
+	loseResponse    func(storage.Txn) bool // the response is lost after the write
+	lostCommitDelay time.Duration          // a transaction whose response is lost takes effect after this
+	commits         map[string]int         // by writer: the operation id up to the last dash
 }
 
 func newTable(t *testing.T) *table {
 	return &table{t: t, rows: map[string]storage.Row{}, commits: map[string]int{}, delay: time.Millisecond}
 }
 
-func (s *table) set(change func()) { s.mu.Lock(); defer s.mu.Unlock(); change() }
+func (s *table) withLock(change func()) { s.mu.Lock(); defer s.mu.Unlock(); change() }
 
 // wait passes the delay and reports whether the service is there.
 func (s *table) wait(ctx context.Context) error {
 	s.mu.Lock()
-	delay, away := s.delay, s.away
+	delay, away := s.delay, s.unavailable
 	s.mu.Unlock()
 	if !actor.Sleep(ctx, delay) || away {
 		return storage.ErrUnavailable
@@ -54,9 +54,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	assert.LessOrEqual(s.t, len(t.Puts)+len(t.Deletes), 128, "rows in one transaction")
-	lost := s.lose != nil && s.lose(t)
-	if lost && s.late > 0 {
-		time.AfterFunc(s.late, func() { s.set(func() { _, _ = s.apply(t) }) })
+	lost := s.loseResponse != nil && s.loseResponse(t)
+	if lost && s.lostCommitDelay > 0 {
+		time.AfterFunc(s.lostCommitDelay, func() { s.withLock(func() { _, _ = s.apply(t) }) })
 		return 0, storage.ErrUnknown
 	}
 	rev, err := s.apply(t)
@@ -131,164 +131,164 @@
 }
 
 func (s *table) version(id model.JobID) (v storage.Revision) {
-	s.set(func() { v = s.rows[rows.JobKey(cellName, id)].Version })
+	s.withLock(func() { v = s.rows[rows.JobKey(cellName, id)].Version })
 	return v
 }
 
 // hosts is what all fake workers saw. It checks independently that no two
 // attempts of a job are live at once.
 type hosts struct {
-	t       *testing.T
-	mu      sync.Mutex
-	live    map[model.JobID][]*task
-	saved   map[string]time.Duration // progress by checkpoint name
-	started int
-	done    map[model.JobID]int // completed runs
+	t           *testing.T
+	mu          sync.Mutex
+	attempts    map[model.JobID][]*task
+	checkpoints map[string]time.Duration // progress by checkpoint name
+	started     int
+	completed   map[model.JobID]int // completed runs
 }
 
 // task is a task on a fake worker. Its job's program is the work's duration.
 type task struct {
-	id     model.AttemptID
-	host   *host
-	began  time.Time
-	from   time.Duration // progress resumed from
-	work   time.Duration
-	lease  time.Time // end of the worker's own lease
-	state  model.TaskState
-	points int
-	newest string
-	limit  int // processor limit in percent; 0: none was set
+	id              model.AttemptID
+	host            *host
+	startedAt       time.Time
+	resumedProgress time.Duration // progress resumed from
+	work            time.Duration
+	leaseEnd        time.Time // end of the worker's own lease
+	state           model.TaskState
+	checkpoints     int
+	lastCheckpoint  string
+	cpuLimitPercent int // processor limit in percent; 0: none was set
 }
 
 // host is a fake worker.
 type host struct {
-	all   *hosts
-	id    model.WorkerID
-	runs  map[model.AttemptID]*task
-	away  bool // calls fail
-	fails bool // every task fails
+	shared      *hosts
+	id          model.WorkerID
+	tasks       map[model.AttemptID]*task
+	unavailable bool // calls fail
+	failTasks   bool // every task fails
 }
 
 func (h *hosts) host(id model.WorkerID) *host {
-	return &host{all: h, id: id, runs: map[model.AttemptID]*task{}}
+	return &host{shared: h, id: id, tasks: map[model.AttemptID]*task{}}
 }
 
 // settle brings the state of a run up to now: it ends with its work or its
 // lease, whichever is first.
-func (r *task) settle() {
-	end := r.began.Add(r.work - r.from)
+func (t *task) update() {
+	end := t.startedAt.Add(t.work - t.resumedProgress)
 	switch {
-	case r.state != model.TaskRunning:
-	case !end.After(time.Now()) && !end.After(r.lease):
-		r.state = model.TaskDone
-		r.host.all.done[r.id.Job]++
-	case !r.lease.After(time.Now()):
-		r.state = model.TaskStopped
+	case t.state != model.TaskRunning:
+	case !end.After(time.Now()) && !end.After(t.leaseEnd):
+		t.state = model.TaskDone
+		t.host.shared.completed[t.id.Job]++
+	case !t.leaseEnd.After(time.Now()):
+		t.state = model.TaskStopped
 	}
 }
 
-func (w *host) Start(ctx context.Context, s taskagent.StartRequest) error {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
-	if w.away {
+func (h *host) Start(ctx context.Context, s taskagent.StartRequest) error {
+	h.shared.mu.Lock()
+	defer h.shared.mu.Unlock()
+	if h.unavailable {
 		return context.DeadlineExceeded
 	}
-	if w.runs[s.Attempt] != nil {
+	if h.tasks[s.Attempt] != nil {
 		return nil
 	}
-	for _, other := range w.all.live[s.Attempt.Job] {
-		other.settle()
-		assert.NotEqual(w.all.t, model.TaskRunning, other.state, "%v starts on %s while %v runs on %s", s.Attempt, w.id, other.id, other.host.id)
-		assert.NotEqual(w.all.t, model.TaskDone, other.state, "%v starts although %v has completed", s.Attempt, other.id)
+	for _, other := range h.shared.attempts[s.Attempt.Job] {
+		other.update()
+		assert.NotEqual(h.shared.t, model.TaskRunning, other.state, "%v starts on %s while %v runs on %s", s.Attempt, h.id, other.id, other.host.id)
+		assert.NotEqual(h.shared.t, model.TaskDone, other.state, "%v starts although %v has completed", s.Attempt, other.id)
 	}
 	work, _ := time.ParseDuration(s.Program)
-	r := &task{id: s.Attempt, host: w, began: time.Now(), from: w.all.saved[s.Checkpoint], work: work,
-		lease: time.Now().Add(s.Lease), state: model.TaskRunning}
+	started := &task{id: s.Attempt, host: h, startedAt: time.Now(), resumedProgress: h.shared.checkpoints[s.Checkpoint], work: work,
+		leaseEnd: time.Now().Add(s.Lease), state: model.TaskRunning}
 	if s.Checkpoint != "" {
-		_, ok := w.all.saved[s.Checkpoint]
-		assert.True(w.all.t, ok, "checkpoint %s does not exist", s.Checkpoint)
+		_, ok := h.shared.checkpoints[s.Checkpoint]
+		assert.True(h.shared.t, ok, "checkpoint %s does not exist", s.Checkpoint)
 	}
-	if w.fails {
-		r.state = model.TaskFailed
+	if h.failTasks {
+		started.state = model.TaskFailed
 	}
-	w.runs[s.Attempt] = r
-	w.all.live[s.Attempt.Job] = append(w.all.live[s.Attempt.Job], r)
-	w.all.started++
+	h.tasks[s.Attempt] = started
+	h.shared.attempts[s.Attempt.Job] = append(h.shared.attempts[s.Attempt.Job], started)
+	h.shared.started++
 	return nil
 }
 
 // on runs a call for a known run.
-func (w *host) on(id model.AttemptID, do func(*task)) error {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
-	if w.away {
+func (h *host) withTask(id model.AttemptID, do func(*task)) error {
+	h.shared.mu.Lock()
+	defer h.shared.mu.Unlock()
+	if h.unavailable {
 		return context.DeadlineExceeded
 	}
-	r := w.runs[id]
-	if r == nil {
+	t := h.tasks[id]
+	if t == nil {
 		return taskagent.ErrNoTask
 	}
-	r.settle()
-	do(r)
+	t.update()
+	do(t)
 	return nil
 }
 
-func (w *host) Renew(ctx context.Context, id model.AttemptID, d time.Duration) error {
-	return w.on(id, func(r *task) {
-		if r.state == model.TaskRunning {
-			r.lease = time.Now().Add(d)
+func (h *host) Renew(ctx context.Context, id model.AttemptID, d time.Duration) error {
+	return h.withTask(id, func(t *task) {
+		if t.state == model.TaskRunning {
+			t.leaseEnd = time.Now().Add(d)
 		}
 	})
 }
 
-func (w *host) Checkpoint(ctx context.Context, id model.AttemptID) (name string, err error) {
-	err = w.on(id, func(r *task) {
-		r.points++
-		name = fmt.Sprintf("%s%d", taskagent.CheckpointPrefix(id), r.points)
-		r.newest = name
-		w.all.saved[name] = r.from + time.Since(r.began)
+func (h *host) Checkpoint(ctx context.Context, id model.AttemptID) (name string, err error) {
+	err = h.withTask(id, func(t *task) {
+		t.checkpoints++
+		name = fmt.Sprintf("%s%d", taskagent.CheckpointPrefix(id), t.checkpoints)
+		t.lastCheckpoint = name
+		h.shared.checkpoints[name] = t.resumedProgress + time.Since(t.startedAt)
 	})
 	return name, err
 }
 
-func (w *host) Throttle(_ context.Context, id model.AttemptID, percent int) error {
-	return w.on(id, func(r *task) { r.limit = percent })
+func (h *host) Throttle(_ context.Context, id model.AttemptID, percent int) error {
+	return h.withTask(id, func(t *task) { t.cpuLimitPercent = percent })
 }
 
 // percent is the highest limit of a job's running tasks, 100 when none was set.
-func (h *hosts) percent(id model.JobID) int {
+func (h *hosts) cpuLimitPercent(id model.JobID) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	highest := 0
-	for _, r := range h.live[id] {
-		if r.limit == 0 {
+	for _, t := range h.attempts[id] {
+		if t.cpuLimitPercent == 0 {
 			return 100
 		}
-		highest = max(highest, r.limit)
+		highest = max(highest, t.cpuLimitPercent)
 	}
 	return highest
 }
 
-func (w *host) Stop(ctx context.Context, id model.AttemptID) error {
-	return w.on(id, func(r *task) {
-		if r.state == model.TaskRunning {
-			r.state = model.TaskStopped
+func (h *host) Stop(ctx context.Context, id model.AttemptID) error {
+	return h.withTask(id, func(t *task) {
+		if t.state == model.TaskRunning {
+			t.state = model.TaskStopped
 		}
 	})
 }
 
-func (w *host) List(context.Context) ([]taskagent.Task, error) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
-	if w.away {
+func (h *host) List(context.Context) ([]taskagent.Task, error) {
+	h.shared.mu.Lock()
+	defer h.shared.mu.Unlock()
+	if h.unavailable {
 		return nil, context.DeadlineExceeded
 	}
 	var list []taskagent.Task
-	for _, r := range w.runs {
-		r.settle()
-		list = append(list, taskagent.Task{Attempt: r.id, State: r.state, Result: taskagent.ResultName(r.id), Checkpoint: r.newest, RanFor: time.Since(r.began)})
+	for _, t := range h.tasks {
+		t.update()
+		list = append(list, taskagent.Task{Attempt: t.id, State: t.state, Result: taskagent.ResultName(t.id), Checkpoint: t.lastCheckpoint, RanFor: time.Since(t.startedAt)})
 	}
 	return list, nil
 }
 
-func (w *host) Describe(context.Context) (model.Worker, error) { return model.Worker{ID: w.id}, nil }
+func (h *host) Describe(context.Context) (model.Worker, error) { return model.Worker{ID: h.id}, nil }
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -19,101 +19,101 @@
 // noteLink tells the health policy about a link. A core without a tracker
 // trusts every worker.
 func (c *Core) noteLink(p *peer, up bool) {
-	if t := c.opts.Health; t != nil {
+	if tracker := c.opts.Health; tracker != nil {
 		if up {
-			t.Add(c.now, p.worker.ID)
+			tracker.Add(c.now, p.worker.ID)
 		}
-		c.applyHealth(t.SetLinkUp(c.now, p.worker.ID, up))
+		c.applyHealth(tracker.SetLinkUp(c.now, p.worker.ID, up))
 	}
 }
 
 func (c *Core) noteStart(j *job) {
-	if t := c.opts.Health; t != nil {
-		t.Started(c.now, j.attempt.worker, j.attemptID())
-		c.rate(c.peers[j.attempt.worker])
+	if tracker := c.opts.Health; tracker != nil {
+		tracker.Started(c.now, j.attempt.worker, j.attemptID())
+		c.updateWorkerState(c.peers[j.attempt.worker])
 	}
 }
 
 func (c *Core) noteOutcome(j *job, o outcome) {
-	t := c.opts.Health
-	if t == nil {
+	tracker := c.opts.Health
+	if tracker == nil {
 		return
 	}
 	worker, id, class := j.attempt.worker, j.attemptID(), j.row.Spec.Class
 	switch o {
 	case outcomeDone:
-		c.applyHealth(t.Succeeded(c.now, worker, id, class))
+		c.applyHealth(tracker.Succeeded(c.now, worker, id, class))
 	case outcomeFailed:
-		c.applyHealth(t.Failed(c.now, worker, id, class))
+		c.applyHealth(tracker.Failed(c.now, worker, id, class))
 	default:
-		t.Stopped(worker, id)
+		tracker.Stopped(worker, id)
 	}
-	c.rate(c.peers[worker])
+	c.updateWorkerState(c.peers[worker])
 }
 
 // tickHealth runs the timeouts of the policy and applies the limits that
 // change with time alone.
 func (c *Core) tickHealth() {
-	if t := c.opts.Health; t != nil {
-		c.applyHealth(t.Tick(c.now))
+	if tracker := c.opts.Health; tracker != nil {
+		c.applyHealth(tracker.Tick(c.now))
 		for _, p := range c.sortedPeers() {
-			c.rate(p)
+			c.updateWorkerState(p)
 		}
 	}
 }
 
 func (c *Core) applyHealth(changes []health.Change) {
-	for _, ch := range changes {
+	for _, change := range changes {
 		switch {
-		case ch.ParkedJob != "":
-			if j := c.jobs[ch.ParkedJob]; j != nil {
-				j.parked = ch.Reason
+		case change.ParkedJob != "":
+			if j := c.jobs[change.ParkedJob]; j != nil {
+				j.parkReason = change.Reason
 			}
-		case c.peers[ch.Worker] != nil:
-			c.log(event.WorkerHealth, map[string]any{"worker": ch.Worker, "state": ch.State.String(), "reason": ch.Reason})
-			c.peers[ch.Worker].reason = ch.Reason
-			c.rate(c.peers[ch.Worker])
+		case c.peers[change.Worker] != nil:
+			c.log(event.WorkerHealth, map[string]any{"worker": change.Worker, "state": change.State.String(), "reason": change.Reason})
+			c.peers[change.Worker].healthReason = change.Reason
+			c.updateWorkerState(c.peers[change.Worker])
 		}
 	}
 }
 
 // rate tells the ledger whether the worker may get tasks: only with a
 // confirmed lease, and as far as the health policy trusts it.
-func (c *Core) rate(p *peer) {
+func (c *Core) updateWorkerState(p *peer) {
 	state := place.WorkerSuspect
 	switch {
 	case p.state == stUnlinked:
 		state = place.WorkerDown
-	case p.state == stReady && p.rounds >= leaseRounds:
-		state = c.trust(p.worker.ID)
+	case p.state == stReady && p.ackedRenewals >= minAckedRenewals:
+		state = c.healthState(p.worker.ID)
 	}
 	if w, ok := c.ledger.Worker(p.worker.ID); ok && w.State != state {
 		c.ledger.SetState(p.worker.ID, state)
-		c.planning = c.planning || state == place.WorkerReady || state == place.WorkerProbation
+		c.planNeeded = c.planNeeded || state == place.WorkerReady || state == place.WorkerProbation
 	}
 }
 
-func (c *Core) trust(id model.WorkerID) place.WorkerState {
-	t := c.opts.Health
-	if t == nil {
+func (c *Core) healthState(id model.WorkerID) place.WorkerState {
+	tracker := c.opts.Health
+	if tracker == nil {
 		return place.WorkerReady
 	}
-	if unproven, limit := t.UnprovenAttempts(c.now, id); limit > 0 && unproven >= limit {
+	if unproven, limit := tracker.UnprovenAttempts(c.now, id); limit > 0 && unproven >= limit {
 		return place.WorkerSuspect
 	}
-	return t.State(id)
+	return tracker.State(id)
 }
 
 // avoid lists the workers on which a job failed.
-func (c *Core) avoid(id model.JobID) []model.WorkerID {
-	if t := c.opts.Health; t != nil {
-		return t.Avoid(id)
+func (c *Core) workersToAvoid(id model.JobID) []model.WorkerID {
+	if tracker := c.opts.Health; tracker != nil {
+		return tracker.Avoid(id)
 	}
 	return nil
 }
 
 func (c *Core) forgetHealth(id model.JobID) {
-	if t := c.opts.Health; t != nil {
-		t.ForgetJob(id)
+	if tracker := c.opts.Health; tracker != nil {
+		tracker.ForgetJob(id)
 	}
 }
--- a/internal/control/interference.go
+++ b/internal/control/interference.go
@@ -14,62 +14,62 @@
 
 const (
 	// limitEvery is how often the limits of tasks beside a service are decided.
-	limitEvery = time.Second
+	throttleInterval = time.Second
 	// limitRepeat is how often a limit is sent again: commands may be lost,
 	// and a restarted agent does not know it.
-	limitRepeat = 10 * time.Second
+	throttleRepeatInterval = 10 * time.Second
 	// A measurement of a service counts for this long.
-	loadMemory = 30 * time.Second
+	loadMaxAge = 30 * time.Second
 )
 
 // serviceLoad is what a worker's agent last reported of a service class.
 type serviceLoad struct {
-	usage msg.ServiceUsage
-	at    time.Duration
+	usage      msg.ServiceUsage
+	receivedAt time.Duration
 }
 
 // onServices learns from what an agent measured at its backend server. Only
 // classes with a target count.
-func (c *Core) onServices(p *peer, list []msg.ServiceUsage) {
-	for _, u := range list {
-		target, ok := c.target(u.Class)
+func (c *Core) onServiceUsage(p *peer, list []msg.ServiceUsage) {
+	for _, usage := range list {
+		target, ok := c.targetLatency(usage.Class)
 		if !ok {
 			continue
 		}
-		key := interfere.ServiceClass{Service: u.Service, Class: u.Class}
-		if p.loads == nil {
-			p.loads = map[interfere.ServiceClass]serviceLoad{}
+		key := interfere.ServiceClass{Service: usage.Service, Class: usage.Class}
+		if p.serviceLoads == nil {
+			p.serviceLoads = map[interfere.ServiceClass]serviceLoad{}
 		}
-		p.loads[key] = serviceLoad{usage: u, at: c.now}
-		if u.P99 > 0 {
+		p.serviceLoads[key] = serviceLoad{usage: usage, receivedAt: c.now}
+		if usage.P99 > 0 {
 			c.interference.Observe(interfere.Report{
-				Worker: p.worker.ID, Service: key, From: c.now - msg.UsageWindow, To: c.now, P99: u.P99, Target: target,
+				Worker: p.worker.ID, Service: key, From: c.now - msg.UsageWindow, To: c.now, P99: usage.P99, Target: target,
 			})
 		}
 	}
 }
 
 // target is the p99 that a class has to keep by its label.
-func (c *Core) target(class model.Class) (time.Duration, bool) {
+func (c *Core) targetLatency(class model.Class) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(c.config.Classes[class][model.LabelTargetP99], 10, 32)
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
 }
 
 // limit throttles and evicts tasks that make a service on their worker miss
 // its target.
-func (c *Core) limit() {
-	if c.limitAt > c.now || c.cell.state != stOwning || !c.loaded {
+func (c *Core) throttle() {
+	if c.throttleAt > c.now || c.cell.state != stOwning || !c.loaded {
 		return
 	}
-	c.limitAt = c.now + limitEvery
+	c.throttleAt = c.now + throttleInterval
 	for _, p := range c.sortedPeers() {
-		if p.state == stReady && len(p.loads) > 0 {
-			c.limitWorker(p)
+		if p.state == stReady && len(p.serviceLoads) > 0 {
+			c.throttleWorker(p)
 		}
 	}
 }
 
-func (c *Core) limitWorker(p *peer) {
+func (c *Core) throttleWorker(p *peer) {
 	host := interfere.Host{Worker: p.worker.ID, CPU: p.worker.Capacity.CPU, Services: p.services(c.now)}
 	if len(host.Services) == 0 || host.CPU <= 0 {
 		return
@@ -78,7 +78,7 @@
 		t := c.interferenceTask(j)
 		if t.CPULimitPercent == 0 {
 			t.CPULimitPercent = c.interference.Admit(host, t)
-			c.setLimit(j, t.CPULimitPercent)
+			c.setCPULimit(j, t.CPULimitPercent)
 		}
 		host.Tasks = append(host.Tasks, t)
 	}
@@ -92,22 +92,22 @@
 			c.evict(j.id, a.Reason)
 			continue
 		}
-		c.setLimit(j, a.CPULimitPercent)
+		c.setCPULimit(j, a.CPULimitPercent)
 	}
-	c.repeatLimits(p)
+	c.repeatThrottles(p)
 }
 
 // services lists the loads that are recent, in a fixed order.
 func (p *peer) services(now time.Duration) []interfere.ServiceLoad {
 	var list []interfere.ServiceLoad
-	for key, l := range p.loads {
-		if now-l.at > loadMemory {
-			delete(p.loads, key)
+	for key, load := range p.serviceLoads {
+		if now-load.receivedAt > loadMaxAge {
+			delete(p.serviceLoads, key)
 			continue
 		}
 		list = append(list, interfere.ServiceLoad{
-			Service: key, Busy: l.usage.Busy, Arrivals: l.usage.Arrivals, Queued: float64(l.usage.Queued),
-			ServiceTime: l.usage.Mean, Slots: l.usage.Slots,
+			Service: key, Busy: load.usage.Busy, Arrivals: load.usage.Arrivals, Queued: float64(load.usage.Queued),
+			ServiceTime: load.usage.Mean, Slots: load.usage.Slots,
 		})
 	}
 	slices.SortFunc(list, func(a, b interfere.ServiceLoad) int {
@@ -130,7 +130,7 @@
 
 func (c *Core) interferenceTask(j *job) interfere.Task {
 	t := interfere.Task{
-		Attempt: j.attemptID(), Class: j.row.Spec.Class, CPU: j.size.CPU, CPULimitPercent: j.attempt.percent,
+		Attempt: j.attemptID(), Class: j.row.Spec.Class, CPU: j.size.CPU, CPULimitPercent: j.attempt.cpuLimitPercent,
 		YieldRank: c.rules.YieldRank(c.jobLabels(j.row.Spec)), Protected: j.row.Spec.Urgent,
 	}
 	if w, ok := c.ledger.Worker(j.attempt.worker); ok {
@@ -143,16 +143,16 @@
 	return t
 }
 
-func (c *Core) setLimit(j *job, percent int) {
+func (c *Core) setCPULimit(j *job, percent int) {
 	j.core = c
-	j.attempt.percent, j.attempt.limitAt = percent, c.now
-	j.command(&msg.ThrottleTask{Command: c.command(), Attempt: j.attemptID(), Percent: percent})
+	j.attempt.cpuLimitPercent, j.attempt.cpuLimitSentAt = percent, c.now
+	j.command(&msg.ThrottleTask{Command: c.newCommand(), Attempt: j.attemptID(), Percent: percent})
 }
 
-func (c *Core) repeatLimits(p *peer) {
+func (c *Core) repeatThrottles(p *peer) {
 	for _, j := range c.tasksOn(p) {
-		if j.attempt.percent != 100 && c.now-j.attempt.limitAt > limitRepeat {
-			c.setLimit(j, j.attempt.percent)
+		if j.attempt.cpuLimitPercent != 100 && c.now-j.attempt.cpuLimitSentAt > throttleRepeatInterval {
+			c.setCPULimit(j, j.attempt.cpuLimitPercent)
 		}
 	}
 }
--- a/internal/control/interference_test.go
+++ b/internal/control/interference_test.go
@@ -13,40 +13,40 @@
 
 // service reports, as an agent does, a service whose p99 is above its target
 // while batch tasks of the worker may use more than half of their processors.
-func (w *world) service(worker model.WorkerID, seconds int, percent func() int) {
-	ctl := w.entries["a"].ctl
+func (w *world) reportServiceUsage(worker model.WorkerID, seconds int, percent func() int) {
+	ctl := w.entries["a"].controller
 	for s := range seconds {
-		u := msg.ServiceUsage{Service: "permit-desk", Class: "read", Slots: 8, Busy: 0.5, Arrivals: 400, Mean: 10 * time.Millisecond}
+		usage := msg.ServiceUsage{Service: "permit-desk", Class: "read", Slots: 8, Busy: 0.5, Arrivals: 400, Mean: 10 * time.Millisecond}
 		if s%10 == 9 {
-			u.Requests, u.P99 = 4000, 30*time.Millisecond
+			usage.Requests, usage.P99 = 4000, 30*time.Millisecond
 			if percent() > 50 {
-				u.P99 = 120 * time.Millisecond
+				usage.P99 = 120 * time.Millisecond
 			}
 		}
 		require.NoError(w, ctl.Send(w.ctx, control.FromAgent{Worker: worker,
-			Msg: &msg.UsageReport{Worker: worker, Services: []msg.ServiceUsage{u}}}))
-		w.pass(time.Second)
+			Msg: &msg.UsageReport{Worker: worker, Services: []msg.ServiceUsage{usage}}}))
+		w.sleep(time.Second)
 	}
 }
 
 // Guards against a service that misses its target beside tasks which nobody
 // throttles, and against an eviction where a limit is enough.
 func TestTasksBesideAServiceAreThrottled(t *testing.T) {
-	run(t, 1, []model.EntryID{"a"}, func(w *world) {
-		w.pass(10 * time.Second)
-		require.NoError(t, w.entries["a"].ctl.Send(w.ctx, control.ConfigChanged{Config: control.Configuration{
+	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
+		w.sleep(10 * time.Second)
+		require.NoError(t, w.entries["a"].controller.Send(w.ctx, control.ConfigChanged{Config: control.Configuration{
 			Classes: map[model.Class]model.Labels{"read": {"target-p99-ms": "50"}}}}))
 		w.submit(time.Hour, "j1", "j2", "j3")
-		w.reaches(5*time.Second, "running", "j1", "j2", "j3")
+		w.waitForPhase(5*time.Second, "running", "j1", "j2", "j3")
 		highest := func() int {
 			n := 0
 			for _, id := range []model.JobID{"j1", "j2", "j3"} {
-				n = max(n, w.hosts.percent(id))
+				n = max(n, w.hosts.cpuLimitPercent(id))
 			}
 			return n
 		}
 		require.Equal(t, 100, highest())
-		w.service("w1", 120, highest)
+		w.reportServiceUsage("w1", 120, highest)
 		require.LessOrEqual(t, highest(), 50)
 		for _, id := range []model.JobID{"j1", "j2", "j3"} {
 			require.Zero(t, w.table.job(id).Evictions)
--- a/internal/control/job.go
+++ b/internal/control/job.go
@@ -42,25 +42,25 @@
 // job is a job that is not over. Its row is ahead of the table while it waits
 // for its transaction; effects that depend on the row wait with it.
 type job struct {
-	id      model.JobID
-	row     model.JobRow // Phase is set when it is written
-	phase   chart.State
-	version storage.Revision // of the row in the table
-	order   uint64           // submission order
-	size    model.Resources  // measured peak, at least the declared size
-	verdict place.Verdict    // of the last plan that did not place it
-	attempt attempt
-	parked  string       // why the health policy parks it
-	labels  model.Labels // that selectors match its tasks by; nil: not computed
+	id          model.JobID
+	row         model.JobRow // Phase is set when it is written
+	phase       chart.State
+	version     storage.Revision // of the row in the table
+	order       uint64           // submission order
+	size        model.Resources  // measured peak, at least the declared size
+	lastVerdict place.Verdict    // of the last plan that did not place it
+	attempt     attempt
+	parkReason  string       // why the health policy parks it
+	labels      model.Labels // that selectors match its tasks by; nil: not computed
 
 	generation uint64 // number of changes of the row
-	written    uint64 // generation in the transaction under way; 0 when none
+	inFlight   uint64 // generation in the transaction under way; 0 when none
 	committed  uint64 // newest generation in the table
 	queued     bool   // in the batch's queue
 	hooks      []hook
 
-	core   *Core          // set during a step
-	target model.WorkerID // of a placement, set during a step
+	core         *Core          // set during a step
+	targetWorker model.WorkerID // of a placement, set during a step
 }
 
 // hook is an effect that waits until a generation of the row is committed.
@@ -74,9 +74,9 @@
 type hookKind uint8
 
 const (
-	hookStart hookKind = iota // the attempt may be sent to its worker
-	hookSaved                 // the checkpoint may be resumed from
-	hookAck                   // the agent may forget the attempt
+	hookStart               hookKind = iota // the attempt may be sent to its worker
+	hookCheckpointCommitted                 // the checkpoint may be resumed from
+	hookAcknowledge                         // the agent may forget the attempt
 )
 
 // JobBinding binds charts/job.scxml. It is exported for the checks that
@@ -89,18 +89,18 @@
 		Guards: map[string]func(*job) bool{
 			"cancelling": func(j *job) bool { return j.row.CancelRequested },
 			"exhausted":  func(j *job) bool { return j.row.Failures+1 >= maxFailures },
-			"parking":    func(j *job) bool { return j.parked != "" },
+			"parking":    func(j *job) bool { return j.parkReason != "" },
 		},
 		Actions: map[string]func(*job){
 			"assign":      (*job).assign,
-			"write":       func(j *job) { j.core.write(j) },
-			"awaitCommit": func(j *job) { j.await(hookStart) },
+			"write":       func(j *job) { j.core.queueWrite(j) },
+			"awaitCommit": func(j *job) { j.awaitCommit(hookStart) },
 			"finish":      func(j *job) { j.row.Result, j.row.Reason = j.attempt.report.Result, "" },
 			"countFailure": func(j *job) {
 				j.row.Failures++
 				j.row.Reason = j.attempt.report.Reason
-				if j.parked != "" {
-					j.row.Reason = j.parked + ": " + j.row.Reason
+				if j.parkReason != "" {
+					j.row.Reason = j.parkReason + ": " + j.row.Reason
 				}
 			},
 			"countEviction": func(j *job) {
@@ -122,21 +122,21 @@
 	if j.phase == stParked && before != stParked {
 		c.log(event.JobParked, map[string]any{"job": j.id, "reason": j.row.Reason})
 	}
-	c.index(j)
-	c.planning = c.planning || j.phase == stPending
+	c.updatePending(j)
+	c.planNeeded = c.planNeeded || j.phase == stPending
 	return true
 }
 
 // assign numbers the attempt and charges nothing: the ledger has reserved it.
 func (j *job) assign() {
 	j.row.Attempt++
-	j.row.Worker, j.row.Reason = j.target, ""
-	j.attempt = attempt{live: true, state: attemptChart.Initial(), number: j.row.Attempt, worker: j.target}
-	j.core.peers[j.target].attempts++
+	j.row.Worker, j.row.Reason = j.targetWorker, ""
+	j.attempt = attempt{live: true, state: attemptChart.Initial(), number: j.row.Attempt, worker: j.targetWorker}
+	j.core.peers[j.targetWorker].chargedAttempts++
 	j.core.noteStart(j)
 }
 
-func (j *job) await(kind hookKind) {
+func (j *job) awaitCommit(kind hookKind) {
 	j.hooks = append(j.hooks, hook{j.generation, kind, j.attempt.number, j.attempt.worker})
 }
 
@@ -145,11 +145,11 @@
 }
 
 // task is what the ledger charges for the attempt.
-func (c *Core) task(j *job, number uint32) place.Task {
-	s := j.row.Spec
+func (c *Core) ledgerTask(j *job, number uint32) place.Task {
+	spec := j.row.Spec
 	return place.Task{
-		Attempt: model.AttemptID{Job: j.id, Number: number}, Team: s.Team, Class: s.Class,
-		Labels: c.labelsOf(j), Size: j.size, Urgent: s.Urgent, LongRunning: s.LongRunning,
+		Attempt: model.AttemptID{Job: j.id, Number: number}, Team: spec.Team, Class: spec.Class,
+		Labels: c.labelsOf(j), Size: j.size, Urgent: spec.Urgent, LongRunning: spec.LongRunning,
 	}
 }
 
@@ -160,7 +160,7 @@
 	switch {
 	case r.Deleted:
 		if j != nil && !j.attempt.live {
-			c.drop(r.ID)
+			c.removeJob(r.ID)
 		}
 		return
 	case j == nil:
@@ -183,15 +183,15 @@
 		return
 	case jobChart.Final(phase):
 		if !c.loaded { // later ones were counted when we wrote them
-			c.finished[r.Row.Phase]++
+			c.finishedCounts[r.Row.Phase]++
 		}
 		return
 	}
 	j := &job{id: r.ID, row: r.Row, phase: phase, version: r.Version, order: uint64(r.Version),
 		size: r.Row.Spec.Resources}
 	c.jobs[r.ID] = j
-	c.index(j)
-	c.planning = true
+	c.updatePending(j)
+	c.planNeeded = true
 	if phase == stPlaced || phase == stJobRunning || phase == stEvicting {
 		c.adoptAttempt(j)
 	}
@@ -207,8 +207,8 @@
 		p.grants.SetUntil(c.now+lease.SuccessorWait(false), c.now+lease.SuccessorWait(true))
 	}
 	j.attempt = attempt{live: true, state: attemptChart.Initial(), number: j.row.Attempt, worker: j.row.Worker}
-	p.attempts++
-	c.ledger.Adopt(p.worker.ID, c.task(j, j.row.Attempt))
+	p.chargedAttempts++
+	c.ledger.Adopt(p.worker.ID, c.ledgerTask(j, j.row.Attempt))
 	c.stepAttempt(j, evAdopt)
 }
 
@@ -223,7 +223,7 @@
 }
 
 // index keeps the set of waiting jobs, which every plan needs.
-func (c *Core) index(j *job) {
+func (c *Core) updatePending(j *job) {
 	if j.phase == stPending {
 		c.pending[j.id] = j
 	} else {
@@ -231,7 +231,7 @@
 	}
 }
 
-func (c *Core) drop(id model.JobID) {
+func (c *Core) removeJob(id model.JobID) {
 	delete(c.jobs, id)
 	delete(c.pending, id)
 }
@@ -239,7 +239,7 @@
 // selected returns the jobs of a set for which keep holds, by submission
 // order. Only those are sorted: a cell has thousands of jobs and a sweep
 // concerns few.
-func selected(set map[model.JobID]*job, keep func(*job) bool) []*job {
+func selectJobs(set map[model.JobID]*job, keep func(*job) bool) []*job {
 	var list []*job
 	for _, j := range set {
 		if keep(j) {
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -33,30 +33,30 @@
 const (
 	claimRetryInterval = 2 * time.Second
 	// forgetPeer is longer than a command can stay under way on a lost link.
-	forgetPeer = 10 * time.Minute
+	peerRetention = 10 * time.Minute
 	// leaseRounds is the number of acknowledged renewals after which an agent
 	// holds a valid lease: the second counts from the first acknowledgement.
-	leaseRounds = 2
+	minAckedRenewals = 2
 	// backendLeft is the state of charts/backend.scxml after a drain.
-	backendLeft = "left"
+	backendStateLeft = "left"
 )
 
 // peer is what the controller knows of a worker and its agent.
 type peer struct {
-	worker    model.Worker
-	boot      model.Boot
-	state     chart.State
-	deadline  time.Duration // of the state's timeout; 0 when it has none
-	reason    string        // of its state of health
-	confirmed bool          // the agent refuses older epochs, or did before it restarted
-	claimed   model.Boot    // incarnation that was claimed while owning
-	grants    lease.Grants
-	attempts  int           // charged to the worker
-	service   model.Service // of the backend server on the worker; empty: none
-	loads     map[interfere.ServiceClass]serviceLoad
-	draining  bool          // by the label of the worker
-	awayAt    time.Duration // when the link was lost
-	rounds    int           // renewals acknowledged since the last inventory
+	worker          model.Worker
+	boot            model.Boot
+	state           chart.State
+	deadline        time.Duration // of the state's timeout; 0 when it has none
+	healthReason    string        // of its state of health
+	epochConfirmed  bool          // the agent refuses older epochs, or did before it restarted
+	claimedBoot     model.Boot    // incarnation that was claimed while owning
+	grants          lease.Grants
+	chargedAttempts int           // charged to the worker
+	service         model.Service // of the backend server on the worker; empty: none
+	serviceLoads    map[interfere.ServiceClass]serviceLoad
+	draining        bool          // by the label of the worker
+	unlinkedAt      time.Duration // when the link was lost
+	ackedRenewals   int           // renewals acknowledged since the last inventory
 	// lost are attempts that were given up without a confirmed stop. The agent
 	// is told to stop them before its lease is renewed.
 	abandoned map[model.AttemptID]bool
@@ -73,7 +73,7 @@
 		Events: []string{"up", "ownershipConfirmed", "down", "retry", "inventory", "ownershipLost"},
 		Guards: map[string]func(*peer) bool{"mayClaim": func(p *peer) bool { return p.core.mayClaim(p) }},
 		Actions: map[string]func(*peer){
-			"sendClaim":    func(p *peer) { p.core.send(p, &msg.CellClaim{Command: p.core.command()}) },
+			"sendClaim":    func(p *peer) { p.core.send(p, &msg.CellClaim{Command: p.core.newCommand()}) },
 			"confirmClaim": func(p *peer) { p.core.confirmClaim(p) },
 		},
 		Delays: map[string]time.Duration{"claimRetry": claimRetryInterval},
@@ -89,7 +89,7 @@
 	if d, _, ok := peerChart.Timeout(p.state); ok {
 		p.deadline = c.now + d
 	}
-	c.rate(p)
+	c.updateWorkerState(p)
 	return true
 }
 
@@ -100,12 +100,12 @@
 		return false
 	}
 	if c.cell.state == stOwning {
-		p.claimed = p.boot
+		p.claimedBoot = p.boot
 	}
-	return c.incumbent() && p.claimed == p.boot
+	return c.isOwner() && p.claimedBoot == p.boot
 }
 
-func (c *Core) command() msg.Command {
+func (c *Core) newCommand() msg.Command {
 	return msg.Command{Cell: c.opts.Cell, Epoch: c.cell.owner.Epoch}
 }
 
@@ -119,11 +119,11 @@
 
 func (c *Core) onPeerUp(e PeerUp) {
 	p := c.peer(e.Worker.ID)
-	p.worker, p.boot, p.rounds = e.Worker, e.Boot, 0
+	p.worker, p.boot, p.ackedRenewals = e.Worker, e.Boot, 0
 	p.grants.Relink(c.now)
 	c.noteLink(p, true)
 	c.setWorker(p)
-	c.followDrain(p)
+	c.updateDraining(p)
 	c.stepPeer(p, evUp)
 }
 
@@ -131,7 +131,7 @@
 	if p := c.peers[id]; p != nil {
 		c.noteLink(p, false)
 		c.stepPeer(p, evDown)
-		p.awayAt = c.now
+		p.unlinkedAt = c.now
 	}
 }
 
@@ -148,9 +148,9 @@
 
 func (c *Core) setWorker(p *peer) {
 	w := p.worker
-	w.Labels = merged(w.Labels, c.config.Workers[w.ID])
+	w.Labels = mergeLabels(w.Labels, c.config.Workers[w.ID])
 	c.ledger.SetWorker(w, c.config.Reserved[p.service], c.serviceLabels(p))
-	c.rate(p)
+	c.updateWorkerState(p)
 }
 
 // serviceLabels are the labels that selectors match the services on a worker
@@ -159,36 +159,36 @@
 	if p.service == "" {
 		return nil
 	}
-	return []model.Labels{merged(c.config.Services[p.service], model.Labels{"service": string(p.service)})}
+	return []model.Labels{mergeLabels(c.config.Services[p.service], model.Labels{"service": string(p.service)})}
 }
 
 // onBackendState notes which service has a backend server on a worker. One
 // that is down keeps its place: it may return at any time.
 func (c *Core) onBackendState(p *peer, m *msg.BackendState) {
 	service := m.Service
-	if m.State == backendLeft {
+	if m.State == backendStateLeft {
 		service = ""
 	}
 	if service != p.service {
 		p.service = service
 		c.setWorker(p)
-		c.planning = true
+		c.planNeeded = true
 	}
 }
 
 func (p *peer) resetClaim() {
-	p.confirmed, p.claimed, p.rounds, p.attempts, p.grants = false, 0, 0, 0, lease.Grants{}
+	p.epochConfirmed, p.claimedBoot, p.ackedRenewals, p.chargedAttempts, p.grants = false, 0, 0, 0, lease.Grants{}
 	p.abandoned = map[model.AttemptID]bool{}
 }
 
 // confirm notes that the agent refuses older epochs from now on.
 func (c *Core) confirmClaim(p *peer) {
-	if p.confirmed {
+	if p.epochConfirmed {
 		p.grants.Extend(c.now, lease.TTL, lease.TTL)
 	} else {
 		p.grants.Reset(c.now)
 	}
-	p.confirmed, p.rounds = true, 0
+	p.epochConfirmed, p.ackedRenewals = true, 0
 	c.renew(p)
 }
 
@@ -198,16 +198,16 @@
 		return
 	}
 	for _, id := range sortedAttempts(p.abandoned) {
-		c.send(p, &msg.StopTask{Command: c.command(), Attempt: id})
+		c.send(p, &msg.StopTask{Command: c.newCommand(), Attempt: id})
 	}
-	ttl, long := c.ttl(false), c.ttl(true)
+	ttl, long := c.leaseTTL(false), c.leaseTTL(true)
 	if long > 0 {
 		seq, fresh := p.grants.Renew(c.now, ttl, long)
 		if !fresh {
-			p.rounds = 0 // an agent that does not answer gets no tasks
-			c.rate(p)
+			p.ackedRenewals = 0 // an agent that does not answer gets no tasks
+			c.updateWorkerState(p)
 		}
-		c.send(p, &msg.LeaseRenew{Command: c.command(), Sequence: seq, TTL: ttl, LongRunningTTL: long})
+		c.send(p, &msg.LeaseRenew{Command: c.newCommand(), Sequence: seq, TTL: ttl, LongRunningTTL: long})
 	}
 }
 
@@ -215,11 +215,11 @@
 	if m.Epoch != c.cell.owner.Epoch || p.state != stReady || !p.grants.Ack(m.Sequence) {
 		return
 	}
-	p.rounds++
-	if p.rounds < leaseRounds {
+	p.ackedRenewals++
+	if p.ackedRenewals < minAckedRenewals {
 		c.renew(p)
 	}
-	c.rate(p)
+	c.updateWorkerState(p)
 }
 
 func (c *Core) sortedPeers() []*peer {
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -8,7 +8,7 @@
 )
 
 // merged returns labels with more added; more wins.
-func merged(labels, more model.Labels) model.Labels {
+func mergeLabels(labels, more model.Labels) model.Labels {
 	if len(more) == 0 {
 		return labels
 	}
@@ -26,13 +26,13 @@
 	return j.labels
 }
 
-func (c *Core) jobLabels(s model.JobSpec) model.Labels {
-	l := model.Labels{}
-	for _, more := range []model.Labels{c.config.Teams[s.Team], c.config.Classes[s.Class], s.Labels, c.config.Jobs[s.ID]} {
-		maps.Copy(l, more)
+func (c *Core) jobLabels(spec model.JobSpec) model.Labels {
+	labels := model.Labels{}
+	for _, more := range []model.Labels{c.config.Teams[spec.Team], c.config.Classes[spec.Class], spec.Labels, c.config.Jobs[spec.ID]} {
+		maps.Copy(labels, more)
 	}
-	l["team"], l["class"] = string(s.Team), string(s.Class)
-	return l
+	labels["team"], labels["class"] = string(spec.Team), string(spec.Class)
+	return labels
 }
 
 func (c *Core) configure(config Configuration) {
@@ -40,12 +40,12 @@
 	c.rules, _ = place.CompileRules(config.Selectors)
 	for _, p := range c.sortedPeers() {
 		c.setWorker(p)
-		c.followDrain(p)
+		c.updateDraining(p)
 	}
 	for _, j := range c.jobs {
 		j.labels = nil
 	}
-	c.planning = true
+	c.planNeeded = true
 }
 
 func (c *Core) snapshot() place.Snapshot {
@@ -53,21 +53,21 @@
 		Workers: c.ledger.Workers(), Selectors: c.config.Selectors,
 		Quotas: c.config.Quotas, TeamUse: c.ledger.TeamUse(),
 	}
-	for _, j := range selected(c.pending, func(*job) bool { return true }) {
-		s.Jobs = append(s.Jobs, c.waiting(j))
+	for _, j := range selectJobs(c.pending, func(*job) bool { return true }) {
+		s.Jobs = append(s.Jobs, c.plannerJob(j))
 	}
-	s.Claims = c.activeClaims()
+	s.Claims = c.activeCapacityClaims()
 	return s
 }
 
-func (c *Core) waiting(j *job) place.Job {
-	return place.Job{Spec: j.row.Spec, Labels: c.labelsOf(j), Size: j.size, SubmitOrder: j.order, Avoid: c.avoid(j.id)}
+func (c *Core) plannerJob(j *job) place.Job {
+	return place.Job{Spec: j.row.Spec, Labels: c.labelsOf(j), Size: j.size, SubmitOrder: j.order, Avoid: c.workersToAvoid(j.id)}
 }
 
 // plan places waiting jobs: each assignment is verified and reserved at the
 // newest state, and sent when its row is committed.
 func (c *Core) plan() {
-	c.planning = false
+	c.planNeeded = false
 	s := c.snapshot()
 	if len(s.Jobs) == 0 || len(s.Workers) == 0 {
 		return
@@ -80,38 +80,38 @@
 			continue
 		}
 		if c.batch.full() {
-			c.planning = true // the others are planned with the next transaction
+			c.planNeeded = true // the others are planned with the next transaction
 			break
 		}
-		task := c.task(j, j.row.Attempt+1)
+		task := c.ledgerTask(j, j.row.Attempt+1)
 		if c.ledger.Reserve(a, task, policy) != place.ReasonNone {
-			c.planning = true
+			c.planNeeded = true
 			continue
 		}
-		j.target = a.Worker
+		j.targetWorker = a.Worker
 		c.stepJob(j, evPlace)
-		delete(c.claims, j.id)
+		delete(c.capacityClaims, j.id)
 	}
 	c.preempt(plan.Unplaced)
-	for _, v := range plan.Unplaced {
-		c.wait(v)
+	for _, verdict := range plan.Unplaced {
+		c.recordVerdict(verdict)
 	}
 }
 
 // wait keeps why a job was not placed. A job that fits no worker at all is
 // reported in its row, so that its owner learns of it at once.
-func (c *Core) wait(v place.Verdict) {
-	j := c.jobs[v.Job]
+func (c *Core) recordVerdict(verdict place.Verdict) {
+	j := c.jobs[verdict.Job]
 	if j == nil || j.phase != stPending {
 		return
 	}
-	impossible := v.Reason == place.ReasonImpossible
-	if impossible != (j.verdict.Reason == place.ReasonImpossible) {
+	impossible := verdict.Reason == place.ReasonImpossible
+	if impossible != (j.lastVerdict.Reason == place.ReasonImpossible) {
 		j.row.Reason = ""
 		if impossible {
-			j.row.Reason = v.Text()
+			j.row.Reason = verdict.Text()
 		}
-		c.write(j)
+		c.queueWrite(j)
 	}
-	j.verdict = v
+	j.lastVerdict = verdict
 }
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -11,7 +11,7 @@
 		c.onBackendState(p, b) // sent once: it also counts before the cell is owned
 		return
 	}
-	if p == nil || !c.incumbent() || !c.loaded {
+	if p == nil || !c.isOwner() || !c.loaded {
 		return // agents repeat what is not acknowledged
 	}
 	switch m := m.(type) {
@@ -24,9 +24,9 @@
 			c.onReport(p, *m)
 		}
 	case *msg.UsageReport:
-		c.onServices(p, m.Services)
+		c.onServiceUsage(p, m.Services)
 		for _, t := range m.Tasks {
-			c.onUsage(p, t)
+			c.onTaskUsage(p, t)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	absent := func(j *job) bool {
 		return j.attempt.live && j.attempt.worker == p.worker.ID && !known[j.attemptID()]
 	}
-	for _, j := range selected(c.jobs, absent) {
+	for _, j := range selectJobs(c.jobs, absent) {
 		c.stepAttempt(j, evAbsent)
 	}
 }
@@ -72,7 +72,7 @@
 		}
 	case !ended:
 		p.abandoned[r.Attempt] = true
-		c.send(p, &msg.StopTask{Command: c.command(), Attempt: r.Attempt})
+		c.send(p, &msg.StopTask{Command: c.newCommand(), Attempt: r.Attempt})
 	}
 	if ended {
 		c.acknowledge(p, j, r.Attempt)
@@ -82,10 +82,10 @@
 // acknowledge lets the agent forget an attempt once its result is committed.
 func (c *Core) acknowledge(p *peer, j *job, id model.AttemptID) {
 	if j != nil && j.committed < j.generation {
-		j.hooks = append(j.hooks, hook{j.generation, hookAck, id.Number, p.worker.ID})
+		j.hooks = append(j.hooks, hook{j.generation, hookAcknowledge, id.Number, p.worker.ID})
 		return
 	}
-	c.send(p, &msg.TaskAck{Command: c.command(), Attempt: id})
+	c.send(p, &msg.TaskAck{Command: c.newCommand(), Attempt: id})
 }
 
 // saveCheckpoint records a new checkpoint; an eviction goes on when its name
@@ -95,13 +95,13 @@
 		return
 	}
 	j.row.Checkpoint = name
-	c.write(j)
+	c.queueWrite(j)
 	if j.attempt.state == stCheckpointing {
-		j.await(hookSaved)
+		j.awaitCommit(hookCheckpointCommitted)
 	}
 }
 
-func (c *Core) onUsage(p *peer, r msg.TaskReport) {
+func (c *Core) onTaskUsage(p *peer, r msg.TaskReport) {
 	j := c.jobs[r.Attempt.Job]
 	if j == nil || !j.attempt.live || j.attemptID() != r.Attempt || j.attempt.worker != p.worker.ID {
 		return
--- a/internal/control/services_test.go
+++ b/internal/control/services_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a selector between services and jobs that is ignored because
 // the controller does not know which service runs on a worker.
-func TestServicesOfAWorkerCountForSelectors(t *testing.T) {
+func TestSelectorsMatchServicesOfWorker(t *testing.T) {
 	c := NewCore(Options{Cell: "c", Entry: "e", Planner: place.New(place.Options{})})
 	c.configure(Configuration{Services: map[model.Service]model.Labels{"permit-desk": {"tier": "front"}}})
 	c.Step(0, PeerUp{Worker: model.Worker{ID: "w"}})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -17,9 +17,9 @@
 	n := *c
 	n.effects = nil
 	n.cell.core = nil
-	n.finished = maps.Clone(c.finished)
-	n.claims = maps.Clone(c.claims)
-	n.batch.queue, n.batch.flight = slices.Clone(c.batch.queue), slices.Clone(c.batch.flight)
+	n.finishedCounts = maps.Clone(c.finishedCounts)
+	n.capacityClaims = maps.Clone(c.capacityClaims)
+	n.batch.queue, n.batch.inFlight = slices.Clone(c.batch.queue), slices.Clone(c.batch.inFlight)
 	n.peers = make(map[model.WorkerID]*peer, len(c.peers))
 	n.jobs, n.pending = make(map[model.JobID]*job, len(c.jobs)), make(map[model.JobID]*job, len(c.pending))
 	n.ledger = place.NewLedger()
@@ -36,9 +36,9 @@
 		k := *j
 		k.core, k.hooks = nil, slices.Clone(j.hooks)
 		n.jobs[id] = &k
-		n.index(&k)
+		n.updatePending(&k)
 		if k.attempt.live {
-			n.ledger.Adopt(k.attempt.worker, n.task(&k, k.attempt.number))
+			n.ledger.Adopt(k.attempt.worker, n.ledgerTask(&k, k.attempt.number))
 		}
 	}
 	return &n
@@ -54,8 +54,8 @@
 // EachRevision calls f with the revisions that the state holds.
 func (c *Core) EachRevision(f func(storage.Revision)) {
 	f(c.cell.epochVersion)
-	f(c.cell.beatVersion)
-	f(c.scanned)
+	f(c.cell.heartbeatVersion)
+	f(c.scannedThrough)
 	for _, j := range c.jobs {
 		f(j.version)
 	}
@@ -73,19 +73,19 @@
 // the same future. Instants are relative to the last step.
 func (c *Core) AppendState(b []byte, s Normalizer) []byte {
 	e := encoder{b, c.now, s}
-	l := &c.cell
-	e.ints(int64(l.state), int64(l.owner.Epoch), int64(min(l.unchanged, minUnchangedObservations)))
-	e.text(string(l.owner.Owner))
-	e.flags(l.observing, l.beating, c.loaded, c.scanning, c.planning, c.batch.busy)
-	e.revisions(l.epochVersion, l.beatVersion, c.scanned)
-	e.times(l.deadline, l.observeAt, l.beatAt, l.lastBeat, c.scanAt, c.sweepAt, c.renewAt, c.planAt)
+	cell := &c.cell
+	e.ints(int64(cell.state), int64(cell.owner.Epoch), int64(min(cell.unchangedObservations, minUnchangedObservations)))
+	e.text(string(cell.owner.Owner))
+	e.flags(cell.observing, cell.writingHeartbeat, c.loaded, c.scanning, c.planNeeded, c.batch.busy)
+	e.revisions(cell.epochVersion, cell.heartbeatVersion, c.scannedThrough)
+	e.times(cell.deadline, cell.observeAt, cell.heartbeatAt, cell.lastHeartbeatAt, c.scanAt, c.sweepAt, c.renewAt, c.planAt)
 	for _, p := range c.sortedPeers() {
 		e.peer(p)
 	}
-	for _, j := range selected(c.jobs, func(*job) bool { return true }) {
+	for _, j := range selectJobs(c.jobs, func(*job) bool { return true }) {
 		e.job(j)
 	}
-	for _, id := range slices.Concat(c.batch.queue, []model.JobID{""}, c.batch.flight) {
+	for _, id := range slices.Concat(c.batch.queue, []model.JobID{""}, c.batch.inFlight) {
 		e.text(string(id))
 	}
 	return e.b
@@ -93,9 +93,9 @@
 
 // encoder appends values to a state's encoding.
 type encoder struct {
-	b     []byte
-	now   time.Duration
-	scale Normalizer
+	b    []byte
+	now  time.Duration
+	norm Normalizer
 }
 
 func (e *encoder) ints(values ...int64) {
@@ -121,7 +121,7 @@
 
 func (e *encoder) revisions(values ...storage.Revision) {
 	for _, v := range values {
-		e.ints(int64(e.scale.RevisionRank(v)))
+		e.ints(int64(e.norm.RevisionRank(v)))
 	}
 }
 
@@ -137,9 +137,9 @@
 
 func (e *encoder) peer(p *peer) {
 	e.text(string(p.worker.ID))
-	e.ints(int64(p.state), int64(p.boot), int64(p.claimed), int64(min(p.rounds, leaseRounds)))
-	e.flags(p.confirmed, p.grants.Acked())
-	e.ints(e.scale.SequenceOffset(p.worker.ID, p.grants.Sequence()))
+	e.ints(int64(p.state), int64(p.boot), int64(p.claimedBoot), int64(min(p.ackedRenewals, minAckedRenewals)))
+	e.flags(p.epochConfirmed, p.grants.Acked())
+	e.ints(e.norm.SequenceOffset(p.worker.ID, p.grants.Sequence()))
 	e.times(p.deadline, p.grants.Until(false), p.grants.Until(true))
 	for _, id := range sortedAttempts(p.abandoned) {
 		e.text(id.String())
@@ -151,10 +151,10 @@
 	e.text(j.row.Checkpoint)
 	e.text(string(j.row.Worker))
 	e.ints(int64(j.phase), int64(j.row.Attempt), int64(j.row.Failures), int64(j.generation-j.committed))
-	e.flags(j.row.CancelRequested, j.queued, j.written > 0, j.attempt.live)
+	e.flags(j.row.CancelRequested, j.queued, j.inFlight > 0, j.attempt.live)
 	e.revisions(j.version)
-	if j.written > 0 {
-		e.ints(int64(j.generation - j.written))
+	if j.inFlight > 0 {
+		e.ints(int64(j.generation - j.inFlight))
 	}
 	a := &j.attempt
 	e.ints(int64(a.state), int64(a.number))
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -27,16 +27,16 @@
 	s := model.CellStatus{
 		Cell: c.opts.Cell, State: cellChart.StateName(c.cell.state), Epoch: c.cell.owner.Epoch, Owner: c.cell.owner.Owner,
 	}
-	if !c.incumbent() {
+	if !c.isOwner() {
 		return s
 	}
-	s.Phases = maps.Clone(c.finished)
+	s.Phases = maps.Clone(c.finishedCounts)
 	for _, j := range c.jobs {
 		s.Phases[model.Phase(jobChart.StateName(j.phase))]++
 	}
 	for _, w := range c.ledger.Workers() {
 		s.Workers = append(s.Workers, model.WorkerStatus{
-			Worker: w.ID, State: w.State.String(), Reason: c.peers[w.ID].reason,
+			Worker: w.ID, State: w.State.String(), Reason: c.peers[w.ID].healthReason,
 			Capacity: w.Capacity, Charged: w.Charged, Tasks: len(w.Tasks),
 		})
 	}
@@ -72,8 +72,8 @@
 		e.Attempt, e.Worker = attemptChart.StateName(j.attempt.state), j.attempt.worker
 	}
 	if j.phase == stPending {
-		if j.verdict.Reason != place.ReasonNone {
-			e.Verdict = &j.verdict
+		if j.lastVerdict.Reason != place.ReasonNone {
+			e.Verdict = &j.lastVerdict
 		}
 		e.Workers = c.opts.Planner.Explain(c.snapshot(), id)
 	}
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -24,7 +24,7 @@
 	callTimeout = 5 * time.Second
 	// beatTimeout is below the time after which an unwritten heartbeat makes
 	// the owner hold, so that a lost response leaves time for another try.
-	beatTimeout = 2 * time.Second
+	heartbeatTimeout = 2 * time.Second
 )
 
 // writerRow is the value of the row in which a writer records its last
@@ -38,28 +38,30 @@
 // that one whose response was lost can be read back, and can no longer take
 // effect after the next one did.
 type writer struct {
-	table   storage.Table
-	log     log.Interface
-	key     string // of the writer's row
-	prefix  string // of operation ids
-	count   uint64
-	version storage.Revision // of the writer's row
-	known   bool             // version was read
+	table           storage.Table
+	log             log.Interface
+	key             string // of the writer's row
+	operationPrefix string // of operation ids
+	operations      uint64
+	version         storage.Revision // of the writer's row
+	versionKnown    bool             // version was read
 }
 
 // errFailed is the result of a transaction that certainly had no effect
 // because of the keys.
-type errFailed struct{ keys []string }
+type preconditionError struct{ keys []string }
 
-func (e errFailed) Error() string { return "precondition failed for " + strings.Join(e.keys, ", ") }
+func (e preconditionError) Error() string {
+	return "precondition failed for " + strings.Join(e.keys, ", ")
+}
 
 // commit returns the revision, an errFailed, or the context's error.
 func (w *writer) commit(ctx context.Context, checks []storage.Check, puts []storage.Put) (storage.Revision, error) {
-	w.count++
-	op := fmt.Sprintf("%s-%d", w.prefix, w.count)
+	w.operations++
+	op := fmt.Sprintf("%s-%d", w.operationPrefix, w.operations)
 	puts = append(puts, storage.Put{Key: w.key, Value: rows.Encode(writerRow{op})})
 	for delay := minBackoff; ; delay = min(2*delay, maxBackoff) {
-		rev, done, err := w.try(ctx, op, checks, puts)
+		rev, done, err := w.tryCommit(ctx, op, checks, puts)
 		if done || ctx.Err() != nil {
 			return rev, errors.CombineErrors(err, ctx.Err())
 		}
@@ -67,15 +69,15 @@
 			continue // only our own row had changed
 		}
 		event.Log(w.log, event.ControlStoreError, log.Fields{"operation": op, "error": err.Error()})
-		if !actor.Sleep(ctx, jittered(delay)) {
+		if !actor.Sleep(ctx, jitter(delay)) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
 // try makes one attempt; done is false when it may be repeated.
-func (w *writer) try(ctx context.Context, op string, checks []storage.Check, puts []storage.Put) (rev storage.Revision, done bool, err error) {
-	if !w.known {
+func (w *writer) tryCommit(ctx context.Context, op string, checks []storage.Check, puts []storage.Put) (rev storage.Revision, done bool, err error) {
+	if !w.versionKnown {
 		// Either the first transaction, or the fate of the last try is unknown.
 		row, err := w.readBack(ctx)
 		if err != nil {
@@ -97,7 +99,7 @@
 	case errors.As(err, &conflict):
 		return w.conflict(ctx, op, conflict.Keys)
 	case !errors.Is(err, storage.ErrUnavailable):
-		w.known = false
+		w.versionKnown = false
 	}
 	return 0, false, err
 }
@@ -106,9 +108,9 @@
 // transaction that took effect.
 func (w *writer) conflict(ctx context.Context, op string, keys []string) (storage.Revision, bool, error) {
 	if !slices.Contains(keys, w.key) {
-		return 0, true, errFailed{keys}
+		return 0, true, preconditionError{keys}
 	}
-	w.known = false
+	w.versionKnown = false
 	row, err := w.readBack(ctx)
 	switch {
 	case err != nil:
@@ -116,7 +118,7 @@
 	case row.Operation == op:
 		return w.version, true, nil
 	case len(keys) > 1:
-		return 0, true, errFailed{slices.DeleteFunc(slices.Clone(keys), func(k string) bool { return k == w.key })}
+		return 0, true, preconditionError{slices.DeleteFunc(slices.Clone(keys), func(k string) bool { return k == w.key })}
 	}
 	return 0, false, nil
 }
@@ -124,7 +126,7 @@
 func (w *writer) readBack(ctx context.Context) (writerRow, error) {
 	row, version, err := readRow[writerRow](ctx, w.table, w.key)
 	if err == nil {
-		w.version, w.known = version, true
+		w.version, w.versionKnown = version, true
 	}
 	return row, err
 }
@@ -145,28 +147,28 @@
 }
 
 // jittered spreads retries over half to one and a half times d.
-func jittered(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 // commitRows carries out a Commit effect.
-func (s *store) commitRows(ctx context.Context, f Commit) Event {
-	checks := []storage.Check{{Key: rows.CellEpochKey(s.cell), Version: f.Fence}}
+func (s *store) commitRows(ctx context.Context, effect Commit) Event {
+	checks := []storage.Check{{Key: rows.CellEpochKey(s.cell), Version: effect.Fence}}
 	var puts []storage.Put
-	for _, r := range f.Writes {
+	for _, r := range effect.Writes {
 		key := rows.JobKey(s.cell, r.ID)
 		checks = append(checks, storage.Check{Key: key, Version: r.Version})
 		puts = append(puts, storage.Put{Key: key, Value: rows.Encode(r.Row)})
 	}
 	rev, err := s.writer.commit(ctx, checks, puts)
-	var failed errFailed
+	var failed preconditionError
 	switch {
 	case err == nil:
-		return Committed{Fence: f.Fence, Revision: rev}
+		return Committed{Fence: effect.Fence, Revision: rev}
 	case !errors.As(err, &failed):
 		return nil // the actor ends
 	case slices.Contains(failed.keys, rows.CellEpochKey(s.cell)):
-		return Rejected{Fence: f.Fence, Fenced: true}
+		return Rejected{Fence: effect.Fence, Fenced: true}
 	}
-	return s.rejected(ctx, f.Fence, failed.keys)
+	return s.rejected(ctx, effect.Fence, failed.keys)
 }
 
 // rejected reads the present rows of the failed keys.
@@ -180,7 +182,7 @@
 				r.Rows = append(r.Rows, JobRow{ID: id, Row: row, Version: version, Deleted: version == 0})
 				break
 			}
-			if !actor.Sleep(ctx, jittered(delay)) {
+			if !actor.Sleep(ctx, jitter(delay)) {
 				return nil
 			}
 		}
@@ -189,10 +191,10 @@
 }
 
 // claim carries out a Claim effect.
-func (s *store) claim(ctx context.Context, f Claim) Event {
+func (s *store) claim(ctx context.Context, effect Claim) Event {
 	key := rows.CellEpochKey(s.cell)
-	rev, err := s.writer.commit(ctx, []storage.Check{{Key: key, Version: f.Version}},
-		[]storage.Put{{Key: key, Value: rows.Encode(f.Epoch)}})
+	rev, err := s.writer.commit(ctx, []storage.Check{{Key: key, Version: effect.Version}},
+		[]storage.Put{{Key: key, Value: rows.Encode(effect.Epoch)}})
 	switch {
 	case err == nil:
 		return Claimed{Won: true, Version: rev}
@@ -204,21 +206,21 @@
 
 // beat carries out a Beat effect. It is tried once: the next heartbeat
 // replaces a lost one.
-func (s *store) beat(ctx context.Context, f WriteHeartbeat) Event {
-	bounded, cancel := context.WithTimeout(ctx, beatTimeout)
+func (s *store) writeHeartbeat(ctx context.Context, effect WriteHeartbeat) Event {
+	bounded, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	fence := rows.CellEpochKey(s.cell)
-	op := fmt.Sprintf("%s-beat-%d", s.writer.prefix, f.Heartbeat.Counter)
+	op := fmt.Sprintf("%s-beat-%d", s.writer.operationPrefix, effect.Heartbeat.Counter)
 	_, err := s.table.Commit(bounded, storage.Txn{
 		Operation: op,
-		Checks:    []storage.Check{{Key: fence, Version: f.Fence}},
+		Checks:    []storage.Check{{Key: fence, Version: effect.Fence}},
 		Puts: []storage.Put{
-			{Key: rows.CellHeartbeatKey(s.cell), Value: rows.Encode(f.Heartbeat)},
+			{Key: rows.CellHeartbeatKey(s.cell), Value: rows.Encode(effect.Heartbeat)},
 			{Key: s.writer.key + "/beat", Value: rows.Encode(writerRow{op})},
 		},
 	})
 	var conflict *storage.ConflictError
-	return HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: err == nil, Fenced: errors.As(err, &conflict)}
+	return HeartbeatWritten{Fence: effect.Fence, Sent: effect.Sent, OK: err == nil, Fenced: errors.As(err, &conflict)}
 }
 
 // observe carries out an Observe effect.
@@ -232,11 +234,11 @@
 }
 
 // scan carries out a Scan effect.
-func (s *store) scan(ctx context.Context, f Scan) Event {
+func (s *store) scan(ctx context.Context, effect Scan) Event {
 	bounded, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
-	found, through, err := s.table.Scan(bounded, rows.JobPrefix(s.cell), f.After)
-	e := Scanned{Fence: f.Fence, Err: err, Through: through}
+	found, through, err := s.table.Scan(bounded, rows.JobPrefix(s.cell), effect.After)
+	e := Scanned{Fence: effect.Fence, Err: err, Through: through}
 	for _, r := range found {
 		row := JobRow{ID: model.JobID(strings.TrimPrefix(r.Key, rows.JobPrefix(s.cell))), Version: r.Version, Deleted: r.Deleted}
 		if !r.Deleted {
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -27,46 +27,46 @@
 // and the table service.
 type world struct {
 	*testing.T
-	ctx     context.Context
-	table   *table
-	hosts   *hosts
-	entries map[model.EntryID]*entry
-	agents  map[model.WorkerID]*agent
-	boots   model.Boot
+	ctx      context.Context
+	table    *table
+	hosts    *hosts
+	entries  map[model.EntryID]*entry
+	agents   map[model.WorkerID]*agent
+	lastBoot model.Boot
 }
 
 type entry struct {
-	id    model.EntryID
-	group *actor.Group
-	ctl   actor.Address[control.Message]
-	pause atomic.Pointer[chan struct{}] // when set, the planner waits for it: the owner is frozen
-	seen  *[]int                        // numbers of the events logged
+	id           model.EntryID
+	group        *actor.Group
+	controller   actor.Address[control.Message]
+	plannerPause atomic.Pointer[chan struct{}] // when set, the planner waits for it: the owner is frozen
+	eventIDs     *[]int                        // numbers of the events logged
 }
 
 type agent struct {
-	worker model.Worker
-	host   *host
-	group  *actor.Group
-	owner  actor.Address[taskagent.Message]
-	boot   model.Boot
-	links  map[model.EntryID]*wire
-	pause  atomic.Pointer[chan struct{}] // when set, the next log entry waits for it
+	worker    model.Worker
+	host      *host
+	group     *actor.Group
+	taskAgent actor.Address[taskagent.Message]
+	boot      model.Boot
+	links     map[model.EntryID]*link
+	logPause  atomic.Pointer[chan struct{}] // when set, the next log entry waits for it
 }
 
 // wire is a link between an agent and an entry.
-type wire struct {
-	group              *actor.Group
-	toEntry, toAgent   actor.Address[msg.Control]
-	loseUp, loseDown   atomic.Bool
-	delayUp, delayDown atomic.Int64 // nanoseconds
+type link struct {
+	group                      *actor.Group
+	toEntry, toAgent           actor.Address[msg.Control]
+	dropToEntry, dropToAgent   atomic.Bool
+	delayToEntry, delayToAgent atomic.Int64 // nanoseconds
 }
 
 // run runs a scenario with n workers of 4 slots each and the entries given.
-func run(t *testing.T, workers int, entries []model.EntryID, scenario func(*world)) {
+func runScenario(t *testing.T, workers int, entries []model.EntryID, scenario func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := &world{T: t, ctx: ctx, table: newTable(t), entries: map[model.EntryID]*entry{}, agents: map[model.WorkerID]*agent{},
-			hosts: &hosts{t: t, live: map[model.JobID][]*task{}, saved: map[string]time.Duration{}, done: map[model.JobID]int{}}}
+			hosts: &hosts{t: t, attempts: map[model.JobID][]*task{}, checkpoints: map[string]time.Duration{}, completed: map[model.JobID]int{}}}
 		for i := range workers {
 			id := model.WorkerID(fmt.Sprintf("w%d", i+1))
 			a := &agent{host: w.hosts.host(id), worker: model.Worker{ID: id, Rack: model.Rack(id), Capacity: model.Resources{CPU: 4000, Memory: 4000}}}
@@ -91,16 +91,16 @@
 }
 
 func (w *world) startEntry(id model.EntryID) *entry {
-	w.boots++
-	e := &entry{id: id, group: actor.NewGroup(w.ctx, w.failed), seen: &[]int{}}
+	w.lastBoot++
+	e := &entry{id: id, group: actor.NewGroup(w.ctx, w.actorFailed), eventIDs: &[]int{}}
 	w.entries[id] = e
-	seen := e.seen
-	e.ctl = control.Start(e.group, control.Config{
-		Options:    control.Options{Cell: cellName, Entry: id, Boot: w.boots},
+	seen := e.eventIDs
+	e.controller = control.Start(e.group, control.Config{
+		Options:    control.Options{Cell: cellName, Entry: id, Boot: w.lastBoot},
 		Table:      w.table,
 		NewPlanner: func() control.Planner { return &planner{entry: e, Planner: place.New(place.Options{})} },
 		Log: &log.Logger{Level: log.DebugLevel, Handler: log.HandlerFunc(func(l *log.Entry) error {
-			w.table.set(func() { *seen = append(*seen, l.Fields["event"].(int)) })
+			w.table.withLock(func() { *seen = append(*seen, l.Fields["event"].(int)) })
 			return nil
 		})},
 	})
@@ -117,18 +117,18 @@
 }
 
 func (p *planner) Plan(s place.Snapshot) place.Plan {
-	if pause := p.entry.pause.Load(); pause != nil {
+	if pause := p.entry.plannerPause.Load(); pause != nil {
 		<-*pause
 	}
 	return p.Planner.Plan(s)
 }
 
 func (w *world) startAgent(a *agent) {
-	w.boots++
-	a.boot, a.group, a.links = w.boots, actor.NewGroup(w.ctx, w.failed), map[model.EntryID]*wire{}
-	a.owner = taskagent.Start(a.group, taskagent.Config{Worker: a.worker, Cell: cellName, Client: a.host,
+	w.lastBoot++
+	a.boot, a.group, a.links = w.lastBoot, actor.NewGroup(w.ctx, w.actorFailed), map[model.EntryID]*link{}
+	a.taskAgent = taskagent.Start(a.group, taskagent.Config{Worker: a.worker, Cell: cellName, Client: a.host,
 		Log: &log.Logger{Level: log.DebugLevel, Handler: log.HandlerFunc(func(l *log.Entry) error {
-			if pause := a.pause.Swap(nil); pause != nil {
+			if pause := a.logPause.Swap(nil); pause != nil {
 				<-*pause
 			}
 			return discard.New().HandleLog(l)
@@ -138,10 +138,10 @@
 	}
 }
 
-func (w *world) failed(x actor.Exit) { w.Errorf("actor %s failed: %v", x.Actor, x.Err) }
+func (w *world) actorFailed(x actor.Exit) { w.Errorf("actor %s failed: %v", x.Actor, x.Err) }
 
 // pump forwards the messages of one direction of a link.
-func pump(g *actor.Group, lose *atomic.Bool, delay *atomic.Int64, deliver func(context.Context, msg.Control)) actor.Address[msg.Control] {
+func forward(g *actor.Group, lose *atomic.Bool, delay *atomic.Int64, deliver func(context.Context, msg.Control)) actor.Address[msg.Control] {
 	return actor.Spawn(g, actor.Spec[msg.Control]{Name: "pump", Mailbox: 4096, Run: func(ctx context.Context, in <-chan msg.Control) error {
 		for {
 			select {
@@ -158,12 +158,12 @@
 }
 
 func (w *world) connect(a *agent, e *entry) {
-	l := &wire{group: actor.NewGroup(w.ctx, w.failed)}
-	owner, ctl, id := a.owner, e.ctl, a.worker.ID
-	l.toEntry = pump(l.group, &l.loseUp, &l.delayUp, func(ctx context.Context, m msg.Control) {
+	l := &link{group: actor.NewGroup(w.ctx, w.actorFailed)}
+	owner, ctl, id := a.taskAgent, e.controller, a.worker.ID
+	l.toEntry = forward(l.group, &l.dropToEntry, &l.delayToEntry, func(ctx context.Context, m msg.Control) {
 		_ = ctl.Send(ctx, control.FromAgent{Worker: id, Msg: m})
 	})
-	l.toAgent = pump(l.group, &l.loseDown, &l.delayDown, func(ctx context.Context, m msg.Control) {
+	l.toAgent = forward(l.group, &l.dropToAgent, &l.delayToAgent, func(ctx context.Context, m msg.Control) {
 		_ = owner.Send(ctx, taskagent.FromEntry{Entry: e.id, Msg: m})
 	})
 	a.links[e.id] = l
@@ -175,8 +175,8 @@
 	l := a.links[e.id]
 	delete(a.links, e.id)
 	l.group.Stop()
-	_ = a.owner.Send(w.ctx, taskagent.EntryDown{Entry: e.id, Link: l.toEntry})
-	_ = e.ctl.Send(w.ctx, control.AgentDown{Worker: a.worker.ID, Link: l.toAgent})
+	_ = a.taskAgent.Send(w.ctx, taskagent.EntryDown{Entry: e.id, Link: l.toEntry})
+	_ = e.controller.Send(w.ctx, control.AgentDown{Worker: a.worker.ID, Link: l.toAgent})
 }
 
 func (w *world) killEntry(id model.EntryID) {
@@ -201,11 +201,11 @@
 }
 
 // freezeAgent freezes the owner of a host's attempts until thaw is called.
-func (w *world) freezeAgent(id model.WorkerID) (thaw func()) {
+func (w *world) pauseAgent(id model.WorkerID) (thaw func()) {
 	a := w.agents[id]
 	pause := make(chan struct{})
-	a.pause.Store(&pause)
-	_ = a.owner.Send(w.ctx, taskagent.FromEntry{Entry: "x", Msg: &msg.CellClaim{Command: msg.Command{Cell: "other"}}})
+	a.logPause.Store(&pause)
+	_ = a.taskAgent.Send(w.ctx, taskagent.FromEntry{Entry: "x", Msg: &msg.CellClaim{Command: msg.Command{Cell: "other"}}})
 	return func() { close(pause) }
 }
 
@@ -218,12 +218,12 @@
 	}
 }
 
-func (w *world) pass(d time.Duration) { actor.Sleep(w.ctx, d) }
+func (w *world) sleep(d time.Duration) { actor.Sleep(w.ctx, d) }
 
 // until waits for a condition, at most for d.
-func (w *world) until(d time.Duration, what string, cond func() bool) {
+func (w *world) waitUntil(d time.Duration, what string, cond func() bool) {
 	w.Helper()
-	for end := time.Now().Add(d); !cond(); w.pass(100 * time.Millisecond) {
+	for end := time.Now().Add(d); !cond(); w.sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
 			require.Fail(w, "not reached in time: "+what, "status %+v", w.status())
 		}
@@ -234,21 +234,21 @@
 	all := map[model.EntryID]model.CellStatus{}
 	for id, e := range w.entries {
 		bounded, cancel := context.WithTimeout(w.ctx, time.Second)
-		all[id], _ = actor.Ask(bounded, e.ctl, func(r actor.Reply[model.CellStatus]) control.Message { return control.StatusQuery{Reply: r} })
+		all[id], _ = actor.Ask(bounded, e.controller, func(r actor.Reply[model.CellStatus]) control.Message { return control.StatusQuery{Reply: r} })
 		cancel()
 	}
 	return all
 }
 
-func (w *world) reaches(d time.Duration, phase model.Phase, ids ...model.JobID) {
+func (w *world) waitForPhase(d time.Duration, phase model.Phase, ids ...model.JobID) {
 	w.Helper()
 	for _, id := range ids {
-		w.until(d, fmt.Sprintf("job %s %s, is %+v", id, phase, w.table.job(id)), func() bool { return w.table.job(id).Phase == phase })
+		w.waitUntil(d, fmt.Sprintf("job %s %s, is %+v", id, phase, w.table.job(id)), func() bool { return w.table.job(id).Phase == phase })
 	}
 }
 
 func (w *world) owner() (owner *entry) {
-	w.until(time.Minute, "an owner", func() bool {
+	w.waitUntil(time.Minute, "an owner", func() bool {
 		for id, s := range w.status() {
 			if s.State == "owning" {
 				owner = w.entries[id]
@@ -259,9 +259,9 @@
 	return owner
 }
 
-func (w *world) logged(e *entry, ev event.Event) (n int) {
-	w.table.set(func() {
-		for _, id := range *e.seen {
+func (w *world) eventCount(e *entry, ev event.Event) (n int) {
+	w.table.withLock(func() {
+		for _, id := range *e.eventIDs {
 			if id == ev.ID {
 				n++
 			}
