--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -37,23 +37,22 @@
 
 const (
 	commandRetryInterval = 2 * time.Second
-	checkpointTimeout    = 30 * time.Second // an eviction without a new checkpoint resumes from the last one
+	checkpointTimeout    = 30 * time.Second // after it, the task is stopped and resumes from its last checkpoint
 )
 
-// attempt is the live attempt of a job, or the last one.
+// attempt is the live attempt of a job, or its last attempt.
 type attempt struct {
-	live            bool // charged to the worker
+	live            bool // charged to the worker; it may be running
 	state           chart.State
 	deadline        time.Duration // of the state's timeout; 0 when it has none
 	number          uint32
 	worker          model.WorkerID
-	report          msg.TaskReport // the newest
-	cpuLimitPercent int            // processor limit that the agent was told; 0: none yet
-	cpuLimitSentAt  time.Duration  // when it was told
+	report          msg.TaskReport // the newest of the agent
+	cpuLimitPercent int            // newest processor limit sent to the agent; 0: none yet
+	cpuLimitSentAt  time.Duration  // when cpuLimitPercent was sent
 }
 
-// AttemptBinding binds charts/attempt.scxml. It is exported for the checks
-// that explore the chart.
+// AttemptBinding binds charts/attempt.scxml to its guards, actions and timeouts.
 func AttemptBinding() chart.Binding[job] {
 	return chart.Binding[job]{
 		Chart:  "attempt",
@@ -81,6 +80,8 @@
 	}
 }
 
+// stepAttempt feeds an event to the chart of the job's live attempt. It reports
+// whether the chart has a transition for it.
 func (c *Core) stepAttempt(j *job, e chart.Event) bool {
 	j.core = c
 	a := &j.attempt
@@ -94,10 +95,12 @@
 	return true
 }
 
+// command sends a command to the agent of the attempt's worker.
 func (j *job) command(m msg.Control) { j.core.send(j.core.peers[j.attempt.worker], m) }
 
-// sendStart sends the committed attempt to its worker. An owner that cannot
-// write its heartbeat starts nothing; the command is sent when it can again.
+// sendStart sends the start command of a committed attempt. An owner that
+// cannot write its heartbeat starts nothing; the command is repeated, and sent
+// once the heartbeat can be written again.
 func (c *Core) sendStart(j *job) {
 	p := c.peers[j.attempt.worker]
 	if c.cell.state != stOwning || p.state != stReady {
@@ -108,7 +111,7 @@
 	})
 }
 
-// settle ends an attempt by the final report of its agent.
+// endByReport ends an attempt according to the final report of its agent.
 func (c *Core) endByReport(j *job) {
 	switch j.attempt.report.State {
 	case model.TaskDone:
@@ -120,7 +123,7 @@
 	}
 }
 
-// lose gives up an attempt whose lease has certainly expired.
+// abandon gives up an attempt whose lease has certainly expired.
 func (c *Core) abandon(j *job) {
 	c.log(event.AttemptLost, map[string]any{"attempt": j.attemptID().String(), "worker": j.attempt.worker})
 	c.peers[j.attempt.worker].abandoned[j.attemptID()] = true
@@ -128,10 +131,10 @@
 	c.release(j, evInterrupted, outcomeNone)
 }
 
-// release ends the charge of the attempt and tells the job.
+// release ends the charge of the attempt to its worker and steps the job.
 func (c *Core) release(j *job, e chart.Event, o outcome) {
 	j.attempt.live = false
-	c.noteOutcome(j, o)
+	c.trackOutcome(j, o)
 	c.peers[j.attempt.worker].chargedAttempts--
 	if size, ok := c.ledger.Release(j.attemptID()); ok {
 		j.size = j.size.Max(size)
--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -6,26 +6,26 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// batchRows is the number of job rows in a transaction. The service allows
-// 128 rows, which include the epoch row and the writer's row.
+// batchRows is the maximum number of job rows in a transaction. The table
+// service allows 128 rows, including the epoch row and the writer's row.
 const batchRows = 120
 
-// batch groups the changed job rows into one transaction at a time.
+// batch writes the changed job rows, in one transaction at a time.
 type batch struct {
-	queue    []model.JobID // changed, in the order of the change
-	inFlight []model.JobID // in the transaction under way
-	busy     bool
+	queue    []model.JobID // jobs with changed rows, in the order of the change
+	inFlight []model.JobID // jobs of the unanswered transaction
+	busy     bool          // a Commit is unanswered
 }
 
 func (b *batch) reset() {
-	// A transaction under way is still answered, and is fenced by its epoch.
+	// An unanswered transaction will still be answered; the epoch row fences it.
 	*b = batch{busy: b.busy}
 }
 
-// full reports whether the next transaction has no room for placements.
+// full reports whether the next transaction has no space for placements.
 func (b *batch) full() bool { return len(b.queue) >= batchRows }
 
-// write queues the row of a job after a change.
+// queueWrite queues the changed row of a job for the next transaction.
 func (c *Core) queueWrite(j *job) {
 	j.generation++
 	if !j.queued && j.inFlight == 0 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// flush starts the next transaction.
+// flush starts the next transaction if none is unanswered.
 func (c *Core) flush() {
 	b := &c.batch
 	if b.busy || len(b.queue) == 0 || !c.isOwner() || !c.loaded {
@@ -60,7 +60,7 @@
 
 func (c *Core) onCommitted(e Committed) {
 	if e.Fence != c.cell.epochVersion {
-		c.batch.busy = false // of an earlier ownership
+		c.batch.busy = false // the transaction was of an earlier ownership
 		return
 	}
 	c.finishTransaction(func(j *job) {
@@ -83,19 +83,20 @@
 	}
 	c.finishTransaction(func(j *job) {
 		if r, ok := fresh[j.id]; ok {
-			j.version = 0 // a deleted row is written again
+			j.version = 0 // expects no row: a deleted row is created again
 			c.onRow(r)
 		}
 	})
 }
 
-// landed applies the outcome of the transaction to its jobs, runs what waited
-// for them and queues the rows that have to be written again.
+// finishTransaction applies the outcome of the transaction to its jobs, runs
+// their hooks, and queues the rows that changed since or were rejected. It
+// removes ended jobs whose row is committed.
 func (c *Core) finishTransaction(outcome func(*job)) {
 	b := &c.batch
-	flight := b.inFlight
+	written := b.inFlight
 	b.busy, b.inFlight = false, nil
-	for _, id := range flight {
+	for _, id := range written {
 		j := c.jobs[id]
 		if j == nil {
 			continue
@@ -115,6 +116,8 @@
 	}
 }
 
+// runHooks runs the hooks of a job whose generation is committed. Hooks of an
+// earlier attempt are dropped, except for acknowledgements.
 func (c *Core) runHooks(j *job) {
 	hooks := j.hooks
 	j.hooks = nil
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -29,31 +29,31 @@
 	evHeartbeatWritten
 )
 
-// witnesses is the number of unchanged observations, one second apart, that a
-// claim needs: an outage of the table must not look like a silent owner.
+// minUnchangedObservations is the number of unchanged observations, one second
+// apart, before an entry claims a cell that has an owner. Without it, an outage
+// of the table service would look like a silent owner.
 const minUnchangedObservations = 5
 
-// cell is the state of the ownership of a cell.
+// cellState is the state of the ownership of a cell.
 type cellState struct {
 	state                 chart.State
-	deadline              time.Duration // of the state's timeout; 0 when it has none
-	owner                 rows.CellEpoch
-	epochVersion          storage.Revision
-	heartbeatVersion      storage.Revision
-	unchangedObservations int // observations since the last change or outage
-	observing             bool
+	deadline              time.Duration    // of the state's timeout; 0 when it has none
+	owner                 rows.CellEpoch   // newest known epoch row
+	epochVersion          storage.Revision // 0: no epoch row is known
+	heartbeatVersion      storage.Revision // as last observed
+	unchangedObservations int              // since the last change or outage
+	observing             bool             // an Observe is unanswered
 	observeAt             time.Duration
-	writingHeartbeat      bool
+	writingHeartbeat      bool // a WriteHeartbeat is unanswered
 	heartbeatAt           time.Duration
-	counter               uint64
+	counter               uint64 // of the newest heartbeat
 	claimSentAt           time.Duration
 	lastHeartbeatAt       time.Duration // when the last successful heartbeat was sent
 
 	core *Core // set during a step
 }
 
-// CellBinding binds charts/cell.scxml. It is exported for the checks that
-// explore the chart.
+// CellBinding binds charts/cell.scxml to its guards, actions and timeouts.
 func CellBinding() chart.Binding[cellState] {
 	return chart.Binding[cellState]{
 		Chart:  "cell",
@@ -77,8 +77,9 @@
 	}
 }
 
-// stepCell feeds an event to the chart. The timeouts of an owner count from
-// the sending of its last successful heartbeat.
+// stepCell feeds an event to the chart and reports whether the chart has a
+// transition for it. The timeouts of an owner count from the time at which its
+// last successful heartbeat was sent.
 func (c *Core) stepCell(e chart.Event) bool {
 	cell := &c.cell
 	cell.core = c
@@ -96,9 +97,12 @@
 	return true
 }
 
+// cellTimers handles the timeout of the cell's state and starts the next
+// observation or heartbeat when it is due.
 func (c *Core) cellTimers() {
 	cell := &c.cell
-	// Twice at most: an owner that was paused for long passes through holding.
+	// Two timeouts can be due: after a long pause an owner passes through
+	// holding to watching.
 	for range 2 {
 		if cell.deadline > 0 && cell.deadline <= c.now {
 			c.stepCell(evHeartbeatExpired)
@@ -140,6 +144,7 @@
 	}
 }
 
+// claimCell requests the next epoch of the cell for this entry.
 func (c *Core) claimCell() {
 	cell := &c.cell
 	cell.claimSentAt = c.now
@@ -157,10 +162,10 @@
 	cell.epochVersion, cell.lastHeartbeatAt = e.Version, cell.claimSentAt
 	cell.heartbeatAt = c.now
 	c.stepCell(evClaimed)
-	c.cellTimers() // holds at once if the answer came late
+	c.cellTimers() // starts to hold at once if the answer came late
 }
 
-// load starts with the rows of the predecessor.
+// loadCell starts the ownership: it reads the job rows of the earlier owner.
 func (c *Core) loadCell() {
 	c.log(event.CellClaimed, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
 	c.resetJobs()
@@ -173,19 +178,21 @@
 	cell.writingHeartbeat = false
 	switch {
 	case !c.isOwner():
-	case e.Fence != cell.epochVersion: // of an earlier ownership
+	case e.Fence != cell.epochVersion: // the heartbeat was of an earlier ownership
 	case e.Fenced:
 		c.stepCell(evFenced)
 	case e.OK:
 		cell.lastHeartbeatAt = max(cell.lastHeartbeatAt, e.Sent)
-		// An answer that took longer than the timeout proves nothing about now.
+		// An answer that took longer than the timeout does not show that the
+		// heartbeat can be written now.
 		if c.now-e.Sent < lease.StopPlacingAfter {
 			c.stepCell(evHeartbeatWritten)
 		}
 	}
 }
 
-// resume reports what changed while the owner could not place.
+// resumeOwnership lets the owner place jobs and claim agents again, now that
+// its heartbeat is written.
 func (c *Core) resumeOwnership() {
 	c.log(event.CellResumed, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
 	c.planNeeded = true
@@ -194,7 +201,7 @@
 	}
 }
 
-// forget drops what only the owner may use.
+// dropOwnership drops the state that only the owner may use.
 func (c *Core) dropOwnership() {
 	c.log(event.CellLost, map[string]any{"epoch": uint64(c.cell.owner.Epoch)})
 	c.cell.unchangedObservations = 0
@@ -208,7 +215,8 @@
 	c.resetJobs()
 }
 
-// onPaused makes the ownership count as lapsed until a heartbeat is written.
+// onPaused makes an owner hold until its heartbeat is written, since another
+// entry may have claimed the cell during the pause of the process.
 func (c *Core) onPaused() {
 	c.cell.unchangedObservations = 0
 	if c.cell.state != stOwning {
@@ -219,7 +227,8 @@
 	c.cell.heartbeatAt = c.now
 }
 
-// ttl is the length of a renewal for a kind of work: none after its hold bound.
+// leaseTTL returns the length of a lease renewal for long-running or other
+// work. It is 0 once the hold bound of that kind of work has passed.
 func (c *Core) leaseTTL(long bool) time.Duration {
 	if c.now-c.cell.lastHeartbeatAt >= lease.RenewalLimitOf(long) {
 		return 0
--- a/internal/control/charts.go
+++ b/internal/control/charts.go
@@ -7,14 +7,14 @@
 )
 
 // The compiled charts. Their actions step each other's machines, which the
-// compiler takes for an initialization cycle, so init sets them.
+// compiler rejects as an initialization cycle, so init sets the variables.
 var (
 	cellChart    *chart.Machine[cellState]
 	peerChart    *chart.Machine[peer]
 	jobChart     *chart.Machine[job]
 	attemptChart *chart.Machine[job]
-	// phaseState maps the phase in a row to its state. A row without a phase
-	// was just submitted.
+	// phaseState maps the phase in a job row to the state of the job. A row
+	// without a phase was just submitted.
 	phaseState = map[model.Phase]chart.State{"": stPending}
 )
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control owns cells: it claims them, places jobs, evicts and stops
-// task attempts, and grants their leases. It knows nothing of HTTP.
+// Package control is the controller of a cell: it claims the ownership of the
+// cell, places its jobs, starts, evicts and stops task attempts, and grants
+// their leases. It does not depend on HTTP.
 package control
 
 import (
@@ -20,44 +21,48 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Message is a message to the actor. Senders wait for room in the mailbox.
+// Message is a message to the controller's actor. Senders wait while its
+// mailbox is full.
 type Message interface{ isMessage() }
 
 type (
 	// AgentUp reports a link to the agent of a worker of the cell. Link
-	// receives the messages for it; when it is full they are dropped, and
-	// repeated later.
+	// receives the messages for the agent. Messages are dropped while it is
+	// full; the controller repeats them until they are answered.
 	AgentUp struct {
 		Worker model.Worker
 		Cell   model.Cell
 		Boot   model.Boot
 		Link   actor.Address[msg.Control]
 	}
-	// AgentDown reports that a link is lost; it is ignored when a newer link
+	// AgentDown reports that a link is lost. It is ignored when a newer link
 	// to the same worker is up.
 	AgentDown struct {
 		Worker model.WorkerID
 		Link   actor.Address[msg.Control]
 	}
-	// FromAgent carries a message of an agent, in the order of its link.
+	// FromAgent carries a message from an agent. The messages of one link
+	// arrive in order.
 	FromAgent struct {
 		Worker model.WorkerID
 		Msg    msg.Control
 	}
 	// ConfigChanged replaces the configuration that placement uses.
 	ConfigChanged struct{ Config Configuration }
-	// RowsChanged asks to read the job rows at once, after a submission.
+	// RowsChanged requests an immediate scan of the job rows, after a
+	// submission.
 	RowsChanged struct{}
-	// EvictJob asks to evict a running job. It is dropped if the job has none.
+	// EvictJob requests the eviction of a job. It is ignored if the job has
+	// no task.
 	EvictJob struct {
 		Job    model.JobID
 		Reason string
 	}
-	// StatusQuery asks for the status of the cell.
+	// StatusQuery requests the status of the cell.
 	StatusQuery struct {
 		Reply actor.Reply[model.CellStatus]
 	}
-	// ExplainQuery asks why a job is where it is.
+	// ExplainQuery requests the explanation of a job's state.
 	ExplainQuery struct {
 		Job   model.JobID
 		Reply actor.Reply[Explanation]
@@ -80,14 +85,15 @@
 	Options
 	Table storage.Table
 	Log   log.Interface
-	// NewPlanner replaces Options.Planner, so that a restarted actor has a new
-	// one. Nil: place.New with its defaults.
+	// NewPlanner, if set, replaces Options.Planner, so that a restarted actor
+	// gets a new planner. If both are nil, place.New with its defaults is used.
 	NewPlanner func() Planner
 }
 
-// Start spawns the actor that contends for a cell.
+// Start spawns the actor that contends for the ownership of a cell and
+// controls the cell while it owns it.
 func Start(g *actor.Group, cfg Config) actor.Address[Message] {
-	links := map[model.WorkerID]AgentUp{} // outlives a failed run
+	links := map[model.WorkerID]AgentUp{} // kept when the actor fails and is restarted
 	return actor.Spawn(g, actor.Spec[Message]{
 		Name: "control " + string(cfg.Cell), Mailbox: mailboxSize, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan Message) error {
@@ -98,8 +104,8 @@
 	})
 }
 
-// store carries out the effects at the table. It is shared by the helper
-// actors, of which only one uses the writer.
+// store carries out the effects that access the table service. The helper
+// actors share it; only one of them commits through the writer.
 type store struct {
 	table  storage.Table
 	cell   model.Cell
@@ -107,8 +113,8 @@
 	writer *writer
 }
 
-// owner carries out the effects of the core. Its helpers call the table and
-// send the results to answers.
+// controller carries out the effects of the core. Its helper actors call the
+// table service and send the results to answers.
 type controller struct {
 	core       *Core
 	log        log.Interface
@@ -116,7 +122,7 @@
 	links      map[model.WorkerID]AgentUp
 	answers    chan Event
 	writes     actor.Address[Effect] // Claim and Commit
-	heartbeats actor.Address[Effect]
+	heartbeats actor.Address[Effect] // WriteHeartbeat
 	reads      actor.Address[Effect] // Observe and Scan
 }
 
@@ -134,29 +140,30 @@
 	}
 	s := &store{table: cfg.Table, cell: cfg.Cell, log: cfg.Log, writer: &writer{
 		table: cfg.Table, log: cfg.Log, key: rows.WriterKey(id),
-		// Unique for each run, also after a restart within the process.
+		// Unique for each run of the actor, also after a restart within the process.
 		operationPrefix: fmt.Sprintf("%s/%x/%x", id, uint64(cfg.Boot), time.Now().UnixNano()),
 	}}
-	o := &controller{core: NewCore(opts), log: cfg.Log, startedAt: time.Now(), links: links, answers: make(chan Event, 16)}
-	o.writes = o.helper(g, "writer", func(ctx context.Context, effect Effect) Event {
+	c := &controller{core: NewCore(opts), log: cfg.Log, startedAt: time.Now(), links: links, answers: make(chan Event, 16)}
+	c.writes = c.helper(g, "writer", func(ctx context.Context, effect Effect) Event {
 		if claim, ok := effect.(Claim); ok {
 			return s.claim(ctx, claim)
 		}
 		return s.commitRows(ctx, effect.(Commit))
 	})
-	o.heartbeats = o.helper(g, "beat", func(ctx context.Context, effect Effect) Event { return s.writeHeartbeat(ctx, effect.(WriteHeartbeat)) })
-	o.reads = o.helper(g, "reader", func(ctx context.Context, effect Effect) Event {
+	c.heartbeats = c.helper(g, "beat", func(ctx context.Context, effect Effect) Event { return s.writeHeartbeat(ctx, effect.(WriteHeartbeat)) })
+	c.reads = c.helper(g, "reader", func(ctx context.Context, effect Effect) Event {
 		if scan, ok := effect.(Scan); ok {
 			return s.scan(ctx, scan)
 		}
 		return s.observe(ctx)
 	})
-	return o
+	return c
 }
 
-// helper spawns an actor that carries out effects one after the other. The
-// core has at most one of each kind unanswered, so its mailbox has room.
-func (o *controller) helper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
+// helper spawns an actor that carries out effects one after the other. Its
+// mailbox cannot overflow, since the core has at most one effect of each kind
+// unanswered.
+func (c *controller) helper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
 	return actor.Spawn(g, actor.Spec[Effect]{Name: name, Mailbox: 4, Run: func(ctx context.Context, in <-chan Effect) error {
 		for {
 			select {
@@ -168,7 +175,7 @@
 					return nil
 				}
 				select {
-				case o.answers <- e:
+				case c.answers <- e:
 				case <-ctx.Done():
 				}
 			}
@@ -176,33 +183,34 @@
 	}})
 }
 
-func (o *controller) now() time.Duration { return time.Since(o.startedAt) }
+func (c *controller) now() time.Duration { return time.Since(c.startedAt) }
 
-func (o *controller) run(ctx context.Context, in <-chan Message) error {
-	for _, up := range o.links {
-		o.apply(PeerUp{Worker: up.Worker, Boot: up.Boot})
+func (c *controller) run(ctx context.Context, in <-chan Message) error {
+	for _, up := range c.links {
+		c.apply(PeerUp{Worker: up.Worker, Boot: up.Boot})
 	}
 	return actor.Loop[Message, Event]{
-		Now: o.now, NextTick: o.core.Next, Apply: o.apply,
+		Now: c.now, NextTick: c.core.Next, Apply: c.apply,
 		Translate: func(m Message) (Event, bool) {
-			e := o.translate(m)
+			e := c.translate(m)
 			return e, e != nil
 		},
 		Tick: Tick{}, Paused: Paused{}, PauseGap: lease.PauseGap,
-	}.Run(ctx, in, o.answers)
+	}.Run(ctx, in, c.answers)
 }
 
-// translate returns the event of a message, or nil when it needs none.
-func (o *controller) translate(m Message) Event {
+// translate returns the event for a message, or nil if the core needs none.
+// It answers queries itself.
+func (c *controller) translate(m Message) Event {
 	switch m := m.(type) {
 	case AgentUp:
-		o.links[m.Worker.ID] = m
+		c.links[m.Worker.ID] = m
 		return PeerUp{Worker: m.Worker, Boot: m.Boot}
 	case AgentDown:
-		if o.links[m.Worker].Link != m.Link {
+		if c.links[m.Worker].Link != m.Link {
 			return nil
 		}
-		delete(o.links, m.Worker)
+		delete(c.links, m.Worker)
 		return PeerDown{m.Worker}
 	case FromAgent:
 		return Received(m)
@@ -213,26 +221,26 @@
 	case EvictJob:
 		return EvictRequested(m)
 	case StatusQuery:
-		m.Reply.Put(o.core.Status())
+		m.Reply.Put(c.core.Status())
 	case ExplainQuery:
-		m.Reply.Put(o.core.Explain(m.Job))
+		m.Reply.Put(c.core.Explain(m.Job))
 	}
 	return nil
 }
 
-func (o *controller) apply(e Event) {
-	for _, effect := range o.core.Step(o.now(), e) {
+func (c *controller) apply(e Event) {
+	for _, effect := range c.core.Step(c.now(), e) {
 		switch effect := effect.(type) {
 		case Send:
-			o.links[effect.Worker].Link.TrySend(effect.Msg)
+			c.links[effect.Worker].Link.TrySend(effect.Msg)
 		case Log:
-			event.Log(o.log, effect.Event, effect.Fields)
+			event.Log(c.log, effect.Event, effect.Fields)
 		case Claim, Commit:
-			o.writes.TrySend(effect)
+			c.writes.TrySend(effect)
 		case WriteHeartbeat:
-			o.heartbeats.TrySend(effect)
+			c.heartbeats.TrySend(effect)
 		case Observe, Scan:
-			o.reads.TrySend(effect)
+			c.reads.TrySend(effect)
 		}
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -25,7 +25,7 @@
 	return ids
 }
 
-// Guards against an accepted job that is not run, or is run twice.
+// Guards against an accepted job that never runs or runs twice.
 func TestJobRunsOnce(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 		w.submit(10*time.Second, "j1", "j2", "j3")
@@ -38,8 +38,8 @@
 	})
 }
 
-// Guards against work that is lost by an eviction, and against a stop before
-// the checkpoint's name is committed.
+// Guards against an eviction that loses the work done so far because the task
+// is stopped before the name of its checkpoint is committed.
 func TestEvictionResumesFromCommittedCheckpoint(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		w.submit(time.Minute, "j")
@@ -57,13 +57,14 @@
 	})
 }
 
-// Guards against a completion that is counted twice or whose repetition
-// changes the row.
+// Guards against a completion that is counted twice, or that changes the job
+// row again, when the agent repeats its report because the acknowledgement was
+// lost.
 func TestCompletionReportedTwiceCountsOnce(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		w.submit(10*time.Second, "j")
 		w.waitForPhase(5*time.Second, "running", "j")
-		w.agents["w1"].links["a"].dropToAgent.Store(true) // neither renewals nor acknowledgements arrive
+		w.agents["w1"].links["a"].dropToAgent.Store(true) // the agent receives neither renewals nor acknowledgements
 		w.waitForPhase(12*time.Second, "done", "j")
 		before := w.table.version("j")
 		w.sleep(12 * time.Second)
@@ -75,8 +76,8 @@
 	})
 }
 
-// Guards against jobs that are lost or doubled when a controller is killed at
-// any moment with placements, evictions and completions in flight.
+// Guards against jobs that are lost or run twice when a controller is killed
+// while placements, evictions and completions are not yet committed.
 func TestSuccessorTakesOver(t *testing.T) {
 	for kill := time.Duration(0); kill < 3*time.Second; kill += 53 * time.Millisecond {
 		runScenario(t, 3, []model.EntryID{"a", "b"}, func(w *world) {
@@ -92,12 +93,13 @@
 			w.sleep(kill)
 			w.killEntry(owner.id)
 			w.waitForPhase(time.Minute, "done", append(append(jobIDs("n", 4), early...), late...)...)
-			require.LessOrEqual(t, w.startedTasks(), 12+4, "more attempts than evictions and takeovers explain")
+			require.LessOrEqual(t, w.startedTasks(), 12+4, "attempts exceed the jobs plus one for each eviction and takeover")
 		})
 	}
 }
 
-// Guards against a frozen owner that acts on after its successor took over.
+// Guards against an owner that is paused, loses the cell to a successor, and
+// goes on starting and stopping tasks when it resumes.
 func TestPausedOwnerAfterTakeover(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a", "b"}, func(w *world) {
 		pausedOwner := w.owner()
@@ -119,8 +121,9 @@
 	})
 }
 
-// Guards against running tasks that are stopped by an outage of the table,
-// against placements during it, and against leases renewed past the bound.
+// Guards against an owner that stops running tasks when the table service is
+// unavailable, places jobs during the outage, or renews leases beyond the hold
+// bound.
 func TestTableServiceUnavailable(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a", "b"}, func(w *world) {
 		owner := w.owner()
@@ -136,12 +139,12 @@
 		require.Equal(t, 1, w.completedRuns("short"))
 		w.table.withLock(func() { w.table.unavailable = false })
 		w.waitForPhase(20*time.Second, "done", "short", "later")
-		require.Equal(t, owner.id, w.owner().id, "an outage is not a silent owner")
+		require.Equal(t, owner.id, w.owner().id, "another entry claimed the cell after an outage of the table service")
 		require.Equal(t, 4, w.startedTasks())
 
 		w.table.withLock(func() { w.table.unavailable = true })
 		w.sleep(12 * time.Minute)
-		require.Equal(t, 1, w.runningTasks(), "the watcher only")
+		require.Equal(t, 1, w.runningTasks(), "only the long-running task runs")
 		w.table.withLock(func() { w.table.unavailable = false })
 		w.waitForPhase(40*time.Minute, "done", "batch", "watcher")
 		require.Equal(t, 5, w.startedTasks())
@@ -149,10 +152,10 @@
 	})
 }
 
-// Guards against an effect that is missing or doubled because the response of
-// the transaction that carries it was lost.
+// Guards against an effect that is lost or carried out twice because the
+// response to its transaction was lost.
 func TestLostCommitResponses(t *testing.T) {
-	for _, c := range []struct {
+	for _, fault := range []struct {
 		name, mark string
 		late       time.Duration
 	}{
@@ -161,13 +164,13 @@
 		{"takes effect during the read-back", `"`, time.Millisecond}, {"takes effect during the repetition", `"`, 150 * time.Millisecond},
 		{"takes effect after later writes", `"`, 3 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
-				w.table.withLock(func() { w.table.lostCommitDelay = c.late })
+				w.table.withLock(func() { w.table.lostCommitDelay = fault.late })
 				lost := map[string]bool{}
 				w.table.loseResponse = func(txn storage.Txn) bool {
 					for _, p := range txn.Puts {
-						if strings.HasPrefix(p.Key, "job/") && strings.Contains(string(p.Value), c.mark) && !lost[txn.Operation] {
+						if strings.HasPrefix(p.Key, "job/") && strings.Contains(string(p.Value), fault.mark) && !lost[txn.Operation] {
 							lost[txn.Operation] = true
 							return true
 						}
@@ -186,7 +189,8 @@
 	}
 }
 
-// Guards against a frozen agent whose attempts run on beside their successors.
+// Guards against an agent that is paused beyond its lease and whose attempts run
+// at the same time as the attempts that replace them.
 func TestAgentPausedBeyondItsLease(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 		w.submit(10*time.Minute, jobIDs("j", 4)...)
@@ -199,7 +203,8 @@
 	})
 }
 
-// Guards against a restarted agent that loses or doubles running tasks.
+// Guards against running tasks that are lost or started again when their agent
+// restarts.
 func TestAgentRestarted(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		w.submit(time.Minute, jobIDs("j", 4)...)
@@ -212,8 +217,8 @@
 	})
 }
 
-// Guards against a job that waits for ever for a host that has failed, and
-// against a second attempt before the first has certainly ended.
+// Guards against a job that waits for ever for a failed host, and against a
+// second attempt that starts before the first has certainly ended.
 func TestHostFails(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 		w.submit(2*time.Minute, "j")
@@ -226,15 +231,16 @@
 	})
 }
 
-// Guards against a link that works in one direction only.
+// Guards against jobs that are lost or run twice while a link delivers messages
+// in one direction only.
 func TestOneWayPartition(t *testing.T) {
-	for _, up := range []bool{false, true} {
+	for _, dropToEntry := range []bool{false, true} {
 		runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 			w.submit(3*time.Minute, jobIDs("j", 4)...)
 			w.waitForPhase(5*time.Second, "running", jobIDs("j", 4)...)
 			a := w.agents[w.table.job("j0").Worker]
-			a.links["a"].dropToEntry.Store(up)
-			a.links["a"].dropToAgent.Store(!up)
+			a.links["a"].dropToEntry.Store(dropToEntry)
+			a.links["a"].dropToAgent.Store(!dropToEntry)
 			w.sleep(90 * time.Second)
 			a.links["a"].dropToEntry.Store(false)
 			a.links["a"].dropToAgent.Store(false)
@@ -243,7 +249,8 @@
 	}
 }
 
-// Guards against commands and renewals that arrive long after they were sent.
+// Guards against jobs that are lost or run twice because commands and renewals
+// arrive long after they were sent.
 func TestDelayedLink(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 		w.submit(3*time.Minute, jobIDs("j", 4)...)
@@ -257,8 +264,8 @@
 	})
 }
 
-// Guards against a wave of cancellations that takes a transaction each, and
-// against a start after a cancellation.
+// Guards against many cancellations that take one transaction each, and against
+// a task that starts after its job was cancelled.
 func TestManyCancellations(t *testing.T) {
 	const wave = 10000
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -15,60 +15,62 @@
 
 const (
 	observeInterval = time.Second
-	scanInterval    = 250 * time.Millisecond // urgent work starts within 1.4 s
-	sweepInterval   = 500 * time.Millisecond // resolution of the attempts' timeouts
-	maxSleep        = time.Second            // bounds how late a pause is noticed
-	planInterval    = 20 * time.Millisecond  // bounds the transactions of a writer
+	scanInterval    = 250 * time.Millisecond // lets urgent work start within 1.4 s
+	sweepInterval   = 500 * time.Millisecond // resolution of the timeouts of attempts
+	maxSleep        = time.Second            // bounds the time until a pause of the process is noticed
+	planInterval    = 20 * time.Millisecond  // bounds the rate of the writer's transactions
 )
 
-// Options describe a controller. Planner and Health belong to its core; Start
-// fills them in.
+// Options describe a controller. Start sets Planner and Health when they are
+// nil; the core has exclusive use of both.
 type Options struct {
 	Cell    model.Cell
 	Entry   model.EntryID
 	Boot    model.Boot
 	Address string // where agents reach the entry
 	Planner Planner
-	Health  *health.Tracker // nil: every worker is trusted
+	Health  *health.Tracker // nil: a core trusts every worker
 }
 
-// Planner decides where waiting jobs run; place.Planner is one.
+// Planner decides where waiting jobs run. place.Planner implements it.
 type Planner interface {
 	Plan(s place.Snapshot) place.Plan
 	Explain(s place.Snapshot, job model.JobID) []place.Explanation
 }
 
-// Core decides for one cell that an entry contends for or owns. It is stepped
-// with events and returns effects; it does no input or output and has no
-// goroutine.
+// Core makes the decisions for one cell that an entry contends for or owns.
+// Step feeds it an event and returns the effects; it does no input or output
+// and starts no goroutine.
 type Core struct {
 	opts           Options
 	now            time.Duration
 	effects        []Effect
 	cell           cellState
 	peers          map[model.WorkerID]*peer
-	jobs           map[model.JobID]*job // that are not over
-	pending        map[model.JobID]*job // of these, the ones that wait for a place
+	jobs           map[model.JobID]*job // that have not ended
+	pending        map[model.JobID]*job // the subset in the phase pending
 	config         Configuration
 	rules          *place.Rules
 	ledger         *place.Ledger
 	batch          batch
-	capacityClaims map[model.JobID]capacityClaim // room that evictions make for urgent jobs
+	capacityClaims map[model.JobID]capacityClaim // capacity that evictions free for urgent jobs
 
-	loaded         bool // the job rows were read completely at this epoch
-	scanning       bool
-	scannedThrough storage.Revision
-	planNeeded     bool                // something changed that a plan may use
-	finishedCounts map[model.Phase]int // jobs that are over
-	// evictions counts by team and class since the cell was claimed.
+	loaded         bool                // all job rows were read since the cell was claimed
+	scanning       bool                // a Scan is unanswered
+	scannedThrough storage.Revision    // newest revision that a scan covered
+	planNeeded     bool                // something changed that may let a waiting job be placed
+	finishedCounts map[model.Phase]int // ended jobs by their final phase
+	// evictions counts the evictions since the cell was claimed.
 	evictions map[evictionKey]int
 
 	interference *interfere.Controller
 
+	// Times at which the timers are due.
 	scanAt, sweepAt, renewAt, planAt, throttleAt time.Duration
 }
 
-// NewCore returns the core of a controller that watches its cell.
+// NewCore returns the core of a controller. It starts by watching the owner of
+// the cell.
 func NewCore(opts Options) *Core {
 	c := &Core{opts: opts, peers: map[model.WorkerID]*peer{}, cell: cellState{deadline: lease.OwnerExpiry}}
 	c.rules, _ = place.CompileRules(nil)
@@ -77,7 +79,7 @@
 	return c
 }
 
-// reset drops what is known of jobs.
+// resetJobs drops the state of all jobs and the claims on agents.
 func (c *Core) resetJobs() {
 	c.jobs, c.pending, c.finishedCounts = map[model.JobID]*job{}, map[model.JobID]*job{}, map[model.Phase]int{}
 	c.evictions = map[evictionKey]int{}
@@ -91,8 +93,8 @@
 	}
 }
 
-// Step handles an event at now, after every timer that was due. The effects
-// are to be carried out in order and are valid until the next step.
+// Step runs the timers that are due at now and then handles the event. The
+// caller carries out the effects in order; they are valid until the next step.
 func (c *Core) Step(now time.Duration, e Event) []Effect {
 	c.now, c.effects = now, nil
 	if _, paused := e.(Paused); paused {
@@ -138,8 +140,8 @@
 	}
 }
 
-// Next returns when the next timer is due. It is later than the last step: a
-// timer whose work waits for an answer is left out until the answer came.
+// Next returns the time at which the next timer is due. A timer whose work
+// waits for an answer does not count, so the time is later than the last step.
 func (c *Core) Next() time.Duration {
 	next := c.now + maxSleep
 	due := func(at time.Duration, armed bool) {
@@ -160,7 +162,7 @@
 	return next
 }
 
-// mayPlan reports whether a round would place something if it were due.
+// mayPlan reports whether a plan may place jobs, once planAt is reached.
 func (c *Core) mayPlan() bool {
 	return c.cell.state == stOwning && c.loaded && c.planNeeded && !c.batch.full()
 }
@@ -172,7 +174,8 @@
 	c.emit(Log{e, fields})
 }
 
-// incumbent reports whether this entry acts as the owner of the cell.
+// isOwner reports whether this entry acts as the owner of the cell: it owns
+// the cell, or it holds because it cannot write its heartbeat.
 func (c *Core) isOwner() bool { return c.cell.state == stOwning || c.cell.state == stHolding }
 
 func (c *Core) runTimers() {
@@ -195,7 +198,7 @@
 	}
 }
 
-// work starts what the step made possible.
+// startWork makes a plan if one is due and starts the next transaction.
 func (c *Core) startWork() {
 	if c.mayPlan() && c.planAt <= c.now {
 		c.planAt = c.now + planInterval
@@ -204,8 +207,8 @@
 	c.flush()
 }
 
-// sweep runs the timeouts of peers and attempts and gives up the attempts
-// whose lease has certainly expired.
+// sweep handles the timeouts of peers and attempts, abandons the attempts whose
+// lease has certainly expired, and removes peers that are unlinked for long.
 func (c *Core) sweep() {
 	c.tickHealth()
 	c.throttle()
@@ -250,7 +253,7 @@
 	case !c.isOwner():
 		return
 	case e.Fence != c.cell.epochVersion:
-		c.scan() // the rows were read before we claimed the cell
+		c.scan() // the rows were read before this entry claimed the cell
 		return
 	case e.Err != nil:
 		c.scanAt = c.now + time.Second
--- a/internal/control/counts_test.go
+++ b/internal/control/counts_test.go
@@ -6,7 +6,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// running counts the tasks that run on the workers.
+// runningTasks counts the tasks that run on the workers.
 func (w *world) runningTasks() (n int) {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
@@ -21,7 +21,7 @@
 	return n
 }
 
-// commits counts the transactions of controllers without their heartbeats.
+// commitCount counts the transactions of the controllers except heartbeats.
 func (w *world) commitCount() (n int) {
 	w.table.withLock(func() {
 		for writer, count := range w.table.commits {
@@ -33,14 +33,14 @@
 	return n
 }
 
-// started counts the tasks that were started on the workers.
+// startedTasks counts the tasks that were started on the workers.
 func (w *world) startedTasks() int {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
 	return w.hosts.started
 }
 
-// done counts the completed runs of a job.
+// completedRuns counts the completed runs of a job.
 func (w *world) completedRuns(id model.JobID) int {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -7,22 +7,23 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// drainEach bounds the tasks of a draining worker that are being moved at the
-// same time: each needs a checkpoint and a place elsewhere.
+// maxMovesPerWorker bounds the tasks of a draining worker that are evicted at
+// the same time: each needs a checkpoint and capacity on another worker.
 const maxMovesPerWorker = 4
 
-// followDrain starts or ends the draining of a worker as its labels say.
+// updateDraining starts or ends the draining of a worker according to its
+// labels.
 func (c *Core) updateDraining(p *peer) {
-	on := mergeLabels(p.worker.Labels, c.config.Workers[p.worker.ID])[model.LabelDrain] == "true"
-	changed := on != p.draining
-	p.draining = on
-	if tracker := c.opts.Health; tracker != nil && (changed || on) {
-		c.applyHealth(tracker.SetDraining(c.now, p.worker.ID, on))
+	draining := mergeLabels(p.worker.Labels, c.config.Workers[p.worker.ID])[model.LabelDrain] == "true"
+	changed := draining != p.draining
+	p.draining = draining
+	if tracker := c.opts.Health; tracker != nil && (changed || draining) {
+		c.applyHealth(tracker.SetDraining(c.now, p.worker.ID, draining))
 	}
 	c.planNeeded = c.planNeeded || changed
 }
 
-// drain moves the tasks of draining workers, a few at a time.
+// drain evicts the tasks of draining workers, a few at a time.
 func (c *Core) drain() {
 	if c.cell.state != stOwning || !c.loaded {
 		return
@@ -34,8 +35,9 @@
 	}
 }
 
-// drainWorker evicts the tasks that lose least first. Long-running ones, for
-// which a stop is worse, go when nothing else is left.
+// drainWorker evicts the tasks that have run for the shortest time first, since
+// they lose the least work. Long-running tasks are evicted last, because an
+// interruption costs them more.
 func (c *Core) drainWorker(p *peer) {
 	moving := 0
 	for _, j := range c.jobs {
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -10,8 +10,9 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Guards against a worker that cannot be emptied: the label drain has to move
-// its tasks, from their checkpoints, and keep new ones away until it is removed.
+// Guards against a worker that cannot be drained: the label drain must move its
+// tasks to other workers, where they resume from their checkpoints, and must keep
+// new tasks away until it is removed.
 func TestDrainLabelMovesTasks(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
 		w.submit(10*time.Minute, "j1", "j2")
@@ -22,7 +23,7 @@
 				Workers: map[model.WorkerID]model.Labels{from: {"drain": value}}}}))
 		}
 		label("true")
-		w.waitUntil(2*time.Minute, "the worker is empty", func() bool {
+		w.waitUntil(2*time.Minute, "no task on the drained worker", func() bool {
 			a, b := w.table.job("j1"), w.table.job("j2")
 			return a.Phase == "running" && b.Phase == "running" && a.Worker != from && b.Worker != from
 		})
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -17,7 +17,7 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// table is an in-memory table service with faults.
+// table is an in-memory table service that can inject faults.
 type table struct {
 	t               *testing.T
 	mu              sync.Mutex
@@ -25,9 +25,9 @@
 	rev             storage.Revision
 	unavailable     bool
 	delay           time.Duration
-	loseResponse    func(storage.Txn) bool // the response is lost after the write
-	lostCommitDelay time.Duration          // a transaction whose response is lost takes effect after this
-	commits         map[string]int         // by writer: the operation id up to the last dash
+	loseResponse    func(storage.Txn) bool // reports whether the response to a transaction is lost
+	lostCommitDelay time.Duration          // delay of the effect of a transaction whose response is lost
+	commits         map[string]int         // transactions by writer, which is the operation id up to its last dash
 }
 
 func newTable(t *testing.T) *table {
@@ -36,7 +36,8 @@
 
 func (s *table) withLock(change func()) { s.mu.Lock(); defer s.mu.Unlock(); change() }
 
-// wait passes the delay and reports whether the service is there.
+// wait waits for the configured delay. It returns ErrUnavailable during an
+// outage.
 func (s *table) wait(ctx context.Context) error {
 	s.mu.Lock()
 	delay, away := s.delay, s.unavailable
@@ -66,7 +67,7 @@
 	return rev, err
 }
 
-// apply commits a transaction; the caller holds the lock.
+// apply commits a transaction. The caller holds the lock.
 func (s *table) apply(t storage.Txn) (storage.Revision, error) {
 	var failed []string
 	for _, c := range t.Checks {
@@ -112,7 +113,7 @@
 	return found, s.rev, nil
 }
 
-// edit writes a job row as the operators' API does.
+// edit changes a job row as the operators' API does.
 func (s *table) edit(id model.JobID, change func(*model.JobRow)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +136,8 @@
 	return v
 }
 
-// hosts is what all fake workers saw. It checks independently that no two
-// attempts of a job are live at once.
+// hosts records the calls to all fake workers. It checks independently of the
+// controller that no two attempts of a job run at the same time.
 type hosts struct {
 	t           *testing.T
 	mu          sync.Mutex
@@ -146,18 +147,19 @@
 	completed   map[model.JobID]int // completed runs
 }
 
-// task is a task on a fake worker. Its job's program is the work's duration.
+// task is a task on a fake worker. The program of its job is the duration of
+// its work.
 type task struct {
 	id              model.AttemptID
 	host            *host
 	startedAt       time.Time
-	resumedProgress time.Duration // progress resumed from
+	resumedProgress time.Duration // progress of the checkpoint from which it resumed
 	work            time.Duration
-	leaseEnd        time.Time // end of the worker's own lease
+	leaseEnd        time.Time // end of the worker's lease of the task
 	state           model.TaskState
 	checkpoints     int
 	lastCheckpoint  string
-	cpuLimitPercent int // processor limit in percent; 0: none was set
+	cpuLimitPercent int // 0: no limit was set
 }
 
 // host is a fake worker.
@@ -173,8 +175,8 @@
 	return &host{shared: h, id: id, tasks: map[model.AttemptID]*task{}}
 }
 
-// settle brings the state of a run up to now: it ends with its work or its
-// lease, whichever is first.
+// update updates the state of the task: it ends when its work is done or its
+// lease expires, whichever is first.
 func (t *task) update() {
 	end := t.startedAt.Add(t.work - t.resumedProgress)
 	switch {
@@ -217,7 +219,8 @@
 	return nil
 }
 
-// on runs a call for a known run.
+// withTask calls do with an updated task. It returns ErrNoTask if the worker does
+// not know the task.
 func (h *host) withTask(id model.AttemptID, do func(*task)) error {
 	h.shared.mu.Lock()
 	defer h.shared.mu.Unlock()
@@ -255,7 +258,8 @@
 	return h.withTask(id, func(t *task) { t.cpuLimitPercent = percent })
 }
 
-// percent is the highest limit of a job's running tasks, 100 when none was set.
+// cpuLimitPercent returns the highest processor limit of the tasks of a job; 100
+// if a task has no limit.
 func (h *hosts) cpuLimitPercent(id model.JobID) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -7,18 +7,19 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// outcome is how an attempt ended, for the health of its worker and job.
+// outcome is the way in which an attempt ended, as the health tracker counts it
+// for its worker and its job.
 type outcome uint8
 
 const (
-	outcomeNone outcome = iota // stopped, lost or withdrawn: nobody is to blame
+	outcomeNone outcome = iota // stopped, abandoned or withdrawn: neither a success nor a failure
 	outcomeDone
 	outcomeFailed
 )
 
-// noteLink tells the health policy about a link. A core without a tracker
-// trusts every worker.
-func (c *Core) noteLink(p *peer, up bool) {
+// trackLink reports a new or lost link to the health tracker. A core without a
+// tracker trusts every worker.
+func (c *Core) trackLink(p *peer, up bool) {
 	if tracker := c.opts.Health; tracker != nil {
 		if up {
 			tracker.Add(c.now, p.worker.ID)
@@ -27,14 +28,14 @@
 	}
 }
 
-func (c *Core) noteStart(j *job) {
+func (c *Core) trackStart(j *job) {
 	if tracker := c.opts.Health; tracker != nil {
 		tracker.Started(c.now, j.attempt.worker, j.attemptID())
 		c.updateWorkerState(c.peers[j.attempt.worker])
 	}
 }
 
-func (c *Core) noteOutcome(j *job, o outcome) {
+func (c *Core) trackOutcome(j *job, o outcome) {
 	tracker := c.opts.Health
 	if tracker == nil {
 		return
@@ -51,8 +52,8 @@
 	c.updateWorkerState(c.peers[worker])
 }
 
-// tickHealth runs the timeouts of the policy and applies the limits that
-// change with time alone.
+// tickHealth runs the timeouts of the health tracker and updates the states of
+// the workers, whose limits for new tasks also change with time alone.
 func (c *Core) tickHealth() {
 	if tracker := c.opts.Health; tracker != nil {
 		c.applyHealth(tracker.Tick(c.now))
@@ -77,8 +78,9 @@
 	}
 }
 
-// rate tells the ledger whether the worker may get tasks: only with a
-// confirmed lease, and as far as the health policy trusts it.
+// updateWorkerState sets the state of a worker in the ledger, which decides
+// whether it may get tasks: only with a confirmed lease, and only as the health
+// tracker allows.
 func (c *Core) updateWorkerState(p *peer) {
 	state := place.WorkerSuspect
 	switch {
@@ -93,6 +95,8 @@
 	}
 }
 
+// healthState returns the state of a worker by its health. A worker that runs
+// as many unproven tasks as allowed counts as suspect, so it gets no more.
 func (c *Core) healthState(id model.WorkerID) place.WorkerState {
 	tracker := c.opts.Health
 	if tracker == nil {
@@ -104,7 +108,7 @@
 	return tracker.State(id)
 }
 
-// avoid lists the workers on which a job failed.
+// workersToAvoid returns the workers on which a job failed.
 func (c *Core) workersToAvoid(id model.JobID) []model.WorkerID {
 	if tracker := c.opts.Health; tracker != nil {
 		return tracker.Avoid(id)
--- a/internal/control/interference.go
+++ b/internal/control/interference.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// limitEvery is how often the limits of tasks beside a service are decided.
+	// throttleInterval is the time between decisions on the processor limits of
+	// the tasks on a worker with a service.
 	throttleInterval = time.Second
-	// limitRepeat is how often a limit is sent again: commands may be lost,
-	// and a restarted agent does not know it.
+	// throttleRepeatInterval is the time after which a processor limit is sent
+	// again: a command may be lost, and a restarted agent has no limits.
 	throttleRepeatInterval = 10 * time.Second
-	// A measurement of a service counts for this long.
+	// loadMaxAge is the age up to which a reported service load is used.
 	loadMaxAge = 30 * time.Second
 )
 
-// serviceLoad is what a worker's agent last reported of a service class.
+// serviceLoad is the newest usage report of a service class on a worker.
 type serviceLoad struct {
 	usage      msg.ServiceUsage
 	receivedAt time.Duration
 }
 
-// onServices learns from what an agent measured at its backend server. Only
-// classes with a target count.
+// onServiceUsage records the measurements of the backend server on a worker.
+// Classes without a target latency are ignored.
 func (c *Core) onServiceUsage(p *peer, list []msg.ServiceUsage) {
 	for _, usage := range list {
 		target, ok := c.targetLatency(usage.Class)
@@ -49,14 +50,15 @@
 	}
 }
 
-// target is the p99 that a class has to keep by its label.
+// targetLatency returns the target of a class for its p99, from the class's
+// label. The result is false if the class has no target.
 func (c *Core) targetLatency(class model.Class) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(c.config.Classes[class][model.LabelTargetP99], 10, 32)
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
 }
 
-// limit throttles and evicts tasks that make a service on their worker miss
-// its target.
+// throttle limits or evicts tasks that make a service on their worker miss its
+// target latency.
 func (c *Core) throttle() {
 	if c.throttleAt > c.now || c.cell.state != stOwning || !c.loaded {
 		return
@@ -97,7 +99,8 @@
 	c.repeatThrottles(p)
 }
 
-// services lists the loads that are recent, in a fixed order.
+// services returns the recent service loads of the worker in a fixed order, and
+// removes older ones.
 func (p *peer) services(now time.Duration) []interfere.ServiceLoad {
 	var list []interfere.ServiceLoad
 	for key, load := range p.serviceLoads {
@@ -116,7 +119,7 @@
 	return list
 }
 
-// tasksOn lists the jobs whose attempts run on a worker.
+// tasksOn returns the jobs whose attempts run on a worker.
 func (c *Core) tasksOn(p *peer) []*job {
 	w, _ := c.ledger.Worker(p.worker.ID)
 	var list []*job
@@ -143,12 +146,16 @@
 	return t
 }
 
+// setCPULimit sends a processor limit, in percent of the task's processors, to
+// the agent of the attempt.
 func (c *Core) setCPULimit(j *job, percent int) {
 	j.core = c
 	j.attempt.cpuLimitPercent, j.attempt.cpuLimitSentAt = percent, c.now
 	j.command(&msg.ThrottleTask{Command: c.newCommand(), Attempt: j.attemptID(), Percent: percent})
 }
 
+// repeatThrottles sends the processor limits below 100 % again when they are
+// older than throttleRepeatInterval.
 func (c *Core) repeatThrottles(p *peer) {
 	for _, j := range c.tasksOn(p) {
 		if j.attempt.cpuLimitPercent != 100 && c.now-j.attempt.cpuLimitSentAt > throttleRepeatInterval {
--- a/internal/control/interference_test.go
+++ b/internal/control/interference_test.go
@@ -11,8 +11,9 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// service reports, as an agent does, a service whose p99 is above its target
-// while batch tasks of the worker may use more than half of their processors.
+// reportServiceUsage sends usage reports of a service as an agent does, one per
+// second. The p99 is above its target while percent, the highest processor limit
+// of the batch tasks, is above 50.
 func (w *world) reportServiceUsage(worker model.WorkerID, seconds int, percent func() int) {
 	ctl := w.entries["a"].controller
 	for s := range seconds {
@@ -29,8 +30,8 @@
 	}
 }
 
-// Guards against a service that misses its target beside tasks which nobody
-// throttles, and against an eviction where a limit is enough.
+// Guards against tasks that make a service miss its target and are not
+// throttled, and against their eviction where a processor limit is enough.
 func TestTasksBesideAServiceAreThrottled(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		w.sleep(10 * time.Second)
--- a/internal/control/job.go
+++ b/internal/control/job.go
@@ -35,52 +35,52 @@
 	evCancel
 )
 
-// maxFailures is the number of failures, on whatever workers, after which a
-// job is given up.
+// maxFailures is the number of failed attempts, on any workers, after which a
+// job fails.
 const maxFailures = 20
 
-// job is a job that is not over. Its row is ahead of the table while it waits
-// for its transaction; effects that depend on the row wait with it.
+// job is a job that has not ended. Its row may be newer than the row in the
+// table; effects that depend on the newer row wait in hooks until it is
+// committed.
 type job struct {
 	id          model.JobID
-	row         model.JobRow // Phase is set when it is written
+	row         model.JobRow // Phase is set when the row is written
 	phase       chart.State
 	version     storage.Revision // of the row in the table
-	order       uint64           // submission order
+	order       uint64           // version of the row when the job was added; orders jobs by submission
 	size        model.Resources  // measured peak, at least the declared size
-	lastVerdict place.Verdict    // of the last plan that did not place it
+	lastVerdict place.Verdict    // of the last plan that did not place the job
 	attempt     attempt
-	parkReason  string       // why the health policy parks it
-	labels      model.Labels // that selectors match its tasks by; nil: not computed
+	parkReason  string       // why the health tracker wants the job parked; empty: it does not
+	labels      model.Labels // by which selectors match its tasks; nil: not computed
 
 	generation uint64 // number of changes of the row
-	inFlight   uint64 // generation in the transaction under way; 0 when none
+	inFlight   uint64 // generation in the unanswered transaction; 0: none
 	committed  uint64 // newest generation in the table
 	queued     bool   // in the batch's queue
 	hooks      []hook
 
 	core         *Core          // set during a step
-	targetWorker model.WorkerID // of a placement, set during a step
+	targetWorker model.WorkerID // of a placement, set during the step
 }
 
-// hook is an effect that waits until a generation of the row is committed.
+// hook is an action that runs once a generation of the row is committed.
 type hook struct {
 	generation uint64
 	kind       hookKind
-	attempt    uint32
+	attempt    uint32 // number
 	worker     model.WorkerID
 }
 
 type hookKind uint8
 
 const (
-	hookStart               hookKind = iota // the attempt may be sent to its worker
-	hookCheckpointCommitted                 // the checkpoint may be resumed from
-	hookAcknowledge                         // the agent may forget the attempt
+	hookStart               hookKind = iota // sends the start command
+	hookCheckpointCommitted                 // stops the attempt, which can resume from the checkpoint
+	hookAcknowledge                         // lets the agent remove the attempt
 )
 
-// JobBinding binds charts/job.scxml. It is exported for the checks that
-// explore the chart.
+// JobBinding binds charts/job.scxml to its guards and actions.
 func JobBinding() chart.Binding[job] {
 	return chart.Binding[job]{
 		Chart:  "job",
@@ -113,6 +113,8 @@
 	}
 }
 
+// stepJob feeds an event to the chart of a job and reports whether the chart
+// has a transition for it.
 func (c *Core) stepJob(j *job, e chart.Event) bool {
 	j.core = c
 	before := j.phase
@@ -127,15 +129,17 @@
 	return true
 }
 
-// assign numbers the attempt and charges nothing: the ledger has reserved it.
+// assign creates the next attempt on the target worker. The ledger has already
+// reserved its resources.
 func (j *job) assign() {
 	j.row.Attempt++
 	j.row.Worker, j.row.Reason = j.targetWorker, ""
 	j.attempt = attempt{live: true, state: attemptChart.Initial(), number: j.row.Attempt, worker: j.targetWorker}
 	j.core.peers[j.targetWorker].chargedAttempts++
-	j.core.noteStart(j)
+	j.core.trackStart(j)
 }
 
+// awaitCommit adds a hook for the present generation of the row.
 func (j *job) awaitCommit(kind hookKind) {
 	j.hooks = append(j.hooks, hook{j.generation, kind, j.attempt.number, j.attempt.worker})
 }
@@ -144,7 +148,7 @@
 	return model.AttemptID{Job: j.id, Number: j.attempt.number}
 }
 
-// task is what the ledger charges for the attempt.
+// ledgerTask returns the task that the ledger charges for an attempt.
 func (c *Core) ledgerTask(j *job, number uint32) place.Task {
 	spec := j.row.Spec
 	return place.Task{
@@ -153,8 +157,8 @@
 	}
 }
 
-// onRow takes over a row of the table. Only the cancel flag can differ from
-// what is known of a job, because every other change is ours.
+// onRow handles a job row that was read from the table. For a known job only
+// the cancel flag can be new, because the owner makes every other change.
 func (c *Core) onRow(r JobRow) {
 	j := c.jobs[r.ID]
 	switch {
@@ -174,7 +178,7 @@
 	}
 }
 
-// adopt creates the record of a job from its row.
+// addJob creates the record of a job from its row.
 func (c *Core) addJob(r JobRow) {
 	phase, known := phaseState[r.Row.Phase]
 	switch {
@@ -182,7 +186,7 @@
 		c.log(event.ControlRowMalformed, map[string]any{"job": r.ID, "phase": r.Row.Phase})
 		return
 	case jobChart.Final(phase):
-		if !c.loaded { // later ones were counted when we wrote them
+		if !c.loaded { // later ones were counted when they were written
 			c.finishedCounts[r.Row.Phase]++
 		}
 		return
@@ -200,7 +204,7 @@
 	}
 }
 
-// inherit charges an attempt of a predecessor, which may run.
+// adoptAttempt charges an attempt of an earlier owner, which may be running.
 func (c *Core) adoptAttempt(j *job) {
 	p := c.peer(j.row.Worker)
 	if p.grants.Until(false) == 0 {
@@ -212,7 +216,8 @@
 	c.stepAttempt(j, evAdopt)
 }
 
-// evict starts the eviction of a job that has a task.
+// evict starts the eviction of a job. It does nothing if the job has no task or
+// the cell is not owned.
 func (c *Core) evict(id model.JobID, reason string) {
 	j := c.jobs[id]
 	if j == nil || c.cell.state != stOwning || !jobChart.Can(j, j.phase, evJobEvict) {
@@ -222,7 +227,7 @@
 	c.stepJob(j, evJobEvict)
 }
 
-// index keeps the set of waiting jobs, which every plan needs.
+// updatePending adds the job to the pending jobs or removes it, by its phase.
 func (c *Core) updatePending(j *job) {
 	if j.phase == stPending {
 		c.pending[j.id] = j
@@ -236,9 +241,9 @@
 	delete(c.pending, id)
 }
 
-// selected returns the jobs of a set for which keep holds, by submission
-// order. Only those are sorted: a cell has thousands of jobs and a sweep
-// concerns few.
+// selectJobs returns the jobs of a set for which keep returns true, in
+// submission order. It filters before it sorts, because a cell has thousands of
+// jobs and a sweep concerns few.
 func selectJobs(set map[model.JobID]*job, keep func(*job) bool) []*job {
 	var list []*job
 	for _, j := range set {
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -32,40 +32,41 @@
 
 const (
 	claimRetryInterval = 2 * time.Second
-	// forgetPeer is longer than a command can stay under way on a lost link.
+	// peerRetention is the time after which an unlinked peer is removed. It is
+	// longer than a command can remain in transit on a lost link.
 	peerRetention = 10 * time.Minute
-	// leaseRounds is the number of acknowledged renewals after which an agent
-	// holds a valid lease: the second counts from the first acknowledgement.
+	// minAckedRenewals is the number of acknowledged renewals after which an
+	// agent holds a valid lease: its lease counts from the acknowledgement of
+	// the renewal before.
 	minAckedRenewals = 2
-	// backendLeft is the state of charts/backend.scxml after a drain.
+	// backendStateLeft is the state of charts/backend.scxml after a drain.
 	backendStateLeft = "left"
 )
 
-// peer is what the controller knows of a worker and its agent.
+// peer is the controller's record of a worker and its agent.
 type peer struct {
 	worker          model.Worker
 	boot            model.Boot
 	state           chart.State
 	deadline        time.Duration // of the state's timeout; 0 when it has none
-	healthReason    string        // of its state of health
-	epochConfirmed  bool          // the agent refuses older epochs, or did before it restarted
-	claimedBoot     model.Boot    // incarnation that was claimed while owning
+	healthReason    string        // of the last change of its health state
+	epochConfirmed  bool          // the agent rejects older epochs, or did before it restarted
+	claimedBoot     model.Boot    // incarnation of the agent that was claimed while the cell was owned
 	grants          lease.Grants
-	chargedAttempts int           // charged to the worker
+	chargedAttempts int           // attempts charged to the worker
 	service         model.Service // of the backend server on the worker; empty: none
 	serviceLoads    map[interfere.ServiceClass]serviceLoad
-	draining        bool          // by the label of the worker
+	draining        bool          // according to the labels of the worker
 	unlinkedAt      time.Duration // when the link was lost
 	ackedRenewals   int           // renewals acknowledged since the last inventory
-	// lost are attempts that were given up without a confirmed stop. The agent
-	// is told to stop them before its lease is renewed.
+	// abandoned holds attempts that were given up without a confirmed stop.
+	// Each lease renewal is preceded by commands to stop them.
 	abandoned map[model.AttemptID]bool
 
 	core *Core // set during a step
 }
 
-// PeerBinding binds charts/peer.scxml. It is exported for the checks that
-// explore the chart.
+// PeerBinding binds charts/peer.scxml to its guards, actions and timeouts.
 func PeerBinding() chart.Binding[peer] {
 	return chart.Binding[peer]{
 		Chart:  "peer",
@@ -80,6 +81,8 @@
 	}
 }
 
+// stepPeer feeds an event to the chart of a peer and reports whether the chart
+// has a transition for it.
 func (c *Core) stepPeer(p *peer, e chart.Event) bool {
 	p.core = c
 	if !peerChart.Step(p, &p.state, e) {
@@ -93,8 +96,10 @@
 	return true
 }
 
-// mayClaim: only an owner claims agents. While holding, a successor may exist;
-// a restarted agent has forgotten its epoch and must not be renewed by us then.
+// mayClaim reports whether the agent may be claimed. While the owner holds,
+// another entry may have claimed the cell. An agent that restarts then has no
+// epoch by which it could reject this owner, so this owner must not renew its
+// leases and claims only agents that it has claimed since their last restart.
 func (c *Core) mayClaim(p *peer) bool {
 	if !c.loaded {
 		return false
@@ -109,8 +114,8 @@
 	return msg.Command{Cell: c.opts.Cell, Epoch: c.cell.owner.Epoch}
 }
 
-// send addresses an agent. Without a link the message is dropped; every
-// command is repeated until it is answered.
+// send sends a message to an agent. The message is dropped if there is no link;
+// every command is repeated until it is answered.
 func (c *Core) send(p *peer, m msg.Control) {
 	if p.state != stUnlinked {
 		c.emit(Send{p.worker.ID, m})
@@ -121,7 +126,7 @@
 	p := c.peer(e.Worker.ID)
 	p.worker, p.boot, p.ackedRenewals = e.Worker, e.Boot, 0
 	p.grants.Relink(c.now)
-	c.noteLink(p, true)
+	c.trackLink(p, true)
 	c.setWorker(p)
 	c.updateDraining(p)
 	c.stepPeer(p, evUp)
@@ -129,13 +134,13 @@
 
 func (c *Core) onPeerDown(id model.WorkerID) {
 	if p := c.peers[id]; p != nil {
-		c.noteLink(p, false)
+		c.trackLink(p, false)
 		c.stepPeer(p, evDown)
 		p.unlinkedAt = c.now
 	}
 }
 
-// peer returns the record of a worker, which it creates.
+// peer returns the record of a worker. It creates the record if there is none.
 func (c *Core) peer(id model.WorkerID) *peer {
 	p := c.peers[id]
 	if p == nil {
@@ -146,6 +151,8 @@
 	return p
 }
 
+// setWorker updates the worker in the ledger after a change of its description,
+// its service or the configuration.
 func (c *Core) setWorker(p *peer) {
 	w := p.worker
 	w.Labels = mergeLabels(w.Labels, c.config.Workers[w.ID])
@@ -153,8 +160,8 @@
 	c.updateWorkerState(p)
 }
 
-// serviceLabels are the labels that selectors match the services on a worker
-// by.
+// serviceLabels returns the labels by which selectors match the service on a
+// worker.
 func (c *Core) serviceLabels(p *peer) []model.Labels {
 	if p.service == "" {
 		return nil
@@ -162,8 +169,9 @@
 	return []model.Labels{mergeLabels(c.config.Services[p.service], model.Labels{"service": string(p.service)})}
 }
 
-// onBackendState notes which service has a backend server on a worker. One
-// that is down keeps its place: it may return at any time.
+// onBackendState records the service of the backend server on a worker. A
+// backend server that is down keeps its reserved capacity, since it may be
+// ready again at any time.
 func (c *Core) onBackendState(p *peer, m *msg.BackendState) {
 	service := m.Service
 	if m.State == backendStateLeft {
@@ -176,12 +184,13 @@
 	}
 }
 
+// resetClaim drops the state that depends on the claim of the agent.
 func (p *peer) resetClaim() {
 	p.epochConfirmed, p.claimedBoot, p.ackedRenewals, p.chargedAttempts, p.grants = false, 0, 0, 0, lease.Grants{}
 	p.abandoned = map[model.AttemptID]bool{}
 }
 
-// confirm notes that the agent refuses older epochs from now on.
+// confirmClaim records that the agent rejects older epochs from now on.
 func (c *Core) confirmClaim(p *peer) {
 	if p.epochConfirmed {
 		p.grants.Extend(c.now, lease.TTL, lease.TTL)
@@ -192,7 +201,8 @@
 	c.renew(p)
 }
 
-// renew renews the leases of all attempts on an agent.
+// renew renews the lease of all attempts on an agent, after it has sent the stop
+// commands for abandoned attempts.
 func (c *Core) renew(p *peer) {
 	if p.state != stReady {
 		return
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -7,18 +7,19 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// merged returns labels with more added; more wins.
+// mergeLabels returns labels with more added. For a key in both, the value of
+// more is used.
 func mergeLabels(labels, more model.Labels) model.Labels {
 	if len(more) == 0 {
 		return labels
 	}
-	sum := make(model.Labels, len(labels)+len(more))
-	maps.Copy(sum, labels)
-	maps.Copy(sum, more)
-	return sum
+	merged := make(model.Labels, len(labels)+len(more))
+	maps.Copy(merged, labels)
+	maps.Copy(merged, more)
+	return merged
 }
 
-// labelsOf are the labels that selectors match a job's tasks by.
+// labelsOf returns the labels by which selectors match the tasks of a job.
 func (c *Core) labelsOf(j *job) model.Labels {
 	if j.labels == nil {
 		j.labels = c.jobLabels(j.row.Spec)
@@ -64,8 +65,9 @@
 	return place.Job{Spec: j.row.Spec, Labels: c.labelsOf(j), Size: j.size, SubmitOrder: j.order, Avoid: c.workersToAvoid(j.id)}
 }
 
-// plan places waiting jobs: each assignment is verified and reserved at the
-// newest state, and sent when its row is committed.
+// plan places waiting jobs. The ledger checks each assignment against its
+// present state and reserves the resources; the start command is sent once the
+// job row is committed.
 func (c *Core) plan() {
 	c.planNeeded = false
 	s := c.snapshot()
@@ -80,7 +82,7 @@
 			continue
 		}
 		if c.batch.full() {
-			c.planNeeded = true // the others are planned with the next transaction
+			c.planNeeded = true // the remaining jobs are planned with the next transaction
 			break
 		}
 		task := c.ledgerTask(j, j.row.Attempt+1)
@@ -98,8 +100,8 @@
 	}
 }
 
-// wait keeps why a job was not placed. A job that fits no worker at all is
-// reported in its row, so that its owner learns of it at once.
+// recordVerdict records why a job was not placed. If the job fits no worker at
+// all, the reason is also written to its row, where its submitter can see it.
 func (c *Core) recordVerdict(verdict place.Verdict) {
 	j := c.jobs[verdict.Job]
 	if j == nil || j.phase != stPending {
--- a/internal/control/policy_test.go
+++ b/internal/control/policy_test.go
@@ -12,8 +12,8 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against an urgent job that waits behind a full cell, and against the
-// loss of what is evicted for it.
+// Guards against an urgent job that waits because the cell is full, and against
+// preempted jobs that do not run again.
 func TestUrgentJobPreempts(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		w.submit(time.Minute, jobIDs("j", 4)...)
@@ -28,8 +28,8 @@
 	})
 }
 
-// Guards against a worker that fails every task and takes all the work, and
-// against jobs that suffer from it.
+// Guards against a worker that fails every task at once and so attracts most of
+// the jobs, which then fail.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	runScenario(t, 4, []model.EntryID{"a"}, func(w *world) {
 		w.submit(2*time.Second, jobIDs("warm", 16)...)
@@ -38,12 +38,13 @@
 		w.submit(2*time.Second, jobIDs("j", 60)...)
 		w.waitForPhase(3*time.Minute, "done", jobIDs("j", 60)...)
 		require.LessOrEqual(t, w.startedTasks()-76, 5, "wasted attempts")
-		require.Positive(t, w.startedTasks()-76, "the bad worker was used")
+		require.Positive(t, w.startedTasks()-76, "attempts on the failing worker")
 		require.Positive(t, w.eventCount(w.entries["a"], event.WorkerHealth))
 	})
 }
 
-// Guards against tasks that take the room of a host's backend server.
+// Guards against tasks that use the capacity reserved for the backend server of
+// their host.
 func TestCapacityReservedForBackendServer(t *testing.T) {
 	runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
 		for _, m := range []control.Message{
--- a/internal/control/preempt.go
+++ b/internal/control/preempt.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// preemptEach bounds the preemptions of a round; each costs a snapshot.
+	// maxPreemptionsPerPlan bounds the preemptions of a plan, because each takes
+	// a snapshot.
 	maxPreemptionsPerPlan = 8
-	// claimFor outlasts an eviction that waits for its checkpoint in vain.
+	// claimDuration is longer than an eviction whose checkpoint times out.
 	claimDuration = 2 * checkpointTimeout
 )
 
-// claim is room that is kept for an urgent job until a time.
+// capacityClaim is capacity that is kept for an urgent job until a time.
 type capacityClaim struct {
 	place.Claim
 	until time.Duration
 }
 
-// activeClaims drops the claims that are over and returns the others.
+// activeCapacityClaims removes the claims that have expired or whose job no
+// longer waits, and returns the others.
 func (c *Core) activeCapacityClaims() []place.Claim {
 	var list []place.Claim
 	for id, claim := range c.capacityClaims {
@@ -37,7 +39,7 @@
 	return list
 }
 
-// preempt evicts tasks for urgent jobs that fit nowhere.
+// preempt evicts tasks for urgent jobs that no worker has free capacity for.
 func (c *Core) preempt(waiting []place.Verdict) {
 	count := 0
 	for _, verdict := range waiting {
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -8,11 +8,11 @@
 func (c *Core) receive(worker model.WorkerID, m msg.Control) {
 	p := c.peers[worker]
 	if b, ok := m.(*msg.BackendState); ok && p != nil {
-		c.onBackendState(p, b) // sent once: it also counts before the cell is owned
+		c.onBackendState(p, b) // sent once, so it is recorded before the cell is owned, too
 		return
 	}
 	if p == nil || !c.isOwner() || !c.loaded {
-		return // agents repeat what is not acknowledged
+		return // agents repeat messages that are not acknowledged
 	}
 	switch m := m.(type) {
 	case *msg.Inventory:
@@ -32,11 +32,11 @@
 }
 
 // onInventory compares the attempts of an agent with those charged to it. An
-// attempt that its agent does not know is stopped, which bars a start command
-// that is still under way.
+// attempt that the agent does not know is stopped, so that a start command that
+// arrives later has no effect.
 func (c *Core) onInventory(p *peer, m *msg.Inventory) {
 	if m.Epoch != c.cell.owner.Epoch {
-		return // it precedes the agent's adoption of our epoch
+		return // sent before the agent adopted the present epoch
 	}
 	c.stepPeer(p, evInventory)
 	known := map[model.AttemptID]bool{}
@@ -52,8 +52,9 @@
 	}
 }
 
-// onReport handles the state of one attempt. Only the live attempt of its job
-// counts; others are stopped if they run and acknowledged when they have ended.
+// onReport handles the reported state of one attempt. Only the live attempt of
+// its job counts; other attempts are stopped while they run and acknowledged
+// when they have ended.
 func (c *Core) onReport(p *peer, r msg.TaskReport) {
 	j := c.jobs[r.Attempt.Job]
 	ended := r.State != model.TaskRunning
@@ -79,7 +80,8 @@
 	}
 }
 
-// acknowledge lets the agent forget an attempt once its result is committed.
+// acknowledge acknowledges the end of an attempt once its result is committed,
+// so that the agent can remove the attempt.
 func (c *Core) acknowledge(p *peer, j *job, id model.AttemptID) {
 	if j != nil && j.committed < j.generation {
 		j.hooks = append(j.hooks, hook{j.generation, hookAcknowledge, id.Number, p.worker.ID})
@@ -88,8 +90,8 @@
 	c.send(p, &msg.TaskAck{Command: c.newCommand(), Attempt: id})
 }
 
-// saveCheckpoint records a new checkpoint; an eviction goes on when its name
-// is committed.
+// saveCheckpoint records a new checkpoint in the job row. An eviction that waits
+// for the checkpoint continues when its name is committed.
 func (c *Core) saveCheckpoint(j *job, name string) {
 	if name == "" || name == j.row.Checkpoint {
 		return
--- a/internal/control/services_test.go
+++ b/internal/control/services_test.go
@@ -10,8 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// Guards against a selector between services and jobs that is ignored because
-// the controller does not know which service runs on a worker.
+// Guards against a selector between services and jobs that has no effect because
+// the controller does not track which service runs on a worker.
 func TestSelectorsMatchServicesOfWorker(t *testing.T) {
 	c := NewCore(Options{Cell: "c", Entry: "e", Planner: place.New(place.Options{})})
 	c.configure(Configuration{Services: map[model.Service]model.Labels{"permit-desk": {"tier": "front"}}})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -11,47 +11,48 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Clone returns an independent copy for an exploration of alternatives. The
-// planner and the health tracker are shared, so they must have no state.
+// Clone returns a copy of the core, with which an exploration can try
+// alternative events. The copies share the planner and the health tracker, which
+// therefore must have no state.
 func (c *Core) Clone() *Core {
-	n := *c
-	n.effects = nil
-	n.cell.core = nil
-	n.finishedCounts = maps.Clone(c.finishedCounts)
-	n.capacityClaims = maps.Clone(c.capacityClaims)
-	n.batch.queue, n.batch.inFlight = slices.Clone(c.batch.queue), slices.Clone(c.batch.inFlight)
-	n.peers = make(map[model.WorkerID]*peer, len(c.peers))
-	n.jobs, n.pending = make(map[model.JobID]*job, len(c.jobs)), make(map[model.JobID]*job, len(c.pending))
-	n.ledger = place.NewLedger()
+	clone := *c
+	clone.effects = nil
+	clone.cell.core = nil
+	clone.finishedCounts = maps.Clone(c.finishedCounts)
+	clone.capacityClaims = maps.Clone(c.capacityClaims)
+	clone.batch.queue, clone.batch.inFlight = slices.Clone(c.batch.queue), slices.Clone(c.batch.inFlight)
+	clone.peers = make(map[model.WorkerID]*peer, len(c.peers))
+	clone.jobs, clone.pending = make(map[model.JobID]*job, len(c.jobs)), make(map[model.JobID]*job, len(c.pending))
+	clone.ledger = place.NewLedger()
 	for id, p := range c.peers {
-		q := *p
-		q.core, q.abandoned = nil, maps.Clone(p.abandoned)
-		n.peers[id] = &q
-		n.ledger.SetWorker(q.worker, c.config.Reserved[q.service], c.serviceLabels(&q))
+		peerCopy := *p
+		peerCopy.core, peerCopy.abandoned = nil, maps.Clone(p.abandoned)
+		clone.peers[id] = &peerCopy
+		clone.ledger.SetWorker(peerCopy.worker, c.config.Reserved[peerCopy.service], c.serviceLabels(&peerCopy))
 		if w, ok := c.ledger.Worker(id); ok {
-			n.ledger.SetState(id, w.State)
+			clone.ledger.SetState(id, w.State)
 		}
 	}
 	for id, j := range c.jobs {
-		k := *j
-		k.core, k.hooks = nil, slices.Clone(j.hooks)
-		n.jobs[id] = &k
-		n.updatePending(&k)
-		if k.attempt.live {
-			n.ledger.Adopt(k.attempt.worker, n.ledgerTask(&k, k.attempt.number))
+		jobCopy := *j
+		jobCopy.core, jobCopy.hooks = nil, slices.Clone(j.hooks)
+		clone.jobs[id] = &jobCopy
+		clone.updatePending(&jobCopy)
+		if jobCopy.attempt.live {
+			clone.ledger.Adopt(jobCopy.attempt.worker, clone.ledgerTask(&jobCopy, jobCopy.attempt.number))
 		}
 	}
-	return &n
+	return &clone
 }
 
-// Normalizer makes encodings of equivalent states equal: revisions and lease
-// sequence numbers matter only by their order and difference.
+// Normalizer makes the encodings of equivalent states equal: of revisions only
+// the order matters, and of lease sequence numbers only the differences.
 type Normalizer struct {
 	RevisionRank   func(storage.Revision) int
 	SequenceOffset func(w model.WorkerID, seq uint64) int64
 }
 
-// EachRevision calls f with the revisions that the state holds.
+// EachRevision calls f with each revision in the state.
 func (c *Core) EachRevision(f func(storage.Revision)) {
 	f(c.cell.epochVersion)
 	f(c.cell.heartbeatVersion)
@@ -69,10 +70,10 @@
 	return 0
 }
 
-// AppendState appends an encoding of the state that is equal for states with
-// the same future. Instants are relative to the last step.
-func (c *Core) AppendState(b []byte, s Normalizer) []byte {
-	e := encoder{b, c.now, s}
+// AppendState appends an encoding of the state to b. States that behave equally
+// from now on have equal encodings. Times are relative to the last step.
+func (c *Core) AppendState(b []byte, norm Normalizer) []byte {
+	e := encoder{b, c.now, norm}
 	cell := &c.cell
 	e.ints(int64(cell.state), int64(cell.owner.Epoch), int64(min(cell.unchangedObservations, minUnchangedObservations)))
 	e.text(string(cell.owner.Owner))
@@ -91,7 +92,7 @@
 	return e.b
 }
 
-// encoder appends values to a state's encoding.
+// encoder appends values to the encoding of a state.
 type encoder struct {
 	b    []byte
 	now  time.Duration
@@ -125,7 +126,8 @@
 	}
 }
 
-// times encodes instants relative to now; what is long past is all the same.
+// times encodes times relative to now, in milliseconds. All times more than an
+// hour ago are encoded alike.
 func (e *encoder) times(values ...time.Duration) {
 	for _, v := range values {
 		if v != 0 {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -10,19 +10,20 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// Explanation says why a job is where it is.
+// Explanation describes the state of a job and the reason for it.
 type Explanation struct {
 	Job     model.JobID         `json:"job"`
-	Known   bool                `json:"known"` // false: over, or not of this cell, or this entry is not the owner
+	Known   bool                `json:"known"` // false: ended, or not of this cell, or this entry is not the owner
 	Phase   model.Phase         `json:"phase,omitempty"`
 	Attempt string              `json:"attempt,omitempty"` // state name of charts/attempt.scxml
 	Worker  model.WorkerID      `json:"worker,omitempty"`
 	Reason  string              `json:"reason,omitempty"`
-	Verdict *place.Verdict      `json:"verdict,omitempty"` // of the last plan
-	Workers []place.Explanation `json:"workers,omitempty"` // one for each worker, of a waiting job
+	Verdict *place.Verdict      `json:"verdict,omitempty"` // of the last plan that did not place the job
+	Workers []place.Explanation `json:"workers,omitempty"` // why each worker is rejected; only for a waiting job
 }
 
-// Status reports what is known of the cell.
+// Status returns the status of the cell. Phases, workers and evictions are set
+// only if this entry is the owner.
 func (c *Core) Status() model.CellStatus {
 	s := model.CellStatus{
 		Cell: c.opts.Cell, State: cellChart.StateName(c.cell.state), Epoch: c.cell.owner.Epoch, Owner: c.cell.owner.Owner,
@@ -60,7 +61,7 @@
 	return list
 }
 
-// Explain reports why a job is where it is.
+// Explain returns the state of a job and the reason for it.
 func (c *Core) Explain(id model.JobID) Explanation {
 	e := Explanation{Job: id}
 	j := c.jobs[id]
@@ -80,7 +81,7 @@
 	return e
 }
 
-// Final reports whether a job in the phase is over.
+// Final reports whether p is a final phase of a job.
 func Final(p model.Phase) bool {
 	i := slices.Index(JobBinding().States, string(p))
 	return i >= 0 && jobChart.Final(chart.State(i))
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -22,8 +22,8 @@
 	minBackoff  = 100 * time.Millisecond
 	maxBackoff  = 10 * time.Second
 	callTimeout = 5 * time.Second
-	// beatTimeout is below the time after which an unwritten heartbeat makes
-	// the owner hold, so that a lost response leaves time for another try.
+	// heartbeatTimeout is below lease.HoldAfter, so that after a lost response
+	// the heartbeat can be written again before the owner has to hold.
 	heartbeatTimeout = 2 * time.Second
 )
 
@@ -33,29 +33,30 @@
 	Operation string `json:"operation"`
 }
 
-// writer commits transactions one at a time and answers only when the outcome
-// is certain. Each transaction checks and replaces the writer's own row, so
-// that one whose response was lost can be read back, and can no longer take
-// effect after the next one did.
+// writer commits transactions one at a time and returns only when the outcome
+// is known. Each transaction checks and replaces the writer's own row. The row
+// shows whether a transaction whose response was lost took effect, and such a
+// transaction cannot take effect after a later one.
 type writer struct {
 	table           storage.Table
 	log             log.Interface
-	key             string // of the writer's row
-	operationPrefix string // of operation ids
-	operations      uint64
+	key             string           // of the writer's row
+	operationPrefix string           // of operation ids
+	operations      uint64           // started so far
 	version         storage.Revision // of the writer's row
-	versionKnown    bool             // version was read
+	versionKnown    bool             // false: version must be read from the table
 }
 
-// errFailed is the result of a transaction that certainly had no effect
-// because of the keys.
+// preconditionError is the result of a transaction that certainly had no effect,
+// because the rows of the keys had other versions than expected.
 type preconditionError struct{ keys []string }
 
 func (e preconditionError) Error() string {
 	return "precondition failed for " + strings.Join(e.keys, ", ")
 }
 
-// commit returns the revision, an errFailed, or the context's error.
+// commit commits a transaction and repeats it until its outcome is known. It
+// returns the revision, a preconditionError, or the error of the context.
 func (w *writer) commit(ctx context.Context, checks []storage.Check, puts []storage.Put) (storage.Revision, error) {
 	w.operations++
 	op := fmt.Sprintf("%s-%d", w.operationPrefix, w.operations)
@@ -66,7 +67,7 @@
 			return rev, errors.CombineErrors(err, ctx.Err())
 		}
 		if err == nil {
-			continue // only our own row had changed
+			continue // only the writer's own row had changed
 		}
 		event.Log(w.log, event.ControlStoreError, log.Fields{"operation": op, "error": err.Error()})
 		if !actor.Sleep(ctx, jitter(delay)) {
@@ -75,10 +76,10 @@
 	}
 }
 
-// try makes one attempt; done is false when it may be repeated.
+// tryCommit commits the transaction once. done is false if it must be repeated.
 func (w *writer) tryCommit(ctx context.Context, op string, checks []storage.Check, puts []storage.Put) (rev storage.Revision, done bool, err error) {
 	if !w.versionKnown {
-		// Either the first transaction, or the fate of the last try is unknown.
+		// This is the first transaction, or the outcome of the last try is unknown.
 		row, err := w.readBack(ctx)
 		if err != nil {
 			return 0, false, err
@@ -87,10 +88,10 @@
 			return w.version, true, nil
 		}
 	}
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	own := storage.Check{Key: w.key, Version: w.version}
-	rev, err = w.table.Commit(bounded, storage.Txn{Operation: op, Checks: append(slices.Clone(checks), own), Puts: puts})
+	ownRow := storage.Check{Key: w.key, Version: w.version}
+	rev, err = w.table.Commit(callCtx, storage.Txn{Operation: op, Checks: append(slices.Clone(checks), ownRow), Puts: puts})
 	var conflict *storage.ConflictError
 	switch {
 	case err == nil:
@@ -104,8 +105,8 @@
 	return 0, false, err
 }
 
-// conflict tells a failed precondition from an earlier try of the same
-// transaction that took effect.
+// conflict handles a conflict on the keys. It distinguishes a failed
+// precondition from an earlier try of the same transaction that took effect.
 func (w *writer) conflict(ctx context.Context, op string, keys []string) (storage.Revision, bool, error) {
 	if !slices.Contains(keys, w.key) {
 		return 0, true, preconditionError{keys}
@@ -123,6 +124,7 @@
 	return 0, false, nil
 }
 
+// readBack reads the writer's own row.
 func (w *writer) readBack(ctx context.Context) (writerRow, error) {
 	row, version, err := readRow[writerRow](ctx, w.table, w.key)
 	if err == nil {
@@ -131,11 +133,11 @@
 	return row, err
 }
 
-// readRow reads and decodes a row; version 0 means that it is absent.
+// readRow reads and decodes a row. The version is 0 if the row does not exist.
 func readRow[T any](ctx context.Context, t storage.Table, key string) (v T, version storage.Revision, err error) {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	row, err := t.Read(bounded, key)
+	row, err := t.Read(callCtx, key)
 	if errors.Is(err, storage.ErrNotFound) {
 		return v, 0, nil
 	}
@@ -146,7 +148,7 @@
 	return v, row.Version, err
 }
 
-// jittered spreads retries over half to one and a half times d.
+// jitter returns a random delay between half of d and one and a half times d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 // commitRows carries out a Commit effect.
@@ -164,14 +166,15 @@
 	case err == nil:
 		return Committed{Fence: effect.Fence, Revision: rev}
 	case !errors.As(err, &failed):
-		return nil // the actor ends
+		return nil // the context is done and the actor ends
 	case slices.Contains(failed.keys, rows.CellEpochKey(s.cell)):
 		return Rejected{Fence: effect.Fence, Fenced: true}
 	}
 	return s.rejected(ctx, effect.Fence, failed.keys)
 }
 
-// rejected reads the present rows of the failed keys.
+// rejected reads the current rows of the failed keys. It repeats each read until
+// it succeeds.
 func (s *store) rejected(ctx context.Context, fence storage.Revision, keys []string) Event {
 	r := Rejected{Fence: fence}
 	for _, key := range keys {
@@ -204,14 +207,14 @@
 	return Claimed{}
 }
 
-// beat carries out a Beat effect. It is tried once: the next heartbeat
-// replaces a lost one.
+// writeHeartbeat carries out a WriteHeartbeat effect. It tries once, because the
+// next heartbeat replaces a lost one.
 func (s *store) writeHeartbeat(ctx context.Context, effect WriteHeartbeat) Event {
-	bounded, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	fence := rows.CellEpochKey(s.cell)
 	op := fmt.Sprintf("%s-beat-%d", s.writer.operationPrefix, effect.Heartbeat.Counter)
-	_, err := s.table.Commit(bounded, storage.Txn{
+	_, err := s.table.Commit(callCtx, storage.Txn{
 		Operation: op,
 		Checks:    []storage.Check{{Key: fence, Version: effect.Fence}},
 		Puts: []storage.Put{
@@ -229,15 +232,15 @@
 	if err != nil {
 		return Observed{Err: err}
 	}
-	_, beat, err := readRow[rows.CellHeartbeat](ctx, s.table, rows.CellHeartbeatKey(s.cell))
-	return Observed{Err: err, Epoch: epoch, EpochVersion: version, HeartbeatVersion: beat}
+	_, heartbeatVersion, err := readRow[rows.CellHeartbeat](ctx, s.table, rows.CellHeartbeatKey(s.cell))
+	return Observed{Err: err, Epoch: epoch, EpochVersion: version, HeartbeatVersion: heartbeatVersion}
 }
 
 // scan carries out a Scan effect.
 func (s *store) scan(ctx context.Context, effect Scan) Event {
-	bounded, cancel := context.WithTimeout(ctx, 2*callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
-	found, through, err := s.table.Scan(bounded, rows.JobPrefix(s.cell), effect.After)
+	found, through, err := s.table.Scan(callCtx, rows.JobPrefix(s.cell), effect.After)
 	e := Scanned{Fence: effect.Fence, Err: err, Through: through}
 	for _, r := range found {
 		row := JobRow{ID: model.JobID(strings.TrimPrefix(r.Key, rows.JobPrefix(s.cell))), Version: r.Version, Deleted: r.Deleted}
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -23,8 +23,8 @@
 
 const cellName = "c1"
 
-// world is a cell in virtual time: entries, agents with their workers, links
-// and the table service.
+// world simulates a cell in virtual time: entries, agents with their workers,
+// links and the table service.
 type world struct {
 	*testing.T
 	ctx      context.Context
@@ -39,8 +39,8 @@
 	id           model.EntryID
 	group        *actor.Group
 	controller   actor.Address[control.Message]
-	plannerPause atomic.Pointer[chan struct{}] // when set, the planner waits for it: the owner is frozen
-	eventIDs     *[]int                        // numbers of the events logged
+	plannerPause atomic.Pointer[chan struct{}] // if set, the planner waits for it, which pauses the owner
+	eventIDs     *[]int                        // numbers of the logged events
 }
 
 type agent struct {
@@ -50,10 +50,11 @@
 	taskAgent actor.Address[taskagent.Message]
 	boot      model.Boot
 	links     map[model.EntryID]*link
-	logPause  atomic.Pointer[chan struct{}] // when set, the next log entry waits for it
+	logPause  atomic.Pointer[chan struct{}] // if set, the next log entry waits for it, which pauses the agent
 }
 
-// wire is a link between an agent and an entry.
+// link is a link between an agent and an entry. It can drop or delay the
+// messages of each direction.
 type link struct {
 	group                      *actor.Group
 	toEntry, toAgent           actor.Address[msg.Control]
@@ -61,7 +62,8 @@
 	delayToEntry, delayToAgent atomic.Int64 // nanoseconds
 }
 
-// run runs a scenario with n workers of 4 slots each and the entries given.
+// runScenario runs a scenario with the given entries and number of workers, of
+// which each has the capacity for 4 tasks.
 func runScenario(t *testing.T, workers int, entries []model.EntryID, scenario func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +112,7 @@
 	return e
 }
 
-// planner freezes its owner on demand.
+// planner is a planner that a test can block, which pauses the owner.
 type planner struct {
 	control.Planner
 	entry *entry
@@ -140,7 +142,7 @@
 
 func (w *world) actorFailed(x actor.Exit) { w.Errorf("actor %s failed: %v", x.Actor, x.Err) }
 
-// pump forwards the messages of one direction of a link.
+// forward spawns an actor that forwards the messages of one direction of a link.
 func forward(g *actor.Group, lose *atomic.Bool, delay *atomic.Int64, deliver func(context.Context, msg.Control)) actor.Address[msg.Control] {
 	return actor.Spawn(g, actor.Spec[msg.Control]{Name: "pump", Mailbox: 4096, Run: func(ctx context.Context, in <-chan msg.Control) error {
 		for {
@@ -200,8 +202,8 @@
 	}
 }
 
-// freezeAgent freezes the owner of a host's attempts until thaw is called.
-func (w *world) pauseAgent(id model.WorkerID) (thaw func()) {
+// pauseAgent pauses the agent of a worker until resume is called.
+func (w *world) pauseAgent(id model.WorkerID) (resume func()) {
 	a := w.agents[id]
 	pause := make(chan struct{})
 	a.logPause.Store(&pause)
@@ -220,12 +222,12 @@
 
 func (w *world) sleep(d time.Duration) { actor.Sleep(w.ctx, d) }
 
-// until waits for a condition, at most for d.
+// waitUntil waits for a condition, at most for d, and fails the test otherwise.
 func (w *world) waitUntil(d time.Duration, what string, cond func() bool) {
 	w.Helper()
 	for end := time.Now().Add(d); !cond(); w.sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
-			require.Fail(w, "not reached in time: "+what, "status %+v", w.status())
+			require.Fail(w, "condition not met in time: "+what, "status %+v", w.status())
 		}
 	}
 }
