--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -18,7 +18,7 @@
 	stUnknown
 	stCheckpointing
 	stStopping
-	stOver
+	stEnded
 )
 
 // Events of charts/attempt.scxml.
--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -77,12 +77,12 @@
 		}
 		return
 	}
-	fresh := map[model.JobID]JobRow{}
+	current := map[model.JobID]JobRow{}
 	for _, r := range e.Rows {
-		fresh[r.ID] = r
+		current[r.ID] = r
 	}
 	c.finishTransaction(func(j *job) {
-		if r, ok := fresh[j.id]; ok {
+		if r, ok := current[j.id]; ok {
 			j.version = 0 // expects no row: a deleted row is created again
 			c.onRow(r)
 		}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -12,7 +12,7 @@
 )
 
 // cellAtTarget returns the owner of a cell of the target size, a tenth of the
-// system: 690 workers with 11,000 running tasks, half of which are reported.
+// system: 690 workers with 11,000 running tasks.
 func cellAtTarget(b *testing.B) (c *Core, now time.Duration) {
 	c = NewCore(Options{Cell: "c", Entry: "e", Boot: 1, Planner: place.New(place.Options{}), Health: health.New()})
 	c.Step(0, Observed{})
@@ -53,27 +53,29 @@
 	}
 }
 
+// applyAnswer steps the core with the answer of the table service or an agent to
+// an effect, and does the same for the effects of that step.
 func applyAnswer(c *Core, now time.Duration, effect Effect) {
-	var more []Effect
-	switch f := effect.(type) {
+	var effects []Effect
+	switch effect := effect.(type) {
 	case WriteHeartbeat:
-		more = c.Step(now, HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: true})
+		effects = c.Step(now, HeartbeatWritten{Fence: effect.Fence, Sent: effect.Sent, OK: true})
 	case Scan:
-		more = c.Step(now, Scanned{Fence: f.Fence, Through: f.After})
+		effects = c.Step(now, Scanned{Fence: effect.Fence, Through: effect.After})
 	case Commit:
-		more = c.Step(now, Committed{Fence: f.Fence, Revision: 2})
+		effects = c.Step(now, Committed{Fence: effect.Fence, Revision: 2})
 	case Send:
-		if m, ok := f.Msg.(*msg.LeaseRenew); ok {
-			more = c.Step(now, Received{f.Worker, &msg.LeaseAck{Epoch: m.Epoch, Sequence: m.Sequence}})
+		if m, ok := effect.Msg.(*msg.LeaseRenew); ok {
+			effects = c.Step(now, Received{effect.Worker, &msg.LeaseAck{Epoch: m.Epoch, Sequence: m.Sequence}})
 		}
 	}
-	for _, g := range append([]Effect(nil), more...) {
-		applyAnswer(c, now, g)
+	for _, next := range append([]Effect(nil), effects...) {
+		applyAnswer(c, now, next)
 	}
 }
 
-// BenchmarkPlacement measures a job from its row to its committed placement
-// at the target size.
+// BenchmarkPlacement measures the placement of a job at the target size, from the
+// scan of its row to the commit.
 func BenchmarkPlacement(b *testing.B) {
 	c, now := cellAtTarget(b)
 	for range 20 {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -144,14 +144,14 @@
 		operationPrefix: fmt.Sprintf("%s/%x/%x", id, uint64(cfg.Boot), time.Now().UnixNano()),
 	}}
 	c := &controller{core: NewCore(opts), log: cfg.Log, startedAt: time.Now(), links: links, answers: make(chan Event, 16)}
-	c.writes = c.helper(g, "writer", func(ctx context.Context, effect Effect) Event {
+	c.writes = c.spawnHelper(g, "writer", func(ctx context.Context, effect Effect) Event {
 		if claim, ok := effect.(Claim); ok {
 			return s.claim(ctx, claim)
 		}
 		return s.commitRows(ctx, effect.(Commit))
 	})
-	c.heartbeats = c.helper(g, "beat", func(ctx context.Context, effect Effect) Event { return s.writeHeartbeat(ctx, effect.(WriteHeartbeat)) })
-	c.reads = c.helper(g, "reader", func(ctx context.Context, effect Effect) Event {
+	c.heartbeats = c.spawnHelper(g, "beat", func(ctx context.Context, effect Effect) Event { return s.writeHeartbeat(ctx, effect.(WriteHeartbeat)) })
+	c.reads = c.spawnHelper(g, "reader", func(ctx context.Context, effect Effect) Event {
 		if scan, ok := effect.(Scan); ok {
 			return s.scan(ctx, scan)
 		}
@@ -160,10 +160,10 @@
 	return c
 }
 
-// helper spawns an actor that carries out effects one after the other. Its
+// spawnHelper spawns an actor that carries out effects one after the other. Its
 // mailbox cannot overflow, since the core has at most one effect of each kind
 // unanswered.
-func (c *controller) helper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
+func (c *controller) spawnHelper(g *actor.Group, name string, do func(context.Context, Effect) Event) actor.Address[Effect] {
 	return actor.Spawn(g, actor.Spec[Effect]{Name: name, Mailbox: 4, Run: func(ctx context.Context, in <-chan Effect) error {
 		for {
 			select {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -79,7 +79,7 @@
 // Guards against jobs that are lost or run twice when a controller is killed
 // while placements, evictions and completions are not yet committed.
 func TestSuccessorTakesOver(t *testing.T) {
-	for kill := time.Duration(0); kill < 3*time.Second; kill += 53 * time.Millisecond {
+	for killDelay := time.Duration(0); killDelay < 3*time.Second; killDelay += 53 * time.Millisecond {
 		runScenario(t, 3, []model.EntryID{"a", "b"}, func(w *world) {
 			owner := w.owner()
 			w.sleep(time.Second)
@@ -90,7 +90,7 @@
 			w.waitForPhase(5*time.Second, "running", late[0])
 			require.NoError(t, owner.controller.Send(w.ctx, control.EvictJob{Job: late[0], Reason: "test"}))
 			w.submit(5*time.Second, jobIDs("n", 4)...)
-			w.sleep(kill)
+			w.sleep(killDelay)
 			w.killEntry(owner.id)
 			w.waitForPhase(time.Minute, "done", append(append(jobIDs("n", 4), early...), late...)...)
 			require.LessOrEqual(t, w.startedTasks(), 12+4, "attempts exceed the jobs plus one for each eviction and takeover")
@@ -156,8 +156,8 @@
 // response to its transaction was lost.
 func TestLostCommitResponses(t *testing.T) {
 	for _, fault := range []struct {
-		name, mark string
-		late       time.Duration
+		name, valuePart string        // valuePart is in the rows of the transactions whose response is lost
+		commitDelay     time.Duration // until these transactions take effect
 	}{
 		{"placement", `"phase":"placed"`, 0}, {"start", `"phase":"running"`, 0}, {"eviction", `"phase":"evicting"`, 0},
 		{"checkpoint", `"checkpoint":"checkpoint/j0/1/1"`, 0}, {"completion", `"phase":"done"`, 0}, {"all", `"`, 0},
@@ -166,11 +166,11 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			runScenario(t, 1, []model.EntryID{"a"}, func(w *world) {
-				w.table.withLock(func() { w.table.lostCommitDelay = fault.late })
+				w.table.withLock(func() { w.table.lostCommitDelay = fault.commitDelay })
 				lost := map[string]bool{}
 				w.table.loseResponse = func(txn storage.Txn) bool {
 					for _, p := range txn.Puts {
-						if strings.HasPrefix(p.Key, "job/") && strings.Contains(string(p.Value), fault.mark) && !lost[txn.Operation] {
+						if strings.HasPrefix(p.Key, "job/") && strings.Contains(string(p.Value), fault.valuePart) && !lost[txn.Operation] {
 							lost[txn.Operation] = true
 							return true
 						}
@@ -267,9 +267,9 @@
 // Guards against many cancellations that take one transaction each, and against
 // a task that starts after its job was cancelled.
 func TestManyCancellations(t *testing.T) {
-	const wave = 10000
+	const cancellations = 10000
 	runScenario(t, 2, []model.EntryID{"a"}, func(w *world) {
-		ids := jobIDs("j", wave)
+		ids := jobIDs("j", cancellations)
 		w.submit(time.Hour, ids...)
 		w.waitUntil(20*time.Second, "full workers", func() bool { return w.runningTasks() == 8 })
 		w.sleep(5 * time.Second)
@@ -278,10 +278,10 @@
 			w.table.edit(id, func(r *model.JobRow) { r.CancelRequested = true })
 		}
 		w.waitForPhase(time.Minute, "cancelled", ids...)
-		require.LessOrEqual(t, w.commitCount()-before, wave/100)
+		require.LessOrEqual(t, w.commitCount()-before, cancellations/100)
 		require.Zero(t, w.runningTasks())
 		w.sleep(time.Minute)
 		require.Equal(t, started, w.startedTasks())
-		require.Equal(t, wave, w.status()["a"].Phases["cancelled"])
+		require.Equal(t, cancellations, w.status()["a"].Phases["cancelled"])
 	})
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -128,7 +128,7 @@
 	WriteHeartbeat struct {
 		Heartbeat rows.CellHeartbeat
 		Fence     storage.Revision
-		Sent      time.Duration
+		Sent      time.Duration // time of the step; the answer repeats it
 	}
 	// Scan reads the job rows that changed after the revision After.
 	Scan struct {
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -40,9 +40,9 @@
 // outage.
 func (s *table) wait(ctx context.Context) error {
 	s.mu.Lock()
-	delay, away := s.delay, s.unavailable
+	delay, unavailable := s.delay, s.unavailable
 	s.mu.Unlock()
-	if !actor.Sleep(ctx, delay) || away {
+	if !actor.Sleep(ctx, delay) || unavailable {
 		return storage.ErrUnavailable
 	}
 	return nil
--- a/internal/control/interference_test.go
+++ b/internal/control/interference_test.go
@@ -15,7 +15,7 @@
 // second. The p99 is above its target while percent, the highest processor limit
 // of the batch tasks, is above 50.
 func (w *world) reportServiceUsage(worker model.WorkerID, seconds int, percent func() int) {
-	ctl := w.entries["a"].controller
+	controller := w.entries["a"].controller
 	for s := range seconds {
 		usage := msg.ServiceUsage{Service: "permit-desk", Class: "read", Slots: 8, Busy: 0.5, Arrivals: 400, Mean: 10 * time.Millisecond}
 		if s%10 == 9 {
@@ -24,7 +24,7 @@
 				usage.P99 = 120 * time.Millisecond
 			}
 		}
-		require.NoError(w, ctl.Send(w.ctx, control.FromAgent{Worker: worker,
+		require.NoError(w, controller.Send(w.ctx, control.FromAgent{Worker: worker,
 			Msg: &msg.UsageReport{Worker: worker, Services: []msg.ServiceUsage{usage}}}))
 		w.sleep(time.Second)
 	}
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -22,9 +22,9 @@
 
 // Events of charts/peer.scxml.
 const (
-	evUp chart.Event = iota
+	evLinkUp chart.Event = iota
 	evOwnershipConfirmed
-	evDown
+	evLinkDown
 	evRetry
 	evInventory
 	evOwnershipLost
@@ -129,13 +129,13 @@
 	c.trackLink(p, true)
 	c.setWorker(p)
 	c.updateDraining(p)
-	c.stepPeer(p, evUp)
+	c.stepPeer(p, evLinkUp)
 }
 
 func (c *Core) onPeerDown(id model.WorkerID) {
 	if p := c.peers[id]; p != nil {
 		c.trackLink(p, false)
-		c.stepPeer(p, evDown)
+		c.stepPeer(p, evLinkDown)
 		p.unlinkedAt = c.now
 	}
 }
--- a/internal/control/preempt.go
+++ b/internal/control/preempt.go
@@ -13,8 +13,8 @@
 	// maxPreemptionsPerPlan bounds the preemptions of a plan, because each takes
 	// a snapshot.
 	maxPreemptionsPerPlan = 8
-	// claimDuration is longer than an eviction whose checkpoint times out.
-	claimDuration = 2 * checkpointTimeout
+	// capacityClaimDuration is longer than an eviction whose checkpoint times out.
+	capacityClaimDuration = 2 * checkpointTimeout
 )
 
 // capacityClaim is capacity that is kept for an urgent job until a time.
@@ -55,7 +55,7 @@
 			continue
 		}
 		count++
-		c.capacityClaims[j.id] = capacityClaim{place.Claim{Job: j.id, Worker: choice.Worker, Size: j.size}, c.now + claimDuration}
+		c.capacityClaims[j.id] = capacityClaim{place.Claim{Job: j.id, Worker: choice.Worker, Size: j.size}, c.now + capacityClaimDuration}
 		c.log(event.Preempted, map[string]any{"job": j.id, "worker": choice.Worker, "victims": len(choice.Victims)})
 		for _, id := range choice.Victims {
 			c.evict(id.Job, "preempted by urgent job "+string(j.id))
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -170,12 +170,12 @@
 	case slices.Contains(failed.keys, rows.CellEpochKey(s.cell)):
 		return Rejected{Fence: effect.Fence, Fenced: true}
 	}
-	return s.rejected(ctx, effect.Fence, failed.keys)
+	return s.readRejectedRows(ctx, effect.Fence, failed.keys)
 }
 
-// rejected reads the current rows of the failed keys. It repeats each read until
-// it succeeds.
-func (s *store) rejected(ctx context.Context, fence storage.Revision, keys []string) Event {
+// readRejectedRows reads the current rows of the failed keys and returns a
+// Rejected. It repeats each read until it succeeds.
+func (s *store) readRejectedRows(ctx context.Context, fence storage.Revision, keys []string) Event {
 	r := Rejected{Fence: fence}
 	for _, key := range keys {
 		id := model.JobID(strings.TrimPrefix(key, rows.JobPrefix(s.cell)))
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -96,13 +96,13 @@
 	w.lastBoot++
 	e := &entry{id: id, group: actor.NewGroup(w.ctx, w.actorFailed), eventIDs: &[]int{}}
 	w.entries[id] = e
-	seen := e.eventIDs
+	eventIDs := e.eventIDs
 	e.controller = control.Start(e.group, control.Config{
 		Options:    control.Options{Cell: cellName, Entry: id, Boot: w.lastBoot},
 		Table:      w.table,
 		NewPlanner: func() control.Planner { return &planner{entry: e, Planner: place.New(place.Options{})} },
 		Log: &log.Logger{Level: log.DebugLevel, Handler: log.HandlerFunc(func(l *log.Entry) error {
-			w.table.withLock(func() { *seen = append(*seen, l.Fields["event"].(int)) })
+			w.table.withLock(func() { *eventIDs = append(*eventIDs, l.Fields["event"].(int)) })
 			return nil
 		})},
 	})
@@ -143,15 +143,15 @@
 func (w *world) actorFailed(x actor.Exit) { w.Errorf("actor %s failed: %v", x.Actor, x.Err) }
 
 // forward spawns an actor that forwards the messages of one direction of a link.
-func forward(g *actor.Group, lose *atomic.Bool, delay *atomic.Int64, deliver func(context.Context, msg.Control)) actor.Address[msg.Control] {
-	return actor.Spawn(g, actor.Spec[msg.Control]{Name: "pump", Mailbox: 4096, Run: func(ctx context.Context, in <-chan msg.Control) error {
+func forward(g *actor.Group, drop *atomic.Bool, delay *atomic.Int64, deliver func(context.Context, msg.Control)) actor.Address[msg.Control] {
+	return actor.Spawn(g, actor.Spec[msg.Control]{Name: "forward", Mailbox: 4096, Run: func(ctx context.Context, in <-chan msg.Control) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case m := <-in:
 				d := time.Duration(delay.Load())
-				if !lose.Load() && (d == 0 || actor.Sleep(ctx, d)) {
+				if !drop.Load() && (d == 0 || actor.Sleep(ctx, d)) {
 					deliver(ctx, m)
 				}
 			}
@@ -161,16 +161,16 @@
 
 func (w *world) connect(a *agent, e *entry) {
 	l := &link{group: actor.NewGroup(w.ctx, w.actorFailed)}
-	owner, ctl, id := a.taskAgent, e.controller, a.worker.ID
+	taskAgent, controller, id := a.taskAgent, e.controller, a.worker.ID
 	l.toEntry = forward(l.group, &l.dropToEntry, &l.delayToEntry, func(ctx context.Context, m msg.Control) {
-		_ = ctl.Send(ctx, control.FromAgent{Worker: id, Msg: m})
+		_ = controller.Send(ctx, control.FromAgent{Worker: id, Msg: m})
 	})
 	l.toAgent = forward(l.group, &l.dropToAgent, &l.delayToAgent, func(ctx context.Context, m msg.Control) {
-		_ = owner.Send(ctx, taskagent.FromEntry{Entry: e.id, Msg: m})
+		_ = taskAgent.Send(ctx, taskagent.FromEntry{Entry: e.id, Msg: m})
 	})
 	a.links[e.id] = l
-	_ = owner.Send(w.ctx, taskagent.EntryUp{Entry: e.id, Link: l.toEntry})
-	_ = ctl.Send(w.ctx, control.AgentUp{Worker: a.worker, Cell: cellName, Boot: a.boot, Link: l.toAgent})
+	_ = taskAgent.Send(w.ctx, taskagent.EntryUp{Entry: e.id, Link: l.toEntry})
+	_ = controller.Send(w.ctx, control.AgentUp{Worker: a.worker, Cell: cellName, Boot: a.boot, Link: l.toAgent})
 }
 
 func (w *world) disconnect(a *agent, e *entry) {
