--- a/internal/control/batch.go
+++ b/internal/control/batch.go
@@ -110,7 +110,7 @@
 		}
 		if jobChart.Final(j.phase) && j.committed == j.generation {
 			c.finishedCounts[model.Phase(jobChart.StateName(j.phase))]++
-			c.forgetHealth(id)
+			c.removeJobHealth(id)
 			c.removeJob(id)
 		}
 	}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (c *Core) forgetHealth(id model.JobID) {
+func (c *Core) removeJobHealth(id model.JobID) {
 	if tracker := c.opts.Health; tracker != nil {
 		tracker.ForgetJob(id)
 	}
