--- a/internal/jobs/core.go
+++ b/internal/jobs/core.go
@@ -17,8 +17,8 @@
 // grant, and Lapse is when it has ended for certain: the host's clock may be
 // 2% slow.
 const (
-	LeaseTime = 6 * time.Second
-	Lapse     = LeaseTime + LeaseTime/50 + 300*time.Millisecond
+	LeaseDuration = 6 * time.Second
+	LeaseExpiry   = LeaseDuration + LeaseDuration/50 + 300*time.Millisecond
 )
 
 // HostMessage is a message for the agent of a host.
@@ -53,26 +53,26 @@
 
 // Core is the state of an owner. It belongs to one goroutine.
 type Core struct {
-	epoch uint64
-	now   time.Duration
-	wall  int64 // Unix milliseconds, for rows
-
-	hosts     map[workload.HostName]*host
-	jobs      map[workload.JobID]*job
-	cancelled map[workload.JobID]time.Duration // of jobs that are not known yet
-	ready     map[*task]struct{}
-	plan      bool // something changed that may let a task start
-
-	contention  *contention.Model
-	harmsStored time.Duration // when they were last put into a batch
-
-	list      hostList
-	dirty     map[*job]struct{}
-	removals  []workload.JobID
-	writing   *Batch
-	recovered time.Duration // recovered tasks whose runs are unknown start after it
-
-	sends     []HostMessage
+	epoch  uint64
+	now    time.Duration
+	wallMS int64 // Unix milliseconds, for rows
+
+	hosts      map[workload.HostName]*host
+	jobs       map[workload.JobID]*job
+	cancelled  map[workload.JobID]time.Duration // of jobs that are not known yet
+	ready      map[*task]struct{}
+	planNeeded bool // something changed that may let a task start
+
+	contention           *contention.Model
+	interferenceStoredAt time.Duration // when they were last put into a batch
+
+	hostList         hostList
+	dirty            map[*job]struct{}
+	removals         []workload.JobID
+	pendingBatch     *Batch
+	recoveryDeadline time.Duration // recovered tasks whose runs are unknown start after it
+
+	messages  []HostMessage
 	phases    []msg.JobPhase
 	decisions []Decision
 }
@@ -82,7 +82,7 @@
 	return &Core{
 		epoch: epoch, now: now, hosts: map[workload.HostName]*host{}, jobs: map[workload.JobID]*job{},
 		cancelled: map[workload.JobID]time.Duration{}, ready: map[*task]struct{}{},
-		contention: contention.NewModel(), list: hostList{stored: map[workload.HostName]bool{}}, dirty: map[*job]struct{}{},
+		contention: contention.NewModel(), hostList: hostList{stored: map[workload.HostName]bool{}}, dirty: map[*job]struct{}{},
 	}
 }
 
@@ -90,12 +90,12 @@
 func (c *Core) Epoch() uint64 { return c.epoch }
 
 // Advance sets the time. Call it before each event.
-func (c *Core) Advance(now time.Duration, wallMS int64) { c.now, c.wall = now, wallMS }
+func (c *Core) Advance(now time.Duration, wallMS int64) { c.now, c.wallMS = now, wallMS }
 
 // Messages returns the messages for agents since the last call.
 func (c *Core) Messages() []HostMessage {
-	out := c.sends
-	c.sends = nil
+	out := c.messages
+	c.messages = nil
 	return out
 }
 
@@ -117,17 +117,17 @@
 func (c *Core) AllPhases() []msg.JobPhase {
 	list := make([]msg.JobPhase, 0, len(c.jobs))
 	for _, j := range c.jobs {
-		list = append(list, j.shown())
+		list = append(list, j.visiblePhase())
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].ID < list[k].ID })
 	return list
 }
 
 func (c *Core) send(h *host, m msg.Control) {
-	c.sends = append(c.sends, HostMessage{h.info.Name, m})
+	c.messages = append(c.messages, HostMessage{h.info.Name, m})
 }
 
-func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
+func (c *Core) addDecision(d Decision) { c.decisions = append(c.decisions, d) }
 
 // tickInterval is how often timeouts are looked for.
 const tickInterval = 100 * time.Millisecond
@@ -147,18 +147,18 @@
 	}
 	c.contention.DropIdleGroups(c.now)
 	for id, at := range c.cancelled {
-		if c.now-at > keepCancelled {
+		if c.now-at > cancellationRetention {
 			delete(c.cancelled, id)
 		}
 	}
-	if c.recovered != 0 && c.now >= c.recovered {
-		c.recovered = 0
-		c.plan = true
+	if c.recoveryDeadline != 0 && c.now >= c.recoveryDeadline {
+		c.recoveryDeadline = 0
+		c.planNeeded = true
 	}
 }
 
 // keepCancelled is how long a cancellation waits for its job's row.
-const keepCancelled = time.Minute
+const cancellationRetention = time.Minute
 
 // sortedHosts returns the hosts in the order of their names, so that equal
 // inputs give equal plans.
--- a/internal/jobs/world_test.go
+++ b/internal/jobs/harness_test.go
@@ -11,21 +11,21 @@
 )
 
 // world drives a core as its entry does, and plays the agents.
-type world struct {
+type harness struct {
 	t       *testing.T
 	core    *Core
 	now     time.Duration
 	started map[workload.RunID]workload.HostName
 	stopped map[workload.RunID]bool
-	inbox   map[workload.HostName][]msg.Control
+	sent    map[workload.HostName][]msg.Control
 	ends    map[workload.HostName]uint64
-	shown   map[workload.JobID][]workload.Phase
+	phases  map[workload.JobID][]workload.Phase
 }
 
-func newWorld(t *testing.T, epoch uint64) *world {
-	w := &world{
+func newHarness(t *testing.T, epoch uint64) *harness {
+	w := &harness{
 		t: t, core: New(epoch, 0), started: map[workload.RunID]workload.HostName{}, stopped: map[workload.RunID]bool{},
-		inbox: map[workload.HostName][]msg.Control{}, ends: map[workload.HostName]uint64{}, shown: map[workload.JobID][]workload.Phase{},
+		sent: map[workload.HostName][]msg.Control{}, ends: map[workload.HostName]uint64{}, phases: map[workload.JobID][]workload.Phase{},
 	}
 	return w
 }
@@ -41,15 +41,15 @@
 	return workload.Job{ID: workload.JobID(id), Queue: "q", Service: "desk", MaxAttempts: 2, TargetSlowdown: 2, TargetLatency: time.Second, Steps: steps}
 }
 
-func tasks(count int, cpu int64, after ...int) workload.Step {
+func newStep(count int, cpu int64, after ...int) workload.Step {
 	return workload.Step{Count: count, Need: workload.Resources{MilliCPU: cpu, MemoryMB: 1}, Estimate: time.Second, After: after}
 }
 
 // settle applies what the core decided until nothing is left to do.
-func (w *world) settle() {
+func (w *harness) process() {
 	w.core.Plan()
 	for _, s := range w.core.Messages() {
-		w.inbox[s.Host] = append(w.inbox[s.Host], s.Message)
+		w.sent[s.Host] = append(w.sent[s.Host], s.Message)
 		switch m := s.Message.(type) {
 		case *msg.StartRuns:
 			for _, r := range m.Starts {
@@ -62,55 +62,55 @@
 		}
 	}
 	for _, p := range w.core.Phases() {
-		w.shown[p.ID] = append(w.shown[p.ID], p.Phase)
+		w.phases[p.ID] = append(w.phases[p.ID], p.Phase)
 	}
 	w.core.Decisions()
 }
 
-func (w *world) advance(d time.Duration) {
+func (w *harness) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += 100 * time.Millisecond
 		w.core.Advance(w.now, w.now.Milliseconds())
 		w.core.Tick()
-		w.settle()
+		w.process()
 	}
 }
 
 // link brings a host up with an inventory.
-func (w *world) link(h workload.Host, runs ...msg.RunStatus) {
+func (w *harness) link(h workload.Host, runs ...msg.RunStatus) {
 	w.core.Linked(h)
 	w.core.Inventory(&msg.HostInventory{Epoch: w.core.epoch, Host: h, Runs: runs})
-	w.listHosts()
-	w.settle()
+	w.storeHosts()
+	w.process()
 }
 
 // listHosts stores the list of hosts, without which nothing starts.
-func (w *world) listHosts() {
+func (w *harness) storeHosts() {
 	if hosts, changed := w.core.hostsToStore(); changed {
-		w.core.list.committed(hosts)
-		w.core.plan = true
+		w.core.hostList.setStored(hosts)
+		w.core.planNeeded = true
 	}
 }
 
-func (w *world) end(run workload.RunID, reason workload.EndReason, checkpoint string) {
+func (w *harness) reportEnd(run workload.RunID, reason workload.EndReason, checkpoint string) {
 	name := w.started[run]
 	w.ends[name]++
 	w.core.RunsChanged(name, &msg.RunsChanged{
 		Epoch: w.core.epoch, Instance: workload.Instance("i-" + string(name)), StartedAtMS: 1,
 		Ended: []msg.RunEnd{{Number: w.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
 	})
-	w.settle()
+	w.process()
 }
 
-func (w *world) store() {
+func (w *harness) storeBatch() {
 	w.core.NextBatch()
 	w.core.BatchCommitted()
-	w.settle()
+	w.process()
 }
 
-func (w *world) last(id workload.JobID) workload.Phase {
-	require.NotEmpty(w.t, w.shown[id])
-	return w.shown[id][len(w.shown[id])-1]
+func (w *harness) lastPhase(id workload.JobID) workload.Phase {
+	require.NotEmpty(w.t, w.phases[id])
+	return w.phases[id][len(w.phases[id])-1]
 }
 
 func runID(id string, step, index int, number uint64) workload.RunID {
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -11,7 +11,7 @@
 const (
 	// failingAfter is how many jobs in a row must fail on a host before it
 	// gets no more tasks.
-	failingAfter = 2
+	failingThreshold = 2
 	// probation is when a failing host gets a task again.
 	probation = 3 * time.Second
 )
@@ -22,7 +22,7 @@
 	lastFailed time.Duration
 }
 
-func (h *host) record(e msg.RunEnd) {
+func (h *host) recordEnd(e msg.RunEnd) {
 	switch e.Reason {
 	case workload.EndDone:
 		h.health.failedJobs = nil
@@ -38,7 +38,7 @@
 func (h *host) suspect() bool { return len(h.health.failedJobs) > 0 }
 
 func (h *host) failing() bool {
-	return len(h.health.failedJobs) >= failingAfter && h.core.now-h.health.lastFailed < probation
+	return len(h.health.failedJobs) >= failingThreshold && h.core.now-h.health.lastFailed < probation
 }
 
 func (h *host) sortedRuns() []*run {
@@ -46,11 +46,11 @@
 	for _, r := range h.runs {
 		list = append(list, r)
 	}
-	sort.Slice(list, func(i, k int) bool { return less(list[i].id, list[k].id) })
+	sort.Slice(list, func(i, k int) bool { return runIDLess(list[i].id, list[k].id) })
 	return list
 }
 
-func less(a, b workload.RunID) bool {
+func runIDLess(a, b workload.RunID) bool {
 	switch {
 	case a.Task.Job != b.Task.Job:
 		return a.Task.Job < b.Task.Job
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -11,7 +11,7 @@
 
 // States of charts/host.scxml.
 const (
-	hostAway chart.State = iota
+	hostUnavailable chart.State = iota
 	hostClaiming
 	hostReady
 	hostSilent
@@ -22,8 +22,8 @@
 	evUp chart.Event = iota
 	evDown
 	evInventory
-	evLapse
-	evClaimLate
+	evLeaseExpired
+	evClaimTimeout
 	evExpect
 )
 
@@ -45,29 +45,29 @@
 			"adopt":     (*host).adopt,
 			"loseRuns":  (*host).loseRuns,
 		},
-		Delays: map[string]time.Duration{"claimRetry": claimRetry, "lapseTime": Lapse},
+		Delays: map[string]time.Duration{"claimRetry": claimRetry, "lapseTime": LeaseExpiry},
 	}
 }
 
 // host is a host and the runs that are charged to it.
 type host struct {
-	core  *Core
-	info  workload.Host
-	state chart.State
-	due   time.Duration // of the state's timeout; 0: none
-
-	lastGrant time.Duration
-	runs      map[workload.RunID]*run
-	used      workload.Resources
-	fillerCPU int64
-	serving   int
-	endsSeen  uint64 // ends up to this number are applied
-	endsTaken uint64 // ends up to this number are stored and acknowledged
-	health    health
-	takenBorn int64         // life whose inventory was taken
-	expected  bool          // runs of a former owner may go on there
-	movedTo   time.Duration // when a filler was last moved there
-	idleSince time.Duration // when everything there had surely ended
+	core      *Core
+	info      workload.Host
+	state     chart.State
+	timeoutAt time.Duration // of the state's timeout; 0: none
+
+	lastGrantAt          time.Duration
+	runs                 map[workload.RunID]*run
+	used                 workload.Resources
+	bestEffortCPU        int64
+	servingRuns          int
+	endsApplied          uint64 // ends up to this number are applied
+	endsAcknowledged     uint64 // ends up to this number are stored and acknowledged
+	health               health
+	inventoryStartedAtMS int64         // life whose inventory was taken
+	expected             bool          // runs of a former owner may go on there
+	lastMoveAt           time.Duration // when a filler was last moved there
+	idleSince            time.Duration // when everything there had surely ended
 
 	starts    []msg.RunStart
 	stops     []workload.RunID
@@ -77,7 +77,7 @@
 func (c *Core) host(name workload.HostName) *host {
 	h, ok := c.hosts[name]
 	if !ok {
-		h = &host{core: c, info: workload.Host{Name: name}, runs: map[workload.RunID]*run{}, lastGrant: c.now, idleSince: c.now}
+		h = &host{core: c, info: workload.Host{Name: name}, runs: map[workload.RunID]*run{}, lastGrantAt: c.now, idleSince: c.now}
 		c.hosts[name] = h
 	}
 	return h
@@ -86,22 +86,22 @@
 func (h *host) step(e chart.Event) {
 	before := h.state
 	hostChart.Step(h, &h.state, e)
-	if h.state == before && e != evClaimLate && e != evUp {
+	if h.state == before && e != evClaimTimeout && e != evUp {
 		return
 	}
-	h.due = 0
+	h.timeoutAt = 0
 	if h.state == hostSilent {
-		h.due = h.lastGrant + Lapse
+		h.timeoutAt = h.lastGrantAt + LeaseExpiry
 	} else if d, _, ok := hostChart.Timeout(h.state); ok {
-		h.due = h.core.now + d
+		h.timeoutAt = h.core.now + d
 	}
-	h.core.plan = true
+	h.core.planNeeded = true
 }
 
 func (h *host) tick() {
-	if h.due != 0 && h.core.now >= h.due {
+	if h.timeoutAt != 0 && h.core.now >= h.timeoutAt {
 		_, e, _ := hostChart.Timeout(h.state)
-		h.step(map[string]chart.Event{"lapse": evLapse, "late": evClaimLate}[hostChart.EventName(e)])
+		h.step(map[string]chart.Event{"lapse": evLeaseExpired, "late": evClaimTimeout}[hostChart.EventName(e)])
 	}
 	for _, r := range h.runs {
 		r.tick()
@@ -111,43 +111,43 @@
 // Linked says that the agent of a host is linked.
 func (c *Core) Linked(info workload.Host) {
 	h := c.host(info.Name)
-	h.meet(info)
+	h.update(info)
 	h.step(evUp)
 }
 
 // Unlinked says that the agent of a host is no longer linked.
 func (c *Core) Unlinked(name workload.HostName) {
 	if h, ok := c.hosts[name]; ok {
-		c.note(Decision{Kind: HostChanged, Host: name, Detail: "silent", Age: c.now - h.lastGrant})
+		c.addDecision(Decision{Kind: HostChanged, Host: name, Detail: "silent", Age: c.now - h.lastGrantAt})
 		h.step(evDown)
 	}
 }
 
 // Announced takes the newest state of a host.
 func (c *Core) Announced(info workload.Host) {
-	c.host(info.Name).meet(info)
-	c.plan = true
+	c.host(info.Name).update(info)
+	c.planNeeded = true
 }
 
 // meet takes what an agent says of its backend server. Another life of it
 // runs nothing of the former one.
-func (h *host) meet(info workload.Host) {
+func (h *host) update(info workload.Host) {
 	old := h.info
-	reborn := old.Instance != "" && (old.Instance != info.Instance || old.StartedAtMS != info.StartedAtMS)
+	restarted := old.Instance != "" && (old.Instance != info.Instance || old.StartedAtMS != info.StartedAtMS)
 	if info.Instance == "" {
 		return // the agent has not heard of its backend server yet
 	}
-	if reborn || info.State == workload.HostUnavailable && old.State != workload.HostUnavailable {
-		h.core.note(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "ended"})
+	if restarted || info.State == workload.HostUnavailable && old.State != workload.HostUnavailable {
+		h.core.addDecision(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "ended"})
 		h.loseRuns()
-		h.takenBorn = 0
+		h.inventoryStartedAtMS = 0
 	}
-	if reborn {
-		h.endsSeen, h.endsTaken = 0, 0
+	if restarted {
+		h.endsApplied, h.endsAcknowledged = 0, 0
 		h.health = health{}
 	}
 	if info.State != old.State {
-		h.core.note(Decision{Kind: HostChanged, Host: info.Name, Detail: info.State.String()})
+		h.core.addDecision(Decision{Kind: HostChanged, Host: info.Name, Detail: info.State.String()})
 	}
 	h.info = info
 	if info.State == workload.HostDraining && old.State != workload.HostDraining {
@@ -174,17 +174,17 @@
 		return
 	}
 	h := c.host(m.Host.Name)
-	h.meet(m.Host)
+	h.update(m.Host)
 	h.inventory = m
 	h.step(evInventory)
 	h.inventory = nil
-	c.settleRecovery()
+	c.endRecoveryIfComplete()
 }
 
 // adopt compares what the agent lists with what is charged to the host.
 func (h *host) adopt() {
 	m := h.inventory
-	h.core.note(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "taken"})
+	h.core.addDecision(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "taken"})
 	listed := map[workload.RunID]bool{}
 	var sizes []msg.RunSize
 	for _, s := range m.Runs {
@@ -203,10 +203,10 @@
 	}
 	h.applyEnds(m.Ended)
 	h.core.send(h, &msg.InventoryAccepted{Epoch: h.core.epoch, ClockMS: m.ClockMS, Sizes: sizes})
-	h.lastGrant, h.takenBorn = h.core.now, h.info.StartedAtMS
+	h.lastGrantAt, h.inventoryStartedAtMS = h.core.now, h.info.StartedAtMS
 	for _, r := range h.sortedRuns() {
 		if r.state == runStopping {
-			r.orderStop()
+			r.requestStop()
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	t := h.core.task(s.Run.Task)
 	if t == nil {
 		h.stops = append(h.stops, s.Run) // no job of ours
-		h.core.plan = true
+		h.core.planNeeded = true
 		return nil
 	}
 	r := h.charge(t, s.Run)
@@ -233,7 +233,7 @@
 		r.step(evStarted)
 	}
 	delete(h.core.ready, t)
-	if t.done || t.step.job.phase().Final() || (len(t.live) > 1 && !t.step.spec.AllowConcurrentRuns) {
+	if t.done || t.step.job.phase().Final() || (len(t.runs) > 1 && !t.step.spec.AllowConcurrentRuns) {
 		r.stop("not-wanted")
 	}
 	return r
@@ -241,31 +241,31 @@
 
 // charge adds a run to the host and its task.
 func (h *host) charge(t *task, id workload.RunID) *run {
-	r := &run{id: id, task: t, host: h, state: runChart.Initial(), ordered: h.core.now}
+	r := &run{id: id, task: t, host: h, state: runChart.Initial(), orderedAt: h.core.now}
 	h.runs[id] = r
-	t.live = append(t.live, r)
-	h.account(t.step.spec, 1)
+	t.runs = append(t.runs, r)
+	h.adjustUsage(t.step.spec, 1)
 	return r
 }
 
-func (h *host) drop(r *run) {
+func (h *host) uncharge(r *run) {
 	if _, ok := h.runs[r.id]; !ok {
 		return
 	}
 	delete(h.runs, r.id)
-	h.account(r.task.step.spec, -1)
+	h.adjustUsage(r.task.step.spec, -1)
 }
 
-func (h *host) account(s *workload.Step, sign int64) {
+func (h *host) adjustUsage(s *workload.Step, sign int64) {
 	c := s.Charge()
 	h.used.MilliCPU += sign * c.MilliCPU
 	h.used.MemoryMB += sign * c.MemoryMB
 	h.used.Accelerators += sign * c.Accelerators
 	if s.BestEffort {
-		h.fillerCPU += sign * s.Need.MilliCPU
+		h.bestEffortCPU += sign * s.Need.MilliCPU
 	}
 	if s.Serves() {
-		h.serving += int(sign)
+		h.servingRuns += int(sign)
 	}
 }
 
@@ -279,7 +279,7 @@
 	for _, r := range h.sortedRuns() {
 		r.step(evLost)
 	}
-	h.core.settleRecovery()
+	h.core.endRecoveryIfComplete()
 }
 
 // RunsChanged takes what an agent reports of its runs.
@@ -303,10 +303,10 @@
 
 func (h *host) applyEnds(ends []msg.RunEnd) {
 	for _, e := range ends {
-		if e.Number <= h.endsSeen {
+		if e.Number <= h.endsApplied {
 			continue
 		}
-		h.endsSeen = e.Number
+		h.endsApplied = e.Number
 		if r, ok := h.runs[e.Run]; ok {
 			r.end = e
 			r.step(evEnded)
@@ -322,19 +322,19 @@
 	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
 		return
 	}
-	h.lastGrant = c.now
-	c.send(h, &msg.LeaseGrant{Epoch: c.epoch, StartedAtMS: m.StartedAtMS, ClockMS: m.ClockMS, Interference: h.harms()})
-	h.learn(m)
+	h.lastGrantAt = c.now
+	c.send(h, &msg.LeaseGrant{Epoch: c.epoch, StartedAtMS: m.StartedAtMS, ClockMS: m.ClockMS, Interference: h.coefficients()})
+	h.observeInterference(m)
 	for _, s := range m.Runs {
 		if r, ok := h.runs[s.Run]; ok {
-			r.progress(s)
+			r.updateStatus(s)
 		}
 	}
 }
 
-func (r *run) progress(s msg.RunStatus) {
+func (r *run) updateStatus(s msg.RunStatus) {
 	r.status, r.statusAt = s, r.core().now
-	r.noteHeld(s)
+	r.updateThrottledSince(s)
 	if s.Checkpoint != "" {
 		r.task.checkpoint = s.Checkpoint
 	}
@@ -342,9 +342,9 @@
 
 // remaining estimates how long the run still takes.
 func (r *run) remaining() time.Duration {
-	const trustworthy = 5 // percent
-	ran := r.core().now - r.ordered
-	if p := r.status.ProgressPercent; p >= trustworthy {
+	const minProgressPercent = 5 // percent
+	ran := r.core().now - r.orderedAt
+	if p := r.status.ProgressPercent; p >= minProgressPercent {
 		return time.Duration(float64(ran) * float64(100-p) / float64(p))
 	}
 	return max(0, r.task.step.spec.Estimate-ran)
--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -9,7 +9,7 @@
 
 // forgetAfter is how long nothing must have run on a host before it leaves
 // the stored list. A host that flaps stays in it.
-const forgetAfter = 8 * time.Second
+const hostRetention = 8 * time.Second
 
 // hostList is the stored list of the hosts on which something may run. A host
 // is in it before the first start there, so a new owner waits for the hosts
@@ -19,12 +19,12 @@
 }
 
 // mayRun reports whether something may run on the host, or soon will.
-func (h *host) mayRun() bool {
+func (h *host) mayHaveRuns() bool {
 	if len(h.runs) > 0 || h.state == hostSilent {
 		return true
 	}
-	if h.info.Instance == "" || h.info.State == workload.HostUnavailable || h.state == hostAway {
-		return h.core.now-h.idleSince < forgetAfter && h.core.list.stored[h.info.Name]
+	if h.info.Instance == "" || h.info.State == workload.HostUnavailable || h.state == hostUnavailable {
+		return h.core.now-h.idleSince < hostRetention && h.core.hostList.stored[h.info.Name]
 	}
 	return true
 }
@@ -32,25 +32,25 @@
 // hostsToStore returns the list as it should be, and whether it differs from
 // the stored one.
 func (c *Core) hostsToStore() ([]workload.HostName, bool) {
-	var want []workload.HostName
+	var names []workload.HostName
 	for name, h := range c.hosts {
-		if h.mayRun() {
-			want = append(want, name)
+		if h.mayHaveRuns() {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(want)
-	if len(want) != len(c.list.stored) {
-		return want, true
+	slices.Sort(names)
+	if len(names) != len(c.hostList.stored) {
+		return names, true
 	}
-	for _, name := range want {
-		if !c.list.stored[name] {
-			return want, true
+	for _, name := range names {
+		if !c.hostList.stored[name] {
+			return names, true
 		}
 	}
-	return want, false
+	return names, false
 }
 
-func (l *hostList) committed(hosts []workload.HostName) {
+func (l *hostList) setStored(hosts []workload.HostName) {
 	l.stored = make(map[workload.HostName]bool, len(hosts))
 	for _, name := range hosts {
 		l.stored[name] = true
@@ -63,7 +63,7 @@
 	_, known := c.hosts[name]
 	h := c.host(name)
 	h.expected = true
-	c.list.stored[name] = true
+	c.hostList.stored[name] = true
 	if !known {
 		h.step(evExpect)
 	}
@@ -71,8 +71,8 @@
 
 // settleRecovery lets the tasks start whose runs under a former owner are
 // unknown, once every expected host has answered or can run nothing.
-func (c *Core) settleRecovery() {
-	if c.recovered == 0 {
+func (c *Core) endRecoveryIfComplete() {
+	if c.recoveryDeadline == 0 {
 		return
 	}
 	for _, h := range c.hosts {
@@ -80,6 +80,6 @@
 			return
 		}
 	}
-	c.recovered = 0
-	c.plan = true
+	c.recoveryDeadline = 0
+	c.planNeeded = true
 }
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -13,11 +13,11 @@
 // learn takes what a report of an agent shows of the interference on its
 // host. A report holds figures of one moment, so the latencies are due to the
 // fillers that it lists.
-func (h *host) learn(m *msg.RunsProgress) {
+func (h *host) observeInterference(m *msg.RunsProgress) {
 	shares := map[contention.Image]float64{}
 	for _, s := range m.Runs {
 		if r, ok := h.runs[s.Run]; ok && r.task.step.spec.BestEffort {
-			shares[contention.Image(r.task.step.spec.Image)] += h.share(float64(s.Usage))
+			shares[contention.Image(r.task.step.spec.Image)] += h.cpuShare(float64(s.Usage))
 		}
 	}
 	for _, s := range m.Runs {
@@ -34,7 +34,7 @@
 }
 
 // share is the part of the host's processors that milliCPU are.
-func (h *host) share(milliCPU float64) float64 {
+func (h *host) cpuShare(milliCPU float64) float64 {
 	return milliCPU / float64(max(1, h.info.Capacity.MilliCPU))
 }
 
@@ -43,12 +43,12 @@
 
 // lookAhead is how far ahead the load of serving tasks is predicted for a
 // filler that starts now.
-const lookAhead = time.Second
+const loadLookahead = time.Second
 
 // neighbour is the serving tasks of one job on a host, as fillers see them.
 type neighbour struct {
-	image contention.Image
-	room  float64 // pressure that they bear
+	image  contention.Image
+	budget float64 // pressure that they bear
 }
 
 // neighbours lists the serving tasks on the host by job.
@@ -61,7 +61,7 @@
 			continue
 		}
 		seen[j.spec.ID] = true
-		load := h.core.contention.Load(loadGroup(j), h.core.now+lookAhead)
+		load := h.core.contention.Load(loadGroup(j), h.core.now+loadLookahead)
 		list = append(list, neighbour{contention.Image(spec.Image), contention.PressureBudget(load)})
 	}
 	return list
@@ -70,14 +70,14 @@
 // fillersFit returns how many fillers like t the serving tasks on the host still
 // bear beside the fillers there that harm them less. The agent holds the more
 // harmful ones first.
-func (h *host) fillersFit(t *task) float64 {
-	fit := math.Inf(1)
-	share := h.fillerShare(t)
+func (h *host) bestEffortHeadroom(t *task) float64 {
+	headroom := math.Inf(1)
+	share := h.bestEffortShare(t)
 	for _, n := range h.neighbours() {
-		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
-		fit = min(fit, max(0, n.room-h.pressureUpTo(n, harm))/max(leastPressure, share*harm))
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
+		headroom = min(headroom, max(0, n.budget-h.pressureUpTo(n, coefficient))/max(minPressure, share*coefficient))
 	}
-	return fit
+	return headroom
 }
 
 // pressureUpTo returns the pressure on a neighbour of the fillers at full pace
@@ -88,9 +88,9 @@
 		if !r.task.step.spec.BestEffort {
 			continue
 		}
-		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
-		if harm <= limit {
-			sum += harm * h.fillerShare(r.task)
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
+		if coefficient <= limit {
+			sum += coefficient * h.bestEffortShare(r.task)
 		}
 	}
 	return sum
@@ -98,17 +98,17 @@
 
 // fillerShare is the part of the host's processors that a filler uses at full
 // pace.
-func (h *host) fillerShare(t *task) float64 {
-	return h.share(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
+func (h *host) bestEffortShare(t *task) float64 {
+	return h.cpuShare(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
 }
 
 // leastPressure keeps fillers without declared processors finite.
-const leastPressure = 0.001
+const minPressure = 0.001
 
 // harms lists what is known of the pairs with images that serve on the host,
 // while fillers run beside them.
-func (h *host) harms() []msg.Interference {
-	if h.serving == 0 || h.fillerCPU == 0 {
+func (h *host) coefficients() []msg.Interference {
+	if h.servingRuns == 0 || h.bestEffortCPU == 0 {
 		return nil
 	}
 	serving := map[contention.Image]bool{}
@@ -117,13 +117,13 @@
 			serving[contention.Image(r.task.step.spec.Image)] = true
 		}
 	}
-	return h.core.knownHarms(func(p contention.Pair) bool { return serving[p.Serving] })
+	return h.core.knownCoefficients(func(p contention.Pair) bool { return serving[p.Serving] })
 }
 
 // knownHarms lists the pairs that were measured and that want accepts.
-func (c *Core) knownHarms(want func(contention.Pair) bool) []msg.Interference {
+func (c *Core) knownCoefficients(want func(contention.Pair) bool) []msg.Interference {
 	var list []msg.Interference
-	c.contention.Harms(func(p contention.Pair, value float64) {
+	c.contention.Coefficients(func(p contention.Pair, value float64) {
 		if want(p) {
 			list = append(list, msg.Interference{ServingImage: string(p.Serving), BestEffortImage: string(p.BestEffort), Coefficient: value})
 		}
@@ -138,25 +138,25 @@
 const (
 	// harmsInterval is how old the stored harms may grow while batches are
 	// written.
-	harmsInterval = 3 * time.Second
+	interferenceInterval = 3 * time.Second
 	// maxStoredHarms keeps the row below the 64 KiB that the store takes.
-	maxStoredHarms = 1000
+	maxStoredCoefficients = 1000
 )
 
 // harmsToStore returns the harms for the next batch, or nil while the stored
 // ones are young.
-func (c *Core) harmsToStore() []msg.Interference {
-	if c.now-c.harmsStored < harmsInterval {
+func (c *Core) interferenceToStore() []msg.Interference {
+	if c.now-c.interferenceStoredAt < interferenceInterval {
 		return nil
 	}
-	c.harmsStored = c.now
-	list := c.knownHarms(func(contention.Pair) bool { return true })
-	return list[:min(len(list), maxStoredHarms)]
+	c.interferenceStoredAt = c.now
+	list := c.knownCoefficients(func(contention.Pair) bool { return true })
+	return list[:min(len(list), maxStoredCoefficients)]
 }
 
 // RestoreInterference takes what a former owner had learned.
-func (c *Core) RestoreInterference(harms []msg.Interference) {
-	for _, h := range harms {
-		c.contention.Restore(contention.Pair{Serving: contention.Image(h.ServingImage), BestEffort: contention.Image(h.BestEffortImage)}, h.Coefficient)
+func (c *Core) RestoreInterference(list []msg.Interference) {
+	for _, known := range list {
+		c.contention.RestoreCoefficient(contention.Pair{Serving: contention.Image(known.ServingImage), BestEffort: contention.Image(known.BestEffortImage)}, known.Coefficient)
 	}
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -29,50 +29,50 @@
 		Events: []string{"begin", "finish", "fail", "cancel"},
 		Actions: map[string]func(*job){
 			"publish": (*job).publish,
-			"close":   (*job).close,
+			"close":   (*job).finalise,
 		},
 	}
 }
 
 // keepOver is how long the state of a job that is over can be asked for.
-const keepOver = 180 * time.Second
+const endedJobRetention = 180 * time.Second
 
 // job is one job and its steps.
 type job struct {
-	core      *Core
-	spec      workload.Job
-	state     chart.State
-	stored    workload.Phase // phase of the stored row
-	steps     []*step
-	since     time.Duration // when this owner learned of it
-	deadline  time.Duration // by which it should be completed
-	recovered bool          // accepted before this owner's epoch
-	overAtMS  int64
-	removeAt  time.Duration
+	core        *Core
+	spec        workload.Job
+	state       chart.State
+	storedPhase workload.Phase // phase of the stored row
+	steps       []*step
+	admittedAt  time.Duration // when this owner learned of it
+	deadline    time.Duration // by which it should be completed
+	recovered   bool          // accepted before this owner's epoch
+	endedAtMS   int64
+	removeAt    time.Duration
 }
 
 type step struct {
-	job    *job
-	number int
-	spec   *workload.Step
-	tasks  []*task
-	left   int // tasks that are not done
+	job        *job
+	number     int
+	spec       *workload.Step
+	tasks      []*task
+	unfinished int // tasks that are not done
 }
 
 // task is one task of a step. It is ready when its step may run and it has no
 // live run.
 type task struct {
-	step       *step
-	index      int
-	done       bool
-	failed     int
-	lastFailed uint64
-	checkpoint string
-	starts     uint64
-	live       []*run
-	avoid      map[workload.HostName]bool // hosts where it failed
-	waits      bool                       // a decision was logged that it waits
-	readySince time.Duration
+	step           *step
+	index          int
+	done           bool
+	failedRuns     int
+	lastFailedRun  uint64
+	checkpoint     string
+	starts         uint64
+	runs           []*run
+	failedHosts    map[workload.HostName]bool // hosts where it failed
+	unplacedLogged bool                       // a decision was logged that it waits
+	readySince     time.Duration
 }
 
 func (t *task) id() workload.TaskID {
@@ -80,29 +80,29 @@
 }
 
 func newJob(c *Core, spec workload.Job) *job {
-	j := &job{core: c, spec: spec, state: jobChart.Initial(), since: c.now}
+	j := &job{core: c, spec: spec, state: jobChart.Initial(), admittedAt: c.now}
 	for i := range j.spec.Steps {
-		s := &step{job: j, number: i, spec: &j.spec.Steps[i], left: j.spec.Steps[i].Count}
+		s := &step{job: j, number: i, spec: &j.spec.Steps[i], unfinished: j.spec.Steps[i].Count}
 		for k := range s.spec.Count {
 			s.tasks = append(s.tasks, &task{step: s, index: k})
 		}
 		j.steps = append(j.steps, s)
 	}
-	j.deadline = c.now + j.objective()
+	j.deadline = c.now + j.completionTarget()
 	return j
 }
 
 // objective is the time in which the job should be completed: its longest
 // chain of estimates, stretched, and the latency objective.
-func (j *job) objective() time.Duration {
-	chain := make([]time.Duration, len(j.steps))
+func (j *job) completionTarget() time.Duration {
+	pathTimes := make([]time.Duration, len(j.steps))
 	var longest time.Duration
 	for i, s := range j.steps {
 		for _, a := range s.spec.After {
-			chain[i] = max(chain[i], chain[a])
+			pathTimes[i] = max(pathTimes[i], pathTimes[a])
 		}
-		chain[i] += s.spec.Estimate
-		longest = max(longest, chain[i])
+		pathTimes[i] += s.spec.Estimate
+		longest = max(longest, pathTimes[i])
 	}
 	return time.Duration(max(1, j.spec.TargetSlowdown)*float64(longest)) + j.spec.TargetLatency
 }
@@ -110,37 +110,37 @@
 func (j *job) phase() workload.Phase { return workload.Phase(j.state) }
 
 // shown is the phase that callers may see: a final one only when it is stored.
-func (j *job) shown() msg.JobPhase {
+func (j *job) visiblePhase() msg.JobPhase {
 	p := j.phase()
-	if p.Final() && p != workload.Cancelled && j.stored != p {
+	if p.Final() && p != workload.Cancelled && j.storedPhase != p {
 		p = workload.Running
 	}
 	return msg.JobPhase{ID: j.spec.ID, Queue: j.spec.Queue, Phase: p}
 }
 
-func (j *job) publish() { j.core.phases = append(j.core.phases, j.shown()) }
+func (j *job) publish() { j.core.phases = append(j.core.phases, j.visiblePhase()) }
 
 func (j *job) step(e chart.Event) { jobChart.Step(j, &j.state, e) }
 
-func (j *job) touch() { j.core.dirty[j] = struct{}{} }
+func (j *job) markDirty() { j.core.dirty[j] = struct{}{} }
 
 // close stops what still runs after the job is over.
-func (j *job) close() {
-	j.overAtMS = j.core.wall
-	j.removeAt = j.core.now + keepOver
-	j.touch()
-	j.core.note(Decision{Kind: JobEnded, Job: j.spec.ID, Detail: j.phase().String(), Age: j.core.now - j.since})
+func (j *job) finalise() {
+	j.endedAtMS = j.core.wallMS
+	j.removeAt = j.core.now + endedJobRetention
+	j.markDirty()
+	j.core.addDecision(Decision{Kind: JobEnded, Job: j.spec.ID, Detail: j.phase().String(), Age: j.core.now - j.admittedAt})
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			delete(j.core.ready, t)
-			t.stopAll("job-over")
+			t.stopRuns("job-over")
 		}
 	}
 }
 
-func (t *task) stopAll(why string) {
-	for _, r := range append([]*run(nil), t.live...) {
-		r.stop(why)
+func (t *task) stopRuns(reason string) {
+	for _, r := range append([]*run(nil), t.runs...) {
+		r.stop(reason)
 	}
 }
 
@@ -160,8 +160,8 @@
 	if p != nil {
 		j.restore(p)
 	}
-	c.note(Decision{Kind: JobAdmitted, Job: spec.ID, Detail: j.phase().String()})
-	if _, gone := c.cancelled[spec.ID]; gone {
+	c.addDecision(Decision{Kind: JobAdmitted, Job: spec.ID, Detail: j.phase().String()})
+	if _, cancelled := c.cancelled[spec.ID]; cancelled {
 		delete(c.cancelled, spec.ID)
 		j.step(evCancel)
 		return
@@ -185,7 +185,7 @@
 // release makes the tasks ready whose step may run.
 func (j *job) release() {
 	for _, s := range j.steps {
-		if !s.open() {
+		if !s.mayStart() {
 			continue
 		}
 		for _, t := range s.tasks {
@@ -195,9 +195,9 @@
 	j.finishIfDone()
 }
 
-func (s *step) open() bool {
+func (s *step) mayStart() bool {
 	for _, a := range s.spec.After {
-		if s.job.steps[a].left > 0 {
+		if s.job.steps[a].unfinished > 0 {
 			return false
 		}
 	}
@@ -206,16 +206,16 @@
 
 func (t *task) release() {
 	j := t.step.job
-	if t.done || len(t.live) > 0 || j.phase().Final() {
+	if t.done || len(t.runs) > 0 || j.phase().Final() {
 		return
 	}
 	if _, already := j.core.ready[t]; already {
 		return
 	}
 	j.core.ready[t] = struct{}{}
-	j.core.plan = true
+	j.core.planNeeded = true
 	t.readySince = j.core.now
-	t.waits = false
+	t.unplacedLogged = false
 }
 
 // complete records that a run of the task ended done.
@@ -227,18 +227,18 @@
 	t.done = true
 	t.checkpoint = ""
 	delete(j.core.ready, t)
-	t.step.left--
-	t.stopAll("done-elsewhere")
-	j.touch()
+	t.step.unfinished--
+	t.stopRuns("done-elsewhere")
+	j.markDirty()
 	j.step(evBegin)
-	if t.step.left == 0 {
+	if t.step.unfinished == 0 {
 		j.release()
 	}
 }
 
 func (j *job) finishIfDone() {
 	for _, s := range j.steps {
-		if s.left > 0 {
+		if s.unfinished > 0 {
 			return
 		}
 	}
@@ -246,22 +246,22 @@
 }
 
 // fail records a failed run of the task.
-func (t *task) fail(number uint64, on workload.HostName) {
-	if number <= t.lastFailed {
+func (t *task) fail(number uint64, hostName workload.HostName) {
+	if number <= t.lastFailedRun {
 		return // counted before the last change of ownership
 	}
 	j := t.step.job
-	t.lastFailed = number
-	if t.avoid == nil {
-		t.avoid = map[workload.HostName]bool{}
+	t.lastFailedRun = number
+	if t.failedHosts == nil {
+		t.failedHosts = map[workload.HostName]bool{}
 	}
-	t.avoid[on] = true
+	t.failedHosts[hostName] = true
 	if t.step.spec.LongRunning {
 		return
 	}
-	t.failed++
-	j.touch()
-	if j.spec.MaxAttempts > 0 && t.failed >= j.spec.MaxAttempts && !t.done {
+	t.failedRuns++
+	j.markDirty()
+	if j.spec.MaxAttempts > 0 && t.failedRuns >= j.spec.MaxAttempts && !t.done {
 		j.step(evFail)
 	}
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -14,114 +14,114 @@
 // Guards against a job that is shown as completed before its ends are stored,
 // and against a step that starts before the steps that it follows.
 func TestStepsRunInOrderAndCompletionIsStoredFirst(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(2, 1000), tasks(1, 1000, 0)))
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(2, 1000), newStep(1, 1000, 0)))
+	w.process()
 	require.Len(t, w.started, 2)
-	w.end(runID("j", 0, 0, 1), workload.EndDone, "")
+	w.reportEnd(runID("j", 0, 0, 1), workload.EndDone, "")
 	require.Len(t, w.started, 2, "one task of the first step still runs")
-	w.end(runID("j", 0, 1, 1), workload.EndDone, "")
+	w.reportEnd(runID("j", 0, 1, 1), workload.EndDone, "")
 	require.Contains(t, w.started, runID("j", 1, 0, 1))
-	w.end(runID("j", 1, 0, 1), workload.EndDone, "")
-	require.Equal(t, workload.Running, w.last("j"))
-	w.store()
-	require.Equal(t, workload.Completed, w.last("j"))
-	taken := w.inbox["a"][len(w.inbox["a"])-1].(*msg.EndsAcknowledged)
-	require.EqualValues(t, 3, taken.LastNumber, "ends are acknowledged after they are stored")
+	w.reportEnd(runID("j", 1, 0, 1), workload.EndDone, "")
+	require.Equal(t, workload.Running, w.lastPhase("j"))
+	w.storeBatch()
+	require.Equal(t, workload.Completed, w.lastPhase("j"))
+	acknowledged := w.sent["a"][len(w.sent["a"])-1].(*msg.EndsAcknowledged)
+	require.EqualValues(t, 3, acknowledged.LastNumber, "ends are acknowledged after they are stored")
 }
 
 // Guards against a host that gets more than it holds, also while a run stops.
 func TestHostIsNeverOverbooked(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 2000))
-	w.core.Submit(newSpec("j", tasks(3, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(3, 1000)))
+	w.process()
 	require.Len(t, w.started, 2)
 	w.core.Cancel("j")
-	w.core.Submit(newSpec("k", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("k", newStep(1, 1000)))
+	w.process()
 	require.Len(t, w.started, 2, "what is being stopped still counts")
-	w.end(runID("j", 0, 0, 1), workload.EndStopped, "")
+	w.reportEnd(runID("j", 0, 0, 1), workload.EndStopped, "")
 	require.Contains(t, w.started, runID("k", 0, 0, 1))
 }
 
 // Guards against more failed runs than the queue allows, and against a failed
 // run that is counted again after a change of ownership.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(1, 1000)))
-	w.settle()
-	w.end(runID("j", 0, 0, 1), workload.EndFailed, "")
+	w.core.Submit(newSpec("j", newStep(1, 1000)))
+	w.process()
+	w.reportEnd(runID("j", 0, 0, 1), workload.EndFailed, "")
 	b := w.core.NextBatch()
 	require.Len(t, b.Writes, 1)
 
-	next := newWorld(t, 2)
-	next.core.Restore(newSpec("j", tasks(1, 1000)), &b.Writes[0].Progress)
+	next := newHarness(t, 2)
+	next.core.Restore(newSpec("j", newStep(1, 1000)), &b.Writes[0].Progress)
 	next.core.Linked(readyHost("a", 4000))
-	next.listHosts()
+	next.storeHosts()
 	next.core.Inventory(&msg.HostInventory{Epoch: 2, Host: readyHost("a", 4000), Ended: []msg.RunEnd{
 		{Number: 1, Run: runID("j", 0, 0, 1), Reason: workload.EndFailed},
 	}})
-	next.settle()
+	next.process()
 	second := runID("j", 0, 0, 1<<epochShift+1)
 	require.Contains(t, next.started, second, "one failed run of two does not fail the job")
 	next.ends["a"] = 1
-	next.end(second, workload.EndFailed, "")
-	next.store()
-	require.Equal(t, workload.Failed, next.last("j"))
+	next.reportEnd(second, workload.EndFailed, "")
+	next.storeBatch()
+	require.Equal(t, workload.Failed, next.lastPhase("j"))
 }
 
 // Guards against a second run of a task while the first may go on at a host
 // that is silent, and against a run that starts without its checkpoint.
-func TestSilentHostKeepsItsRunsUntilTheLeaseHasLapsed(t *testing.T) {
-	w := newWorld(t, 1)
-	s := tasks(1, 1000)
+func TestSilentHostKeepsItsRunsUntilTheLeaseExpires(t *testing.T) {
+	w := newHarness(t, 1)
+	s := newStep(1, 1000)
 	s.Checkpointing = true
 	w.link(readyHost("a", 4000))
 	w.core.Submit(newSpec("j", s))
-	w.settle()
+	w.process()
 	w.core.RunsProgress("a", &msg.RunsProgress{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Runs: []msg.RunStatus{
 		{Run: runID("j", 0, 0, 1), Checkpoint: "half", ProgressPercent: 50, CPULimitPercent: 100},
 	}})
 	w.link(readyHost("b", 4000))
 	w.core.Unlinked("a")
-	w.advance(Lapse - 200*time.Millisecond)
+	w.advance(LeaseExpiry - 200*time.Millisecond)
 	require.Len(t, w.started, 1)
 	w.advance(400 * time.Millisecond)
 	require.Equal(t, workload.HostName("b"), w.started[runID("j", 0, 0, 2)])
-	start := w.inbox["b"][len(w.inbox["b"])-1].(*msg.StartRuns)
+	start := w.sent["b"][len(w.sent["b"])-1].(*msg.StartRuns)
 	require.Equal(t, "half", start.Starts[0].Checkpoint)
 }
 
 // Guards against tasks that wait for the lease of a life that has ended: a
 // backend server that was born again runs nothing of before.
-func TestRebornHostLosesItsRunsAtOnce(t *testing.T) {
-	w := newWorld(t, 1)
+func TestRestartedBackendServerLosesItsRunsAtOnce(t *testing.T) {
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(1, 1000)))
-	w.settle()
-	again := readyHost("a", 4000)
-	again.StartedAtMS = 2
-	w.core.Announced(again)
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(1, 1000)))
+	w.process()
+	restarted := readyHost("a", 4000)
+	restarted.StartedAtMS = 2
+	w.core.Announced(restarted)
+	w.process()
 	require.Len(t, w.started, 1, "nothing starts before the inventory of the new life")
-	w.link(again)
+	w.link(restarted)
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
 
 // Guards against two runs after a change of ownership: the tasks of restored
 // jobs wait until every host has answered, and what runs is taken over.
-func TestNewOwnerStartsOnlyWhatSurelyDoesNotRun(t *testing.T) {
-	w := newWorld(t, 2)
-	w.core.Restore(newSpec("j", tasks(2, 1000)), nil)
+func TestNewOwnerStartsNoTaskThatMayStillRun(t *testing.T) {
+	w := newHarness(t, 2)
+	w.core.Restore(newSpec("j", newStep(2, 1000)), nil)
 	w.core.ExpectHost("b")
 	w.core.Recover()
 	w.link(readyHost("a", 4000), msg.RunStatus{Run: runID("j", 0, 0, 1)})
 	require.Empty(t, w.started, "host b may still run the second task")
-	w.core.Submit(newSpec("k", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("k", newStep(1, 1000)))
+	w.process()
 	require.Contains(t, w.started, runID("k", 0, 0, 1<<epochShift+1), "a new job has run nowhere")
 	w.link(readyHost("b", 4000))
 	require.Contains(t, w.started, runID("j", 0, 1, 1<<epochShift+1))
@@ -130,13 +130,13 @@
 
 // Guards against an expected host that never returns: the tasks start after
 // its leases have surely lapsed.
-func TestRecoveryEndsWithoutAHostThatStaysAway(t *testing.T) {
-	w := newWorld(t, 2)
-	w.core.Restore(newSpec("j", tasks(1, 1000)), nil)
+func TestRecoveryEndsWithoutAnUnavailableHost(t *testing.T) {
+	w := newHarness(t, 2)
+	w.core.Restore(newSpec("j", newStep(1, 1000)), nil)
 	w.core.ExpectHost("b")
 	w.core.Recover()
 	w.link(readyHost("a", 4000))
-	w.advance(Lapse - 200*time.Millisecond)
+	w.advance(LeaseExpiry - 200*time.Millisecond)
 	require.Empty(t, w.started)
 	w.advance(400 * time.Millisecond)
 	require.Len(t, w.started, 1)
@@ -144,124 +144,124 @@
 
 // Guards against a job that runs on after its cancellation, in whichever
 // order the two arrive.
-func TestCancellationStopsRunsAndBeatsTheJob(t *testing.T) {
-	w := newWorld(t, 1)
+func TestCancellationStopsRunsAndMayPrecedeTheJob(t *testing.T) {
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(2, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(2, 1000)))
+	w.process()
 	w.core.Cancel("j")
-	w.settle()
+	w.process()
 	require.Len(t, w.stopped, 2)
-	require.Equal(t, workload.Cancelled, w.last("j"))
+	require.Equal(t, workload.Cancelled, w.lastPhase("j"))
 	w.core.Cancel("k")
-	w.core.Submit(newSpec("k", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("k", newStep(1, 1000)))
+	w.process()
 	require.Len(t, w.started, 2)
 }
 
 // Guards against a task whose attempts are used up on one bad host: the next
 // run goes elsewhere, and a host that failed several jobs gets no more tasks.
-func TestBadHostIsAvoided(t *testing.T) {
-	w := newWorld(t, 1)
+func TestFailingHostIsAvoided(t *testing.T) {
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 9000))
-	for i := range failingAfter {
-		w.core.Submit(newSpec(fmt.Sprintf("j%d", i), tasks(1, 1000)))
-		w.settle()
+	for i := range failingThreshold {
+		w.core.Submit(newSpec(fmt.Sprintf("j%d", i), newStep(1, 1000)))
+		w.process()
 	}
 	w.link(readyHost("b", 1000))
-	for i := range failingAfter {
-		w.end(runID(fmt.Sprintf("j%d", i), 0, 0, 1), workload.EndFailed, "")
+	for i := range failingThreshold {
+		w.reportEnd(runID(fmt.Sprintf("j%d", i), 0, 0, 1), workload.EndFailed, "")
 	}
 	require.Equal(t, workload.HostName("b"), w.started[runID("j0", 0, 0, 2)])
-	w.end(runID("j0", 0, 0, 2), workload.EndDone, "")
+	w.reportEnd(runID("j0", 0, 0, 2), workload.EndDone, "")
 	require.Equal(t, workload.HostName("b"), w.started[runID("j1", 0, 0, 2)])
-	w.core.Submit(newSpec("k", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("k", newStep(1, 1000)))
+	w.process()
 	require.NotContains(t, w.started, runID("k", 0, 0, 1), "host a fails all that it starts and b is full")
 	w.advance(probation + 200*time.Millisecond)
-	w.end(runID("j1", 0, 0, 2), workload.EndDone, "")
+	w.reportEnd(runID("j1", 0, 0, 2), workload.EndDone, "")
 	require.Contains(t, w.started, runID("k", 0, 0, 1))
 }
 
 // Guards against an evacuation that leaves a lasting task on a host that goes.
 func TestDrainingHostIsEvacuated(t *testing.T) {
-	w := newWorld(t, 1)
-	lasting, short := tasks(1, 1000), tasks(1, 1000)
-	lasting.LongRunning = true
+	w := newHarness(t, 1)
+	longRunning, short := newStep(1, 1000), newStep(1, 1000)
+	longRunning.LongRunning = true
 	short.Estimate = time.Second
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("l", lasting))
+	w.core.Submit(newSpec("l", longRunning))
 	w.core.Submit(newSpec("s", short))
-	w.settle()
+	w.process()
 	leaving := readyHost("a", 4000)
 	leaving.State, leaving.Remaining = workload.HostDraining, 2*time.Second
 	w.core.Announced(leaving)
-	w.settle()
+	w.process()
 	require.True(t, w.stopped[runID("l", 0, 0, 1)])
 	require.False(t, w.stopped[runID("s", 0, 0, 1)], "it ends before the host goes")
 	w.link(readyHost("b", 4000))
-	w.end(runID("l", 0, 0, 1), workload.EndStopped, "")
+	w.reportEnd(runID("l", 0, 0, 1), workload.EndStopped, "")
 	require.Equal(t, workload.HostName("b"), w.started[runID("l", 0, 0, 2)])
 }
 
 // Guards against a batch that was not stored: nothing of it is acknowledged
 // or shown, and the next one holds it again.
 func TestBatchThatWasNotStoredIsRepeated(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(1, 1000)))
-	w.settle()
-	w.end(runID("j", 0, 0, 1), workload.EndDone, "")
+	w.core.Submit(newSpec("j", newStep(1, 1000)))
+	w.process()
+	w.reportEnd(runID("j", 0, 0, 1), workload.EndDone, "")
 	w.core.NextBatch()
 	w.core.BatchFailed()
-	w.settle()
-	require.Equal(t, workload.Running, w.last("j"))
+	w.process()
+	require.Equal(t, workload.Running, w.lastPhase("j"))
 	pending, urgent := w.core.Pending()
 	require.True(t, pending && urgent)
-	w.store()
-	require.Equal(t, workload.Completed, w.last("j"))
+	w.storeBatch()
+	require.Equal(t, workload.Completed, w.lastPhase("j"))
 }
 
 // Guards against a start that the agent refused and that nobody repeats.
 func TestRefusedStartIsPlannedAgain(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
-	w.core.Submit(newSpec("j", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(1, 1000)))
+	w.process()
 	w.core.RunsChanged("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Refused: []workload.RunID{runID("j", 0, 0, 1)}})
-	w.settle()
+	w.process()
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
 
 // Guards against a new owner that does not know of a host on which tasks run:
 // nothing starts on a host before it is in the stored list.
-func TestNothingStartsOnAHostThatIsNotListed(t *testing.T) {
-	w := newWorld(t, 1)
+func TestNothingStartsOnAHostThatIsNotStored(t *testing.T) {
+	w := newHarness(t, 1)
 	w.core.Linked(readyHost("a", 4000))
 	w.core.Inventory(&msg.HostInventory{Epoch: 1, Host: readyHost("a", 4000)})
-	w.core.Submit(newSpec("j", tasks(1, 1000)))
-	w.settle()
+	w.core.Submit(newSpec("j", newStep(1, 1000)))
+	w.process()
 	require.Empty(t, w.started)
 	pending, urgent := w.core.Pending()
 	require.True(t, pending && urgent)
 	b := w.core.NextBatch()
 	require.Equal(t, []workload.HostName{"a"}, b.Hosts)
 	w.core.BatchCommitted()
-	w.settle()
+	w.process()
 	require.Len(t, w.started, 1)
 }
 
 // Guards against seconds in which nothing restored starts (trouble-1 of
 // nilegate-permits: 7 s for a host whose backend server had been gone for
 // 20 s). A host that runs nothing leaves the list; one that flaps stays.
-func TestHostThatIsGoneHoldsUpNoRecovery(t *testing.T) {
-	w := newWorld(t, 1)
+func TestUnavailableHostDoesNotDelayRecovery(t *testing.T) {
+	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
 	w.link(readyHost("b", 4000))
-	gone := readyHost("b", 4000)
-	gone.State = workload.HostUnavailable
-	w.core.Announced(gone)
-	w.advance(forgetAfter - time.Second)
+	unavailable := readyHost("b", 4000)
+	unavailable.State = workload.HostUnavailable
+	w.core.Announced(unavailable)
+	w.advance(hostRetention - time.Second)
 	_, changed := w.core.hostsToStore()
 	require.False(t, changed)
 	w.advance(1200 * time.Millisecond)
@@ -269,8 +269,8 @@
 	require.True(t, changed)
 	require.Equal(t, []workload.HostName{"a"}, hosts)
 
-	next := newWorld(t, 2)
-	next.core.Restore(newSpec("j", tasks(1, 1000)), nil)
+	next := newHarness(t, 2)
+	next.core.Restore(newSpec("j", newStep(1, 1000)), nil)
 	next.core.Linked(workload.Host{Name: "b"}) // its agent knows no backend server
 	next.core.ExpectHost("a")
 	next.core.Recover()
@@ -281,18 +281,18 @@
 // Answers the pattern "large jobs fill every host": a task of the first
 // priority still finds room at once.
 func TestShortTaskStartsBesideABurstOfLargeJobs(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newHarness(t, 1)
 	for i := range 3 {
 		w.link(readyHost(fmt.Sprintf("h%d", i), 32000))
 	}
 	for i := range 10 {
-		large := newSpec(fmt.Sprintf("large%d", i), tasks(20, 1000))
+		large := newSpec(fmt.Sprintf("large%d", i), newStep(20, 1000))
 		large.Priority = 2
 		w.core.Submit(large)
 	}
-	w.settle()
+	w.process()
 	before := len(w.started)
-	w.core.Submit(newSpec("short", tasks(4, 500)))
-	w.settle()
+	w.core.Submit(newSpec("short", newStep(4, 500)))
+	w.process()
 	require.Equal(t, before+4, len(w.started))
 }
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -9,22 +9,22 @@
 
 const (
 	// heldPace is the share at which a filler counts as held back.
-	heldPace = 25 // percent
+	throttledPercent = 25 // percent
 	// moveAfter is how long a filler is held back before it is moved, so that
 	// a short crest of its neighbours moves nothing.
-	moveAfter = 700 * time.Millisecond
+	moveDelay = 700 * time.Millisecond
 	// moveSpacing is the least time between two moves to one host: the first
 	// has to show in its figures.
-	moveSpacing = 150 * time.Millisecond
+	minMoveInterval = 150 * time.Millisecond
 )
 
 // noteHeld records since when a filler is held back.
-func (r *run) noteHeld(s msg.RunStatus) {
+func (r *run) updateThrottledSince(s msg.RunStatus) {
 	switch {
-	case s.CPULimitPercent > heldPace:
-		r.heldSince = 0
-	case r.heldSince == 0:
-		r.heldSince = r.core().now
+	case s.CPULimitPercent > throttledPercent:
+		r.throttledSince = 0
+	case r.throttledSince == 0:
+		r.throttledSince = r.core().now
 	}
 }
 
@@ -32,30 +32,30 @@
 // goes on from a checkpoint elsewhere.
 func (r *run) movable() bool {
 	spec := r.task.step.spec
-	return spec.BestEffort && spec.Checkpointing && r.state == runRunning && r.heldSince != 0 && r.core().now-r.heldSince >= moveAfter
+	return spec.BestEffort && spec.Checkpointing && r.state == runRunning && r.throttledSince != 0 && r.core().now-r.throttledSince >= moveDelay
 }
 
 // moveHeld stops fillers that are held back where another host would let them
 // work. Their tasks start again when the ends are reported.
-func (c *Core) moveHeld(hosts []*host) {
+func (c *Core) moveThrottled(hosts []*host) {
 	for _, h := range hosts {
 		for _, r := range h.sortedRuns() {
 			if !r.movable() {
 				continue
 			}
-			if to := c.elsewhere(r, hosts); to != nil {
-				to.movedTo = c.now
-				r.stop("moves-to-" + string(to.info.Name))
+			if target := c.moveTarget(r, hosts); target != nil {
+				target.lastMoveAt = c.now
+				r.stop("moves-to-" + string(target.info.Name))
 			}
 		}
 	}
 }
 
 // elsewhere returns the host to which a run should move, or nil.
-func (c *Core) elsewhere(r *run, hosts []*host) *host {
+func (c *Core) moveTarget(r *run, hosts []*host) *host {
 	var others []*host
 	for _, h := range hosts {
-		if h != r.host && (h.movedTo == 0 || c.now-h.movedTo >= moveSpacing) {
+		if h != r.host && (h.lastMoveAt == 0 || c.now-h.lastMoveAt >= minMoveInterval) {
 			others = append(others, h)
 		}
 	}
@@ -63,9 +63,9 @@
 	for i, h := range others {
 		views[i] = h.view(r.task)
 	}
-	want := r.task.wanted()
-	want.Patient = true
-	if i, _ := hostselect.Choose(want, views); i >= 0 {
+	selection := r.task.selectionTask()
+	selection.MayWait = true
+	if i, _ := hostselect.Choose(selection, views); i >= 0 {
 		return others[i]
 	}
 	return nil
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -20,34 +20,34 @@
 
 // Plan starts what can be started and flushes the orders to the agents.
 func (c *Core) Plan() {
-	if !c.plan {
+	if !c.planNeeded {
 		return
 	}
-	c.plan = false
+	c.planNeeded = false
 	hosts := c.sortedHosts()
-	for _, t := range c.order() {
+	for _, t := range c.readyTasks() {
 		c.place(t, hosts)
 	}
-	c.moveHeld(hosts)
+	c.moveThrottled(hosts)
 	for _, h := range hosts {
 		h.flush()
 	}
 }
 
 // order returns the ready tasks, the most urgent first.
-func (c *Core) order() []*task {
+func (c *Core) readyTasks() []*task {
 	list := make([]*task, 0, len(c.ready))
 	for t := range c.ready {
-		if t.step.job.recovered && c.recovered != 0 {
+		if t.step.job.recovered && c.recoveryDeadline != 0 {
 			continue
 		}
 		list = append(list, t)
 	}
-	sort.Slice(list, func(i, k int) bool { return before(list[i], list[k]) })
+	sort.Slice(list, func(i, k int) bool { return moreUrgent(list[i], list[k]) })
 	return list
 }
 
-func before(a, b *task) bool {
+func moreUrgent(a, b *task) bool {
 	ja, jb := a.step.job, b.step.job
 	switch {
 	case ja.spec.Priority != jb.spec.Priority:
@@ -67,35 +67,35 @@
 	for i, h := range hosts {
 		views[i] = h.view(t)
 	}
-	want := t.wanted()
-	want.Patient = c.now-t.readySince < hostselect.Patience
-	i, against := hostselect.Choose(want, views)
-	if i < 0 && len(t.avoid) > 0 && against[hostselect.Avoided] > 0 {
+	selection := t.selectionTask()
+	selection.MayWait = c.now-t.readySince < hostselect.MaxWait
+	i, excluded := hostselect.Choose(selection, views)
+	if i < 0 && len(t.failedHosts) > 0 && excluded[hostselect.Avoided] > 0 {
 		for k := range views {
 			views[k].Avoided = false
 		}
-		i, against = hostselect.Choose(want, views)
+		i, excluded = hostselect.Choose(selection, views)
 	}
 	if i < 0 {
-		t.noteWaiting(against)
+		t.logUnplaced(excluded)
 		return
 	}
 	hosts[i].start(t)
 }
 
 // wanted is what a choice of hosts knows of the task.
-func (t *task) wanted() hostselect.Task {
+func (t *task) selectionTask() hostselect.Task {
 	j := &t.step.job.spec
 	return hostselect.Task{Step: t.step.spec, Service: j.Service, Priority: j.Priority}
 }
 
 func (h *host) view(t *task) hostselect.Host {
 	v := hostselect.Host{
-		Info: &h.info, Reachable: h.state == hostReady && h.takenBorn == h.info.StartedAtMS && h.core.list.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), FillerCPU: h.fillerCPU, Serving: h.serving,
-		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.avoid[h.info.Name],
+		Info: &h.info, Reachable: h.state == hostReady && h.inventoryStartedAtMS == h.info.StartedAtMS && h.core.hostList.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), BestEffortCPU: h.bestEffortCPU, Serving: h.servingRuns,
+		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.failedHosts[h.info.Name],
 	}
-	if t.step.spec.BestEffort && h.serving > 0 {
-		v.FillersFit = h.fillersFit(t)
+	if t.step.spec.BestEffort && h.servingRuns > 0 {
+		v.BestEffortHeadroom = h.bestEffortHeadroom(t)
 	}
 	for _, r := range h.runs {
 		if r.task.step == t.step {
@@ -108,18 +108,18 @@
 	return v
 }
 
-func (t *task) noteWaiting(against map[hostselect.Reason]int) {
-	if t.waits {
+func (t *task) logUnplaced(excluded map[hostselect.Reason]int) {
+	if t.unplacedLogged {
 		return
 	}
-	t.waits = true
+	t.unplacedLogged = true
 	var parts []string
-	for r := hostselect.Fits + 1; r <= hostselect.Crowded; r++ {
-		if against[r] > 0 {
-			parts = append(parts, fmt.Sprintf("%s=%d", r, against[r]))
+	for r := hostselect.Fits + 1; r <= hostselect.LowSpeed; r++ {
+		if excluded[r] > 0 {
+			parts = append(parts, fmt.Sprintf("%s=%d", r, excluded[r]))
 		}
 	}
-	t.step.job.core.note(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
+	t.step.job.core.addDecision(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
 }
 
 func (h *host) start(t *task) {
@@ -129,7 +129,7 @@
 	r := h.charge(t, id)
 	delete(c.ready, t)
 	h.starts = append(h.starts, msg.RunStart{Size: r.size(), Specification: t.step.job.spec.Specification, Checkpoint: t.checkpoint})
-	c.note(Decision{Kind: RunOrdered, Job: t.step.job.spec.ID, Run: id, Host: h.info.Name, Age: c.now - t.readySince})
+	c.addDecision(Decision{Kind: RunOrdered, Job: t.step.job.spec.ID, Run: id, Host: h.info.Name, Age: c.now - t.readySince})
 }
 
 func (h *host) flush() {
@@ -150,6 +150,6 @@
 // Recover makes the tasks of restored jobs wait until every expected host has
 // answered or can run nothing.
 func (c *Core) Recover() {
-	c.recovered = c.now + Lapse + time.Second
-	c.settleRecovery()
+	c.recoveryDeadline = c.now + LeaseExpiry + time.Second
+	c.endRecoveryIfComplete()
 }
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -14,7 +14,7 @@
 	runOrdered chart.State = iota
 	runRunning
 	runStopping
-	runOver
+	runEnded
 )
 
 // Events of charts/run.scxml.
@@ -24,7 +24,7 @@
 	evEnded
 	evLost
 	evStop
-	evStopLate
+	evStopTimeout
 )
 
 // stopRetry is how long an agent may take to report the end of a run that it
@@ -46,7 +46,7 @@
 			"settleEnd":     (*run).settleEnd,
 			"settleRefused": (*run).settleRefused,
 			"settleLost":    (*run).settleLost,
-			"orderStop":     (*run).orderStop,
+			"orderStop":     (*run).requestStop,
 		},
 		Delays: map[string]time.Duration{"stopRetry": stopRetry},
 	}
@@ -54,20 +54,20 @@
 
 // run is one start of a task.
 type run struct {
-	id    workload.RunID
-	task  *task
-	host  *host
-	state chart.State
-	due   time.Duration // of the state's timeout; 0: none
-
-	ordered  time.Duration
-	started  time.Duration
-	status   msg.RunStatus
-	statusAt time.Duration
-	end      msg.RunEnd // during the event ended
-	why      string     // why it was stopped
-
-	heldSince time.Duration // since when a filler is held back; 0: it is not
+	id        workload.RunID
+	task      *task
+	host      *host
+	state     chart.State
+	timeoutAt time.Duration // of the state's timeout; 0: none
+
+	orderedAt  time.Duration
+	startedAt  time.Duration
+	status     msg.RunStatus
+	statusAt   time.Duration
+	end        msg.RunEnd // during the event ended
+	stopReason string     // why it was stopped
+
+	throttledSince time.Duration // since when a filler is held back; 0: it is not
 }
 
 func (r *run) core() *Core { return r.host.core }
@@ -75,43 +75,43 @@
 func (r *run) step(e chart.Event) {
 	before := r.state
 	runChart.Step(r, &r.state, e)
-	if d, _, ok := runChart.Timeout(r.state); ok && (r.state != before || e == evStopLate) {
-		r.due = r.core().now + d
+	if d, _, ok := runChart.Timeout(r.state); ok && (r.state != before || e == evStopTimeout) {
+		r.timeoutAt = r.core().now + d
 	}
 }
 
 func (r *run) tick() {
-	if r.due != 0 && r.core().now >= r.due && r.state == runStopping {
-		r.step(evStopLate)
+	if r.timeoutAt != 0 && r.core().now >= r.timeoutAt && r.state == runStopping {
+		r.step(evStopTimeout)
 	}
 }
 
-func (r *run) stop(why string) {
-	r.why = why
+func (r *run) stop(reason string) {
+	r.stopReason = reason
 	r.step(evStop)
 }
 
-func (r *run) orderStop() {
-	r.core().note(Decision{Kind: RunStopped, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.why})
+func (r *run) requestStop() {
+	r.core().addDecision(Decision{Kind: RunStopped, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.stopReason})
 	r.host.stops = append(r.host.stops, r.id)
-	r.core().plan = true
+	r.core().planNeeded = true
 }
 
 func (r *run) noteStarted() {
-	r.started = r.core().now
+	r.startedAt = r.core().now
 	r.task.step.job.step(evBegin)
 }
 
 func (r *run) settleEnd() {
 	c := r.core()
-	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.end.Reason.String(), Age: c.now - r.ordered})
+	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.end.Reason.String(), Age: c.now - r.orderedAt})
 	r.release()
 	if r.end.Checkpoint != "" {
 		r.task.checkpoint = r.end.Checkpoint
 	} else if r.status.Checkpoint != "" {
 		r.task.checkpoint = r.status.Checkpoint
 	}
-	r.host.record(r.end)
+	r.host.recordEnd(r.end)
 	r.task.applyEnd(r.end, r.host)
 }
 
@@ -123,21 +123,21 @@
 	case workload.EndFailed:
 		t.fail(e.Run.Number, h.info.Name)
 	}
-	if t.step.open() {
+	if t.step.mayStart() {
 		t.release()
 	}
 }
 
 func (r *run) settleRefused() {
 	c := r.core()
-	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "refused", Age: c.now - r.ordered})
+	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "refused", Age: c.now - r.orderedAt})
 	r.release()
 	r.task.release()
 }
 
 func (r *run) settleLost() {
 	c := r.core()
-	c.note(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "lost", Age: c.now - r.ordered})
+	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "lost", Age: c.now - r.orderedAt})
 	if r.status.Checkpoint != "" {
 		r.task.checkpoint = r.status.Checkpoint
 	}
@@ -147,12 +147,12 @@
 
 // release takes the run off its host and its task.
 func (r *run) release() {
-	r.host.drop(r)
-	for i, other := range r.task.live {
+	r.host.uncharge(r)
+	for i, other := range r.task.runs {
 		if other == r {
-			r.task.live = append(r.task.live[:i], r.task.live[i+1:]...)
+			r.task.runs = append(r.task.runs[:i], r.task.runs[i+1:]...)
 			break
 		}
 	}
-	r.core().plan = true
+	r.core().planNeeded = true
 }
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -9,7 +9,7 @@
 )
 
 // maxBatch is how many rows one batch holds. The store takes 100 entries.
-const maxBatch = 80
+const maxBatchRows = 80
 
 // Write is a row of a batch.
 type Write struct {
@@ -24,19 +24,19 @@
 	Removed      []workload.JobID
 	Hosts        []workload.HostName // the list of hosts; nil: as it is stored
 	Interference []msg.Interference  // of fillers; nil: as they are stored
-	ends         map[workload.HostName]takenEnds
+	ends         map[workload.HostName]appliedEnds
 }
 
-type takenEnds struct {
-	instance workload.Instance
-	born     int64
-	upto     uint64
+type appliedEnds struct {
+	instance    workload.Instance
+	startedAtMS int64
+	lastNumber  uint64
 }
 
 // Pending reports whether there is something to store, and whether a caller
 // or a host waits for it.
 func (c *Core) Pending() (pending, urgent bool) {
-	if c.writing != nil {
+	if c.pendingBatch != nil {
 		return false, false
 	}
 	if _, changed := c.hostsToStore(); changed {
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, h := range c.hosts {
-		if h.endsSeen > h.endsTaken {
+		if h.endsApplied > h.endsAcknowledged {
 			return true, false
 		}
 	}
@@ -59,31 +59,31 @@
 // NextBatch returns what should be stored next. One batch is under way at a
 // time; end it with Committed or Failed.
 func (c *Core) NextBatch() *Batch {
-	b := &Batch{ends: map[workload.HostName]takenEnds{}}
+	b := &Batch{ends: map[workload.HostName]appliedEnds{}}
 	jobs := make([]*job, 0, len(c.dirty))
 	for j := range c.dirty {
 		jobs = append(jobs, j)
 	}
 	sort.Slice(jobs, func(i, k int) bool { return jobs[i].spec.ID < jobs[k].spec.ID })
-	all := len(jobs) <= maxBatch
-	for _, j := range jobs[:min(len(jobs), maxBatch)] {
+	allWritten := len(jobs) <= maxBatchRows
+	for _, j := range jobs[:min(len(jobs), maxBatchRows)] {
 		b.Writes = append(b.Writes, Write{Job: j.spec.ID, Progress: j.progress()})
 		delete(c.dirty, j)
 	}
-	room := (maxBatch - len(b.Writes)) / rowsPerJob
-	n := min(len(c.removals), room)
+	freeRows := (maxBatchRows - len(b.Writes)) / rowsPerJob
+	n := min(len(c.removals), freeRows)
 	b.Removed = c.removals[:n]
 	c.removals = c.removals[n:]
 	for name, h := range c.hosts {
-		if all && h.endsSeen > h.endsTaken {
-			b.ends[name] = takenEnds{h.info.Instance, h.info.StartedAtMS, h.endsSeen}
+		if allWritten && h.endsApplied > h.endsAcknowledged {
+			b.ends[name] = appliedEnds{h.info.Instance, h.info.StartedAtMS, h.endsApplied}
 		}
 	}
 	if hosts, changed := c.hostsToStore(); changed {
 		b.Hosts = append([]workload.HostName{}, hosts...)
 	}
-	b.Interference = c.harmsToStore()
-	c.writing = b
+	b.Interference = c.interferenceToStore()
+	c.pendingBatch = b
 	return b
 }
 
@@ -92,38 +92,38 @@
 
 // BatchCommitted says that the batch under way is stored.
 func (c *Core) BatchCommitted() {
-	b := c.writing
-	c.writing = nil
+	b := c.pendingBatch
+	c.pendingBatch = nil
 	for _, w := range b.Writes {
 		j, ok := c.jobs[w.Job]
 		if !ok {
 			continue
 		}
-		if before := j.shown(); j.stored != w.Progress.Phase {
-			j.stored = w.Progress.Phase
-			if after := j.shown(); after != before {
+		if before := j.visiblePhase(); j.storedPhase != w.Progress.Phase {
+			j.storedPhase = w.Progress.Phase
+			if after := j.visiblePhase(); after != before {
 				c.phases = append(c.phases, after)
 			}
 		}
 	}
 	if b.Hosts != nil {
-		c.list.committed(b.Hosts)
-		c.plan = true
+		c.hostList.setStored(b.Hosts)
+		c.planNeeded = true
 	}
 	for name, e := range b.ends {
 		h := c.hosts[name]
-		if h == nil || h.info.Instance != e.instance || h.info.StartedAtMS != e.born {
+		if h == nil || h.info.Instance != e.instance || h.info.StartedAtMS != e.startedAtMS {
 			continue
 		}
-		h.endsTaken = e.upto
-		c.send(h, &msg.EndsAcknowledged{Epoch: c.epoch, Instance: e.instance, StartedAtMS: e.born, LastNumber: e.upto})
+		h.endsAcknowledged = e.lastNumber
+		c.send(h, &msg.EndsAcknowledged{Epoch: c.epoch, Instance: e.instance, StartedAtMS: e.startedAtMS, LastNumber: e.lastNumber})
 	}
 }
 
 // BatchFailed says that the batch under way was not stored.
 func (c *Core) BatchFailed() {
-	b := c.writing
-	c.writing = nil
+	b := c.pendingBatch
+	c.pendingBatch = nil
 	for _, w := range b.Writes {
 		if j, ok := c.jobs[w.Job]; ok {
 			c.dirty[j] = struct{}{}
@@ -140,7 +140,7 @@
 
 // progress returns the row of the job.
 func (j *job) progress() workload.Progress {
-	p := workload.Progress{Phase: j.phase(), EndedAtMS: j.overAtMS}
+	p := workload.Progress{Phase: j.phase(), EndedAtMS: j.endedAtMS}
 	if j.phase().Final() {
 		return p
 	}
@@ -154,9 +154,9 @@
 				p.Done[n/8] |= 1 << (n % 8)
 			}
 			n++
-			if t.failed > 0 || t.checkpoint != "" && !t.done {
+			if t.failedRuns > 0 || t.checkpoint != "" && !t.done {
 				p.Attempts = append(p.Attempts, workload.TaskAttempts{
-					Step: s.number, Index: t.index, Failed: t.failed, LastFailed: t.lastFailed, Checkpoint: t.checkpoint,
+					Step: s.number, Index: t.index, Failed: t.failedRuns, LastFailed: t.lastFailedRun, Checkpoint: t.checkpoint,
 				})
 			}
 		}
@@ -166,10 +166,10 @@
 
 // restore sets the job to a stored row.
 func (j *job) restore(p *workload.Progress) {
-	j.stored = p.Phase
-	j.overAtMS = p.EndedAtMS
+	j.storedPhase = p.Phase
+	j.endedAtMS = p.EndedAtMS
 	if p.Phase.Final() {
-		j.removeAt = j.core.now + keepOver
+		j.removeAt = j.core.now + endedJobRetention
 		j.state = chart.State(p.Phase)
 		return
 	}
@@ -181,14 +181,14 @@
 		for _, t := range s.tasks {
 			if n/8 < len(p.Done) && p.Done[n/8]&(1<<(n%8)) != 0 {
 				t.done = true
-				s.left--
+				s.unfinished--
 			}
 			n++
 		}
 	}
 	for _, a := range p.Attempts {
 		if t := j.task(workload.TaskID{Step: a.Step, Index: a.Index}); t != nil {
-			t.failed, t.lastFailed, t.checkpoint = a.Failed, a.LastFailed, a.Checkpoint
+			t.failedRuns, t.lastFailedRun, t.checkpoint = a.Failed, a.LastFailed, a.Checkpoint
 		}
 	}
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -23,25 +23,25 @@
 
 // Events of charts/ownership.scxml.
 const (
-	evLate chart.Event = iota
+	evTimeout chart.Event = iota
 	evRead
-	evWon
-	evBeaten
+	evClaimed
+	evSuperseded
 	evUnknown
-	evGive
+	evRetire
 )
 
 const (
-	readRetry    = 300 * time.Millisecond
-	lookInterval = 50 * time.Millisecond
-	claimRetry   = time.Second
+	readRetry     = 300 * time.Millisecond
+	checkInterval = 50 * time.Millisecond
+	claimRetry    = time.Second
 	// absence is how long an owner may be without a link before it is
 	// replaced. A link that was reset is up again sooner.
-	absence = 250 * time.Millisecond
+	ownerTimeout = 250 * time.Millisecond
 	// startAbsence replaces absence until links had time to come up.
-	startAbsence = 900 * time.Millisecond
+	startOwnerTimeout = 900 * time.Millisecond
 	// turn keeps entries from claiming at the same time.
-	turn = 200 * time.Millisecond
+	rankDelay = 200 * time.Millisecond
 )
 
 // Effect is what the entry has to do.
@@ -62,13 +62,13 @@
 	boot uint64
 	now  time.Duration
 
-	state  chart.State
-	due    time.Duration
-	row    workload.Owner // newest known
-	stored table.Revision // version of the row
-	epoch  uint64         // highest known
-	linked map[string]bool
-	since  time.Duration // when the owner was last seen, or this entry began
+	state       chart.State
+	timeoutAt   time.Duration
+	row         workload.Owner // newest known
+	rowVersion  table.Revision // version of the row
+	maxEpoch    uint64         // highest known
+	linked      map[string]bool
+	ownerSeenAt time.Duration // when the owner was last seen, or this entry began
 
 	effects []Effect
 }
@@ -91,15 +91,15 @@
 			"end":     func(c *Core) { c.emit(End) },
 			"release": func(c *Core) { c.emit(Release) },
 		},
-		Delays: map[string]time.Duration{"readRetry": readRetry, "lookInterval": lookInterval, "claimRetry": claimRetry},
+		Delays: map[string]time.Duration{"readRetry": readRetry, "lookInterval": checkInterval, "claimRetry": claimRetry},
 	}
 }
 
 // New returns the ownership of an entry that starts at now.
 func New(self string, boot uint64, now time.Duration) *Core {
-	c := &Core{self: self, boot: boot, now: now, linked: map[string]bool{}, since: now + startAbsence - absence}
+	c := &Core{self: self, boot: boot, now: now, linked: map[string]bool{}, ownerSeenAt: now + startOwnerTimeout - ownerTimeout}
 	c.state = ownershipChart.Initial()
-	c.due = now + 1 // read at once; 0 means no timeout
+	c.timeoutAt = now + 1 // read at once; 0 means no timeout
 	return c
 }
 
@@ -115,17 +115,17 @@
 func (c *Core) step(e chart.Event) {
 	ownershipChart.Step(c, &c.state, e)
 	if d, _, ok := ownershipChart.Timeout(c.state); ok {
-		c.due = c.now + d
+		c.timeoutAt = c.now + d
 	} else {
-		c.due = 0
+		c.timeoutAt = 0
 	}
 }
 
 // Tick applies a due timeout.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
-	if c.due != 0 && now >= c.due {
-		c.step(evLate)
+	if c.timeoutAt != 0 && now >= c.timeoutAt {
+		c.step(evTimeout)
 	}
 }
 
@@ -133,7 +133,7 @@
 func (c *Core) Owns() bool { return c.state == stOwner }
 
 // Epoch returns the highest epoch that the entry knows.
-func (c *Core) Epoch() uint64 { return c.epoch }
+func (c *Core) Epoch() uint64 { return c.maxEpoch }
 
 // Owner returns the name of the owner, or nothing.
 func (c *Core) Owner() string { return c.row.Name }
@@ -146,35 +146,35 @@
 	c.now = now
 	delete(c.linked, name)
 	if name == c.row.Name {
-		c.since = now
+		c.ownerSeenAt = now
 	}
 }
 
 // OwnerObserved takes an owner and its epoch from a peer or an agent.
 func (c *Core) OwnerObserved(owner string, epoch uint64, now time.Duration) {
 	c.now = now
-	if epoch < c.epoch || epoch == c.epoch && owner != "" {
+	if epoch < c.maxEpoch || epoch == c.maxEpoch && owner != "" {
 		return
 	}
-	c.epoch = epoch
+	c.maxEpoch = epoch
 	c.row = workload.Owner{Name: owner, Epoch: epoch}
-	c.stored = 0
-	c.since = now
+	c.rowVersion = 0
+	c.ownerSeenAt = now
 	if c.state == stOwner {
-		c.step(evBeaten)
+		c.step(evSuperseded)
 	}
 }
 
 // EpochObserved takes an epoch of which the owner is not known.
 func (c *Core) EpochObserved(epoch uint64, now time.Duration) {
 	c.now = now
-	if epoch <= c.epoch {
+	if epoch <= c.maxEpoch {
 		return
 	}
-	c.epoch = epoch
-	c.since = now
+	c.maxEpoch = epoch
+	c.ownerSeenAt = now
 	if c.state == stOwner {
-		c.step(evBeaten)
+		c.step(evSuperseded)
 	}
 }
 
@@ -182,16 +182,16 @@
 func (c *Core) Read(o workload.Owner, version table.Revision, now time.Duration) {
 	c.now = now
 	if o.Name != "" && o.Name != c.row.Name && c.row.Name != "" {
-		c.since = now
+		c.ownerSeenAt = now
 	}
-	c.row, c.stored = o, version
-	c.epoch = max(c.epoch, o.Epoch)
+	c.row, c.rowVersion = o, version
+	c.maxEpoch = max(c.maxEpoch, o.Epoch)
 	c.step(evRead)
 }
 
 // Claim returns the row that claims the jobs, and the version to check.
 func (c *Core) Claim() (workload.Owner, table.Revision) {
-	return workload.Owner{Name: c.self, Boot: c.boot, Epoch: c.epoch + 1}, c.stored
+	return workload.Owner{Name: c.self, Boot: c.boot, Epoch: c.maxEpoch + 1}, c.rowVersion
 }
 
 // Claimed takes the outcome of a claim.
@@ -199,10 +199,10 @@
 	c.now = now
 	switch outcome {
 	case table.Committed:
-		c.row, c.stored, c.epoch = o, version, o.Epoch
-		c.step(evWon)
+		c.row, c.rowVersion, c.maxEpoch = o, version, o.Epoch
+		c.step(evClaimed)
 	case table.Conflict:
-		c.step(evBeaten)
+		c.step(evSuperseded)
 	default:
 		c.step(evUnknown)
 	}
@@ -211,34 +211,34 @@
 // Superseded says that a write showed another owner.
 func (c *Core) Superseded(now time.Duration) {
 	c.now = now
-	c.since = now
-	c.step(evBeaten)
+	c.ownerSeenAt = now
+	c.step(evSuperseded)
 }
 
 // Retire ends the entry's part: it releases the jobs if it owns them.
 func (c *Core) Retire(now time.Duration) {
 	c.now = now
-	c.step(evGive)
+	c.step(evRetire)
 }
 
 // mine reports whether the row names this process.
-func (c *Core) mine() bool { return c.row.Name == c.self }
+func (c *Core) namesSelf() bool { return c.row.Name == c.self }
 
-func (c *Core) mayClaim() bool { return c.mine() || c.ownerAbsent() }
+func (c *Core) mayClaim() bool { return c.namesSelf() || c.ownerAbsent() }
 
 // ownerAbsent reports whether it is this entry's turn to replace the owner.
 func (c *Core) ownerAbsent() bool {
-	if c.mine() {
+	if c.namesSelf() {
 		return true
 	}
 	if c.linked[c.row.Name] {
 		return false
 	}
-	wait := absence + time.Duration(c.rank())*turn
-	if c.row.Name == "" && c.epoch > 0 {
-		wait -= absence // it was given up
+	timeout := ownerTimeout + time.Duration(c.rank())*rankDelay
+	if c.row.Name == "" && c.maxEpoch > 0 {
+		timeout -= ownerTimeout // it was given up
 	}
-	return c.now-c.since >= wait
+	return c.now-c.ownerSeenAt >= timeout
 }
 
 // rank is the number of linked entries that come before this one.
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -11,13 +11,13 @@
 )
 
 // row is the stored owner that several entries contend for.
-type row struct {
+type ownerRow struct {
 	owner   workload.Owner
 	version table.Revision
 }
 
 // serve performs the effects of an entry at once.
-func (r *row) serve(c *Core, now time.Duration) {
+func (r *ownerRow) apply(c *Core, now time.Duration) {
 	for {
 		effects := c.Effects()
 		if len(effects) == 0 {
@@ -40,11 +40,11 @@
 	}
 }
 
-func (r *row) advance(now *time.Duration, d time.Duration, cores ...*Core) {
+func (r *ownerRow) advance(now *time.Duration, d time.Duration, cores ...*Core) {
 	for end := *now + d; *now < end; *now += 50 * time.Millisecond {
 		for _, c := range cores {
 			c.Tick(*now)
-			r.serve(c, *now)
+			r.apply(c, *now)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 // Guards against two owners: of entries that start together one claims the
 // jobs, and the others see it.
 func TestOneOfManyEntriesOwnsTheJobs(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
@@ -64,8 +64,8 @@
 
 // Guards against jobs that nobody owns after the owner's end, and against a
 // replaced owner that goes on.
-func TestOwnerThatIsAwayIsReplaced(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+func TestUnlinkedOwnerIsReplaced(t *testing.T) {
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
@@ -81,8 +81,8 @@
 }
 
 // Guards against an entry that waits for itself after a restart.
-func TestRestartedOwnerTakesItsJobsBackAtOnce(t *testing.T) {
-	r := &row{owner: workload.Owner{Name: "a", Boot: 1, Epoch: 4}, version: 9}
+func TestRestartedOwnerReclaimsTheJobsAtOnce(t *testing.T) {
+	r := &ownerRow{owner: workload.Owner{Name: "a", Boot: 1, Epoch: 4}, version: 9}
 	now := time.Duration(0)
 	a := New("a", 2, 0)
 	r.advance(&now, 100*time.Millisecond, a)
@@ -92,8 +92,8 @@
 
 // Guards against a gap at a planned stop: jobs that were given up are claimed
 // without waiting for the link to end.
-func TestJobsThatAreGivenUpAreClaimedAtOnce(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+func TestReleasedJobsAreClaimedAtOnce(t *testing.T) {
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
@@ -107,7 +107,7 @@
 }
 
 // Guards against a claim whose answer was lost: the row tells whether it won.
-func TestLostAnswerOfAClaimIsReadBack(t *testing.T) {
+func TestClaimOfUnknownOutcomeIsReadBack(t *testing.T) {
 	a := New("a", 1, 0)
 	a.Tick(time.Millisecond)
 	a.Effects()
--- a/internal/policy/contention/contention.go
+++ b/internal/policy/contention/contention.go
@@ -24,33 +24,33 @@
 const UsedShare = 0.85
 
 // UnknownHarm is that of a filler of which nothing has been measured.
-const UnknownHarm = 0.3
+const DefaultCoefficient = 0.3
 
 const (
 	// idleShare is the tail latency without load, relative to the target. The
 	// law has to be right near the target, where this share matters little.
-	idleShare = 0.2
+	idleLatencyShare = 0.2
 	// aimShare of the target is the latency up to which fillers may push.
-	aimShare = 0.75
+	aimLatencyShare = 0.75
 	// leastBusy and mostBusy bound 1 − L0/L: beyond them a measured latency
 	// tells nothing of the load.
-	leastBusy = 0.05
-	mostBusy  = 0.97
+	minUtilisation = 0.05
+	maxUtilisation = 0.97
 )
 
 // Busy is how busy a serving task is, ρ + P, by its latency.
-func Busy(latency, target time.Duration) float64 {
+func Utilisation(latency, target time.Duration) float64 {
 	if latency <= 0 || target <= 0 {
-		return leastBusy
+		return minUtilisation
 	}
-	return min(mostBusy, max(leastBusy, 1-idleShare*float64(target)/float64(latency)))
+	return min(maxUtilisation, max(minUtilisation, 1-idleLatencyShare*float64(target)/float64(latency)))
 }
 
 // PressureBudget is the pressure that a serving task of a load bears below the latency
 // that fillers may push it to.
 func PressureBudget(load float64) float64 {
-	const aimBusy = 1 - idleShare/aimShare
-	return max(0, aimBusy-load)
+	const aimUtilisation = 1 - idleLatencyShare/aimLatencyShare
+	return max(0, aimUtilisation-load)
 }
 
 // Sample is one measurement of a serving task.
@@ -67,77 +67,77 @@
 // samples of many hosts. It is a Kalman filter: a group has a load and its
 // slope, a pair its harm, and their errors are taken as independent.
 type Model struct {
-	groups map[Group]*load
-	pairs  map[Pair]*harm
-	taught bool // harms are taken from Teach only
+	groups            map[Group]*load
+	pairs             map[Pair]*coefficient
+	fixedCoefficients bool // harms are taken from Teach only
 }
 
 // load is the load of a group, its slope for each second, and their
 // covariance.
 type load struct {
-	at           time.Duration
-	value, slope float64
-	vv, vs, ss   float64
+	updatedAt                                time.Duration
+	value, slope                             float64
+	valueVariance, covariance, slopeVariance float64
 }
 
-type harm struct{ value, variance float64 }
+type coefficient struct{ value, variance float64 }
 
 const (
-	firstLoad        = 0.45
-	loadVariance     = 0.04
-	slopeBound       = 0.15 // for each second
-	slopeVar         = 0.01
-	harmVariance     = 0.5
-	restoredVariance = 0.05
-	leastHarm        = 0.02
-	mostHarm         = 4.0
-	leastLoad        = 0.05
-	mostLoad         = 0.95
+	initialLoad                = 0.45
+	initialLoadVariance        = 0.04
+	maxSlope                   = 0.15 // for each second
+	initialSlopeVariance       = 0.01
+	initialCoefficientVariance = 0.5
+	restoredVariance           = 0.05
+	minCoefficient             = 0.02
+	maxCoefficient             = 4.0
+	minLoad                    = 0.05
+	maxLoad                    = 0.95
 	// Growth of the variances: loads swing within seconds, harm changes slower.
-	loadNoise  = 0.0003 // for each second
-	slopeNoise = 0.003  // for each second
-	harmNoise  = 0.0002 // for each sample
+	loadNoise        = 0.0003 // for each second
+	slopeNoise       = 0.003  // for each second
+	coefficientNoise = 0.0002 // for each sample
 	// latencyNoise is the relative error of a measured latency, busyNoise the
 	// error of the law.
 	latencyNoise = 0.12
-	busyNoise    = 0.03
+	modelNoise   = 0.03
 	// outlier deviations bound what one sample may change.
-	outlier = 3.0
+	maxDeviations = 3.0
 	// saturated is where neither a prediction nor a latency tells how far a
 	// task is past its limit.
-	saturated = 0.95
+	saturation = 0.95
 	// horizon bounds the time over which a slope is extrapolated.
-	horizon = 1500 * time.Millisecond
+	maxExtrapolation = 1500 * time.Millisecond
 	// forgetAfter is how long a group without samples is kept.
-	forgetAfter = 30 * time.Second
+	groupRetention = 30 * time.Second
 )
 
 // NewModel returns a model without samples.
 func NewModel() *Model {
-	return &Model{groups: map[Group]*load{}, pairs: map[Pair]*harm{}}
+	return &Model{groups: map[Group]*load{}, pairs: map[Pair]*coefficient{}}
 }
 
 // NewLoadModel returns a model that learns loads only. The samples of one
 // host cannot tell harm from load, so the harms come from Teach.
 func NewLoadModel() *Model {
 	m := NewModel()
-	m.taught = true
+	m.fixedCoefficients = true
 	return m
 }
 
 func (m *Model) group(g Group, now time.Duration) *load {
 	l, ok := m.groups[g]
 	if !ok {
-		l = &load{at: now, value: firstLoad, vv: loadVariance, ss: slopeVar}
+		l = &load{updatedAt: now, value: initialLoad, valueVariance: initialLoadVariance, slopeVariance: initialSlopeVariance}
 		m.groups[g] = l
 	}
 	return l
 }
 
-func (m *Model) pair(p Pair) *harm {
+func (m *Model) pair(p Pair) *coefficient {
 	h, ok := m.pairs[p]
 	if !ok {
-		h = &harm{UnknownHarm, harmVariance}
+		h = &coefficient{DefaultCoefficient, initialCoefficientVariance}
 		m.pairs[p] = h
 	}
 	return h
@@ -147,60 +147,60 @@
 func (m *Model) Observe(now time.Duration, s Sample) {
 	l := m.group(s.Group, now)
 	l.advance(now)
-	busy := Busy(s.Latency, s.Target)
+	utilisation := Utilisation(s.Latency, s.Target)
 	pressure := m.Pressure(s.Image, s.Shares)
 	predicted := l.value + pressure
-	if predicted > saturated && busy > saturated {
+	if predicted > saturation && utilisation > saturation {
 		return
 	}
-	ratio := idleShare * float64(s.Target) / float64(max(1, s.Latency))
-	variance := square(latencyNoise*ratio) + square(busyNoise) + l.vv
-	for i, share := range s.Shares {
-		variance += square(share) * m.pair(Pair{s.Image, i}).variance
+	ratio := idleLatencyShare * float64(s.Target) / float64(max(1, s.Latency))
+	variance := square(latencyNoise*ratio) + square(modelNoise) + l.valueVariance
+	for image, share := range s.Shares {
+		variance += square(share) * m.pair(Pair{s.Image, image}).variance
 	}
-	bound := outlier * math.Sqrt(variance)
-	residual := min(bound, max(-bound, busy-min(mostBusy, predicted)))
+	maxResidual := maxDeviations * math.Sqrt(variance)
+	residual := min(maxResidual, max(-maxResidual, utilisation-min(maxUtilisation, predicted)))
 	l.correct(residual, variance)
-	if m.taught {
+	if m.fixedCoefficients {
 		return
 	}
-	for i, share := range s.Shares {
-		m.pair(Pair{s.Image, i}).correct(share, residual, variance)
+	for image, share := range s.Shares {
+		m.pair(Pair{s.Image, image}).correct(share, residual, variance)
 	}
 }
 
 // advance predicts the load at a later time.
 func (l *load) advance(now time.Duration) {
-	t := (now - l.at).Seconds()
-	l.at = now
-	l.value += l.slope * min(t, horizon.Seconds())
-	l.vv += 2*t*l.vs + t*t*l.ss + loadNoise*t
-	l.vs += t * l.ss
-	l.ss += slopeNoise * t
-	l.bound()
+	t := (now - l.updatedAt).Seconds()
+	l.updatedAt = now
+	l.value += l.slope * min(t, maxExtrapolation.Seconds())
+	l.valueVariance += 2*t*l.covariance + t*t*l.slopeVariance + loadNoise*t
+	l.covariance += t * l.slopeVariance
+	l.slopeVariance += slopeNoise * t
+	l.clamp()
 }
 
 // correct applies a residual of the given variance.
 func (l *load) correct(residual, variance float64) {
-	gain, slopeGain := l.vv/variance, l.vs/variance
+	gain, slopeGain := l.valueVariance/variance, l.covariance/variance
 	l.value += gain * residual
 	l.slope += slopeGain * residual
-	l.ss -= slopeGain * l.vs
-	l.vs -= gain * l.vs
-	l.vv -= gain * l.vv
-	l.bound()
+	l.slopeVariance -= slopeGain * l.covariance
+	l.covariance -= gain * l.covariance
+	l.valueVariance -= gain * l.valueVariance
+	l.clamp()
 }
 
-func (l *load) bound() {
-	l.value = min(mostLoad, max(leastLoad, l.value))
-	l.slope = min(slopeBound, max(-slopeBound, l.slope))
+func (l *load) clamp() {
+	l.value = min(maxLoad, max(minLoad, l.value))
+	l.slope = min(maxSlope, max(-maxSlope, l.slope))
 }
 
 // correct applies a residual that the harm influences with a weight.
-func (h *harm) correct(weight, residual, variance float64) {
+func (h *coefficient) correct(weight, residual, variance float64) {
 	gain := weight * h.variance / variance
-	h.value = min(mostHarm, max(leastHarm, h.value+gain*residual))
-	h.variance = min(harmVariance, h.variance*(1-gain*weight)+harmNoise)
+	h.value = min(maxCoefficient, max(minCoefficient, h.value+gain*residual))
+	h.variance = min(initialCoefficientVariance, h.variance*(1-gain*weight)+coefficientNoise)
 }
 
 // Load predicts the load of a group at a time. A group without samples has a
@@ -208,10 +208,10 @@
 func (m *Model) Load(g Group, at time.Duration) float64 {
 	l, ok := m.groups[g]
 	if !ok {
-		return firstLoad
+		return initialLoad
 	}
-	ahead := min(horizon, max(0, at-l.at)).Seconds()
-	return min(mostLoad, max(leastLoad, l.value+l.slope*ahead))
+	ahead := min(maxExtrapolation, max(0, at-l.updatedAt)).Seconds()
+	return min(maxLoad, max(minLoad, l.value+l.slope*ahead))
 }
 
 // Coefficient returns the pressure of a filler that uses a whole host on a serving
@@ -220,11 +220,11 @@
 	if h, ok := m.pairs[p]; ok {
 		return h.value
 	}
-	return UnknownHarm
+	return DefaultCoefficient
 }
 
 // Harms calls visit for each pair that was measured.
-func (m *Model) Harms(visit func(Pair, float64)) {
+func (m *Model) Coefficients(visit func(Pair, float64)) {
 	for p, h := range m.pairs {
 		visit(p, h.value)
 	}
@@ -233,12 +233,12 @@
 // SetCoefficient sets the harm of a pair to what another model has learned from more
 // hosts.
 func (m *Model) SetCoefficient(p Pair, value float64) {
-	m.pair(p).value = min(mostHarm, max(leastHarm, value))
+	m.pair(p).value = min(maxCoefficient, max(minCoefficient, value))
 }
 
 // Restore sets the harm of a pair to what a former model had learned. Samples
 // change it, though less than one that is not known.
-func (m *Model) Restore(p Pair, value float64) {
+func (m *Model) RestoreCoefficient(p Pair, value float64) {
 	m.SetCoefficient(p, value)
 	m.pair(p).variance = restoredVariance
 }
@@ -246,8 +246,8 @@
 // Pressure on a serving task of fillers that use shares of its host.
 func (m *Model) Pressure(serving Image, shares map[Image]float64) float64 {
 	sum := 0.0
-	for i, share := range shares {
-		sum += m.Coefficient(Pair{serving, i}) * share
+	for image, share := range shares {
+		sum += m.Coefficient(Pair{serving, image}) * share
 	}
 	return sum
 }
@@ -255,7 +255,7 @@
 // DropIdleGroups drops groups without recent samples.
 func (m *Model) DropIdleGroups(now time.Duration) {
 	for g, l := range m.groups {
-		if now-l.at > forgetAfter {
+		if now-l.updatedAt > groupRetention {
 			delete(m.groups, g)
 		}
 	}
--- a/internal/policy/hostselect/hostselect.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -19,11 +19,11 @@
 	Draining
 	OtherService
 	NoLabel
-	TooMany // of the step's tasks are on the host
-	NoRoom
+	TooManyOfStep // of the step's tasks are on the host
+	NoCapacity
 	Failing
-	Avoided // the task failed there
-	Crowded // a filler would hardly work there
+	Avoided  // the task failed there
+	LowSpeed // a filler would hardly work there
 )
 
 func (r Reason) String() string {
@@ -34,17 +34,17 @@
 
 // Host is what a choice knows of a host.
 type Host struct {
-	Info       *workload.Host
-	Reachable  bool
-	Free       workload.Resources // declared sizes of live runs taken off
-	FillerCPU  int64              // demand of fillers in thousandths of a core
-	Serving    int                // live runs that serve
-	SameStep   int                // live runs of the step
-	SameImage  bool               // a live run serves with the task's image
-	FillersFit float64            // how many fillers like the task the serving runs still bear
-	Suspect    bool               // the last run there failed, or progress is slow
-	Failing    bool
-	Avoided    bool
+	Info               *workload.Host
+	Reachable          bool
+	Free               workload.Resources // declared sizes of live runs taken off
+	BestEffortCPU      int64              // demand of fillers in thousandths of a core
+	Serving            int                // live runs that serve
+	SameStep           int                // live runs of the step
+	SameImage          bool               // a live run serves with the task's image
+	BestEffortHeadroom float64            // how many fillers like the task the serving runs still bear
+	Suspect            bool               // the last run there failed, or progress is slow
+	Failing            bool
+	Avoided            bool
 }
 
 // Task is what a choice knows of a task.
@@ -52,34 +52,34 @@
 	Step     *workload.Step
 	Service  workload.Service
 	Priority int
-	Patient  bool // a filler that may still wait for a better host
+	MayWait  bool // a filler that may still wait for a better host
 }
 
 // Patience is how long a filler waits for a host on which it would work at
 // leastSpeed at least.
 const (
-	Patience   = 1500 * time.Millisecond
-	leastSpeed = 0.4
+	MaxWait  = 1500 * time.Millisecond
+	minSpeed = 0.4
 )
 
 // Speed estimates the share of its speed at which a filler would work on h.
 func Speed(t Task, h Host) float64 {
 	speed := min(1, 1/max(demand(t, h), 0.01))
 	if h.Serving > 0 {
-		speed *= min(1, h.FillersFit)
+		speed *= min(1, h.BestEffortHeadroom)
 	}
 	return speed
 }
 
 // servingUse is the part of their declared processors that other tasks use.
-const servingUse = 0.6
+const otherUsedShare = 0.6
 
 // demand is what the tasks on h would use of its processors with a filler t.
 func demand(t Task, h Host) float64 {
 	capacity := float64(max(1, h.Info.Capacity.MilliCPU))
 	others := capacity - float64(h.Free.MilliCPU)
-	fillers := float64(h.FillerCPU + t.Step.Need.MilliCPU)
-	return (servingUse*others + contention.UsedShare*fillers) / capacity
+	bestEffort := float64(h.BestEffortCPU + t.Step.Need.MilliCPU)
+	return (otherUsedShare*others + contention.UsedShare*bestEffort) / capacity
 }
 
 // reservedShare of a host's processors is kept for tasks of the first
@@ -98,21 +98,21 @@
 	case t.Step.Label != "" && !h.Info.HasLabel(t.Step.Label):
 		return NoLabel
 	case t.Step.MaxPerHost > 0 && h.SameStep >= t.Step.MaxPerHost:
-		return TooMany
+		return TooManyOfStep
 	case h.Failing:
 		return Failing
 	case h.Avoided:
 		return Avoided
 	}
-	room := h.Free
+	free := h.Free
 	if t.Priority > 0 && !t.Step.BestEffort {
-		room.MilliCPU -= int64(reservedShare * float64(h.Info.Capacity.MilliCPU))
+		free.MilliCPU -= int64(reservedShare * float64(h.Info.Capacity.MilliCPU))
 	}
-	if !t.Step.Charge().Fits(room) {
-		return NoRoom
+	if !t.Step.Charge().Fits(free) {
+		return NoCapacity
 	}
-	if t.Step.BestEffort && t.Patient && Speed(t, h) < leastSpeed {
-		return Crowded
+	if t.Step.BestEffort && t.MayWait && Speed(t, h) < minSpeed {
+		return LowSpeed
 	}
 	return Fits
 }
@@ -126,7 +126,7 @@
 	// pressureWeight is for the part of what serving tasks still bear.
 	pressureWeight = 1.0
 	// Fillers disturb serving tasks, so the two are kept apart.
-	servingBesideFiller = 2.0
+	servingBesideBestEffort = 2.0
 	// Serving tasks share hosts, which leaves the others to fillers. A filler
 	// disturbs some images of serving tasks and others hardly, so hosts with
 	// one image find fillers that suit them.
@@ -148,9 +148,9 @@
 	}
 	switch {
 	case t.Step.BestEffort:
-		return score + fillerScore(t, h)
+		return score + bestEffortScore(t, h)
 	case t.Step.Serves():
-		score -= servingBesideFiller * float64(h.FillerCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
+		score -= servingBesideBestEffort * float64(h.BestEffortCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
 		score += sameJobTogether * min(1, float64(h.SameStep))
 		switch {
 		case h.SameImage:
@@ -159,18 +159,18 @@
 			score += servingTogether
 		}
 	}
-	return score + unused(h)
+	return score + unusedShare(h)
 }
 
 // unused is the part of the processors that no task takes.
-func unused(h Host) float64 {
-	return float64(h.Free.MilliCPU-h.FillerCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
+func unusedShare(h Host) float64 {
+	return float64(h.Free.MilliCPU-h.BestEffortCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
 }
 
-func fillerScore(t Task, h Host) float64 {
+func bestEffortScore(t Task, h Host) float64 {
 	score := speedWeight*Speed(t, h) - demandWeight*demand(t, h)
 	if h.Serving > 0 {
-		score -= pressureWeight / max(1, h.FillersFit)
+		score -= pressureWeight / max(1, h.BestEffortHeadroom)
 	}
 	return score
 }
@@ -179,15 +179,15 @@
 // reason excluded.
 func Choose(t Task, hosts []Host) (int, map[Reason]int) {
 	best, bestScore := -1, 0.0
-	against := map[Reason]int{}
+	excluded := map[Reason]int{}
 	for i := range hosts {
 		if r := Check(t, hosts[i]); r != Fits {
-			against[r]++
+			excluded[r]++
 			continue
 		}
 		if s := Score(t, hosts[i]); best < 0 || s > bestScore {
 			best, bestScore = i, s
 		}
 	}
-	return best, against
+	return best, excluded
 }
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -27,21 +27,23 @@
 
 // Certain returns how long the granter of a lease of length d must wait, from
 // before it sent the grant, until the holder's clock has certainly passed d.
-func Certain(d time.Duration) time.Duration { return d + d/driftDivisor + margin }
+func ExpiryWait(d time.Duration) time.Duration { return d + d/driftDivisor + margin }
 
 // lapse is how long after the agent's lease its tasks may still run: a renewal
 // that a frozen agent sent late reaches the worker before the worker's own
 // lease ends, or it has no effect, and extends that lease once at most.
-var lapse = Certain(WorkerTTL) - margin
+var workerExpiry = ExpiryWait(WorkerTTL) - margin
 
 // AttemptEnd is how long after a grant of length d the attempts that depend on
 // it have certainly ended.
-func AttemptEnd(d time.Duration) time.Duration { return Certain(d) + lapse }
+func AttemptEnd(d time.Duration) time.Duration { return ExpiryWait(d) + workerExpiry }
 
 // SuccessorWait is how long after its claim a successor must wait for attempts
 // on an agent that it cannot reach: the old owner may renew them until its
 // hold bound.
-func SuccessorWait(long bool) time.Duration { return Certain(RenewalLimitOf(long)) + AttemptEnd(TTL) }
+func SuccessorWait(long bool) time.Duration {
+	return ExpiryWait(RenewalLimitOf(long)) + AttemptEnd(TTL)
+}
 
 // RenewalLimitOf returns the hold bound of a kind of work.
 func RenewalLimitOf(long bool) time.Duration {
@@ -104,7 +106,7 @@
 }
 
 // Until returns when the attempts of a kind have certainly ended.
-func (g *Grants) Until(long bool) time.Duration { return g.until[kind(long)] }
+func (g *Grants) Until(long bool) time.Duration { return g.until[kindIndex(long)] }
 
 // SetUntil records an expiry that does not come from a grant of this granter.
 func (g *Grants) SetUntil(short, long time.Duration) { g.until = [2]time.Duration{short, long} }
@@ -113,10 +115,10 @@
 // acknowledgement before the renewal, because the renewal itself may have been
 // under way for any length of time.
 type Holder struct {
-	seq   uint64
-	ackAt time.Duration
-	basis bool // ackAt may serve as the start of a lease
-	until [2]time.Duration
+	seq      uint64
+	ackAt    time.Duration
+	ackValid bool // ackAt may serve as the start of a lease
+	until    [2]time.Duration
 }
 
 // Receive records a renewal that arrived at now and must be acknowledged if
@@ -127,35 +129,35 @@
 		return false
 	case seq == h.seq:
 		return true // repeated: it proves nothing new about when it was sent
-	case seq == h.seq+1 && h.basis:
+	case seq == h.seq+1 && h.ackValid:
 		for i, d := range [2]time.Duration{ttl, longTTL} {
 			if d > 0 {
 				h.until[i] = max(h.until[i], h.ackAt+d)
 			}
 		}
 	}
-	h.seq, h.ackAt, h.basis = seq, now, true
+	h.seq, h.ackAt, h.ackValid = seq, now, true
 	return true
 }
 
 // NewGranter forgets the sequence numbers of the previous granter. The lease
 // it granted stays valid until its end.
-func (h *Holder) NewGranter() { h.seq, h.basis = 0, false }
+func (h *Holder) NewGranter() { h.seq, h.ackValid = 0, false }
 
 // Invalidate makes the lease count as expired until a renewal that was sent after
 // now confirms it.
 func (h *Holder) Invalidate() {
-	h.basis = false
+	h.ackValid = false
 	h.until = [2]time.Duration{}
 }
 
 // Until returns the end of the lease of a kind of work.
-func (h *Holder) Until(long bool) time.Duration { return h.until[kind(long)] }
+func (h *Holder) Until(long bool) time.Duration { return h.until[kindIndex(long)] }
 
 // Valid reports whether the lease of a kind of work is valid at now.
-func (h *Holder) Valid(now time.Duration, long bool) bool { return now < h.until[kind(long)] }
+func (h *Holder) Valid(now time.Duration, long bool) bool { return now < h.until[kindIndex(long)] }
 
-func kind(long bool) int {
+func kindIndex(long bool) int {
 	if long {
 		return 1
 	}
@@ -170,4 +172,6 @@
 
 // State returns the newest sequence number received and when it was
 // acknowledged; basis is false if the lease may not count from then.
-func (h *Holder) State() (seq uint64, at time.Duration, basis bool) { return h.seq, h.ackAt, h.basis }
+func (h *Holder) State() (seq uint64, at time.Duration, basis bool) {
+	return h.seq, h.ackAt, h.ackValid
+}
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -10,7 +10,7 @@
 // Guards against a holder that trusts its lease after the granter considers it
 // expired: delays of renewals and acknowledgements are arbitrary and the
 // clocks differ in rate by up to 1%.
-func TestHolderNeverOutlastsGranter(t *testing.T) {
+func TestHolderLeaseEndsBeforeGranterRecord(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Second, 20 * time.Second, time.Minute, time.Hour} {
 		for _, back := range []time.Duration{0, 3 * time.Second, 40 * time.Second} {
 			var g Grants
@@ -32,7 +32,7 @@
 
 // Guards against a renewal that was buffered while the holder was paused and
 // would confirm a lease that its granter gave up.
-func TestBufferedRenewalDoesNotConfirm(t *testing.T) {
+func TestBufferedRenewalDoesNotConfirmTheLease(t *testing.T) {
 	var h Holder
 	h.Receive(1*time.Second, 1, TTL, TTL)
 	require.False(t, h.Valid(1*time.Second, false))
