--- a/internal/jobs/core.go
+++ b/internal/jobs/core.go
@@ -1,7 +1,8 @@
-// Package jobs decides for the owner of the jobs: which task starts on which
-// host, what the end of a run means, and what is stored. It does no input or
-// output: events come in, messages to agents, phases for callers and rows to
-// store come out. The lifecycles of jobs, runs and hosts are charts.
+// Package jobs holds the decisions of the owner of the jobs: which task starts
+// on which host, how the end of a run changes its job, and which rows are
+// stored. It does no input or output. Its caller passes events in, and collects
+// messages to agents, phases for callers, rows to store and log lines. The
+// states of jobs, runs and hosts are those of charts.
 package jobs
 
 import (
@@ -13,9 +14,9 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// LeaseTime is how long everything on a host may run after the owner's last
-// grant, and Lapse is when it has ended for certain: the host's clock may be
-// 2% slow.
+// LeaseDuration is how long the runs of a host may go on after the owner's last
+// grant. After LeaseExpiry they have certainly ended, also if the host's clock
+// is 2% slow.
 const (
 	LeaseDuration = 6 * time.Second
 	LeaseExpiry   = LeaseDuration + LeaseDuration/50 + 300*time.Millisecond
@@ -27,17 +28,18 @@
 	Message msg.Control
 }
 
-// Decision is a log line.
+// Decision is a decision that the caller logs and counts. Fields that do not
+// apply to its kind are zero.
 type Decision struct {
 	Kind   DecisionKind
 	Job    workload.JobID
 	Run    workload.RunID
 	Host   workload.HostName
 	Detail string
-	Age    time.Duration // of the input that decided it
+	Age    time.Duration // of the job, run, waiting task or lease grant that it is about
 }
 
-// DecisionKind says what was decided.
+// DecisionKind is the kind of a Decision.
 type DecisionKind uint8
 
 // Kinds of decisions.
@@ -51,7 +53,8 @@
 	TaskUnplaced
 )
 
-// Core is the state of an owner. It belongs to one goroutine.
+// Core is the state of the owner of the jobs. It is not safe for concurrent use.
+// Times are durations on the caller's monotonic clock unless stated otherwise.
 type Core struct {
 	epoch  uint64
 	now    time.Duration
@@ -59,25 +62,25 @@
 
 	hosts      map[workload.HostName]*host
 	jobs       map[workload.JobID]*job
-	cancelled  map[workload.JobID]time.Duration // of jobs that are not known yet
-	ready      map[*task]struct{}
-	planNeeded bool // something changed that may let a task start
+	cancelled  map[workload.JobID]time.Duration // when jobs that are not known yet were cancelled
+	ready      map[*task]struct{}               // tasks that may start
+	planNeeded bool                             // something changed that may let a task start
 
 	contention           *contention.Model
-	interferenceStoredAt time.Duration // when they were last put into a batch
+	interferenceStoredAt time.Duration // when the coefficients were last put into a batch
 
 	hostList         hostList
-	dirty            map[*job]struct{}
-	removals         []workload.JobID
-	pendingBatch     *Batch
-	recoveryDeadline time.Duration // recovered tasks whose runs are unknown start after it
+	dirty            map[*job]struct{} // jobs whose row has to be written
+	removals         []workload.JobID  // jobs whose rows have to be deleted
+	pendingBatch     *Batch            // the batch that is being written, or nil
+	recoveryDeadline time.Duration     // recovered jobs start no tasks before it; 0: no recovery
 
 	messages  []HostMessage
 	phases    []msg.JobPhase
 	decisions []Decision
 }
 
-// New returns the core of an owner that has just claimed the jobs with epoch.
+// New returns the core of an owner that has just claimed the jobs with an epoch.
 func New(epoch uint64, now time.Duration) *Core {
 	return &Core{
 		epoch: epoch, now: now, hosts: map[workload.HostName]*host{}, jobs: map[workload.JobID]*job{},
@@ -86,10 +89,10 @@
 	}
 }
 
-// Epoch returns the epoch of the ownership.
+// Epoch returns the owner's epoch.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Advance sets the time. Call it before each event.
+// Advance sets the time. The caller calls it before each event.
 func (c *Core) Advance(now time.Duration, wallMS int64) { c.now, c.wallMS = now, wallMS }
 
 // Messages returns the messages for agents since the last call.
@@ -99,21 +102,21 @@
 	return out
 }
 
-// Phases returns the changes for callers since the last call.
+// Phases returns the changes of visible phases since the last call.
 func (c *Core) Phases() []msg.JobPhase {
 	out := c.phases
 	c.phases = nil
 	return out
 }
 
-// Decisions returns the log lines since the last call.
+// Decisions returns the decisions since the last call.
 func (c *Core) Decisions() []Decision {
 	out := c.decisions
 	c.decisions = nil
 	return out
 }
 
-// AllPhases returns the phase of every job.
+// AllPhases returns the visible phase of every job, ordered by job.
 func (c *Core) AllPhases() []msg.JobPhase {
 	list := make([]msg.JobPhase, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -129,13 +132,13 @@
 
 func (c *Core) addDecision(d Decision) { c.decisions = append(c.decisions, d) }
 
-// tickInterval is how often timeouts are looked for.
+// tickInterval is the interval at which timeouts are checked.
 const tickInterval = 100 * time.Millisecond
 
-// NextTick is when Tick should be called.
+// NextTick returns the time at which Tick should be called next.
 func (c *Core) NextTick() time.Duration { return c.now + tickInterval }
 
-// Tick applies due timeouts.
+// Tick applies the timeouts that have expired.
 func (c *Core) Tick() {
 	for _, h := range c.hosts {
 		h.tick()
@@ -157,11 +160,12 @@
 	}
 }
 
-// keepCancelled is how long a cancellation waits for its job's row.
+// cancellationRetention is how long a cancellation is kept that arrived before
+// its job.
 const cancellationRetention = time.Minute
 
-// sortedHosts returns the hosts in the order of their names, so that equal
-// inputs give equal plans.
+// sortedHosts returns the hosts ordered by name, so that equal inputs give
+// equal plans.
 func (c *Core) sortedHosts() []*host {
 	list := make([]*host, 0, len(c.hosts))
 	for _, h := range c.hosts {
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// world drives a core as its entry does, and plays the agents.
+// harness drives a Core as the entry does, and takes the part of the agents.
 type harness struct {
 	t       *testing.T
 	core    *Core
@@ -41,11 +41,12 @@
 	return workload.Job{ID: workload.JobID(id), Queue: "q", Service: "desk", MaxAttempts: 2, TargetSlowdown: 2, TargetLatency: time.Second, Steps: steps}
 }
 
+// newStep returns a step of count tasks, each of cpu thousandths of a core.
 func newStep(count int, cpu int64, after ...int) workload.Step {
 	return workload.Step{Count: count, Need: workload.Resources{MilliCPU: cpu, MemoryMB: 1}, Estimate: time.Second, After: after}
 }
 
-// settle applies what the core decided until nothing is left to do.
+// process plans, and records the messages and phases of the core.
 func (w *harness) process() {
 	w.core.Plan()
 	for _, s := range w.core.Messages() {
@@ -76,7 +77,8 @@
 	}
 }
 
-// link brings a host up with an inventory.
+// link links a host, answers the claim with an inventory of runs, and stores the
+// list of hosts.
 func (w *harness) link(h workload.Host, runs ...msg.RunStatus) {
 	w.core.Linked(h)
 	w.core.Inventory(&msg.HostInventory{Epoch: w.core.epoch, Host: h, Runs: runs})
@@ -84,7 +86,8 @@
 	w.process()
 }
 
-// listHosts stores the list of hosts, without which nothing starts.
+// storeHosts stores the list of hosts; nothing starts on a host that is not in
+// it.
 func (w *harness) storeHosts() {
 	if hosts, changed := w.core.hostsToStore(); changed {
 		w.core.hostList.setStored(hosts)
@@ -92,6 +95,7 @@
 	}
 }
 
+// reportEnd reports the end of a run with the host's next number.
 func (w *harness) reportEnd(run workload.RunID, reason workload.EndReason, checkpoint string) {
 	name := w.started[run]
 	w.ends[name]++
@@ -108,6 +112,7 @@
 	w.process()
 }
 
+// lastPhase returns the phase of a job that callers saw last.
 func (w *harness) lastPhase(id workload.JobID) workload.Phase {
 	require.NotEmpty(w.t, w.phases[id])
 	return w.phases[id][len(w.phases[id])-1]
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// failingAfter is how many jobs in a row must fail on a host before it
-	// gets no more tasks.
+	// failingThreshold is the number of jobs that must fail on a host, with no
+	// completed run in between, before it gets no more tasks.
 	failingThreshold = 2
-	// probation is when a failing host gets a task again.
+	// probation is the time after the last failure at which a failing host gets
+	// a task again.
 	probation = 3 * time.Second
 )
 
-// health is what the ends of runs say of a host.
+// health counts the failures on a host.
 type health struct {
-	failedJobs map[workload.JobID]bool // since the last run that was done
+	failedJobs map[workload.JobID]bool // jobs that failed since the last completed run
 	lastFailed time.Duration
 }
 
@@ -35,12 +36,16 @@
 	}
 }
 
+// suspect reports whether the host has failed a run since its last completed
+// one. hostselect lowers the score of such a host.
 func (h *host) suspect() bool { return len(h.health.failedJobs) > 0 }
 
+// failing reports whether the host gets no tasks at present.
 func (h *host) failing() bool {
 	return len(h.health.failedJobs) >= failingThreshold && h.core.now-h.health.lastFailed < probation
 }
 
+// sortedRuns returns the host's runs ordered by identifier.
 func (h *host) sortedRuns() []*run {
 	list := make([]*run, 0, len(h.runs))
 	for _, r := range h.runs {
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -27,7 +27,7 @@
 	evExpect
 )
 
-// claimRetry is how long an agent may take to answer a claim.
+// claimRetry is the time after which an unanswered claim is sent again.
 const claimRetry = time.Second
 
 var hostChart *chart.Machine[host]
@@ -45,35 +45,36 @@
 			"adopt":     (*host).adopt,
 			"loseRuns":  (*host).loseRuns,
 		},
-		Delays: map[string]time.Duration{"claimRetry": claimRetry, "lapseTime": LeaseExpiry},
+		Delays: map[string]time.Duration{"claimRetry": claimRetry, "leaseExpiry": LeaseExpiry},
 	}
 }
 
-// host is a host and the runs that are charged to it.
+// host is a host with the runs that count against its capacity.
 type host struct {
 	core      *Core
 	info      workload.Host
 	state     chart.State
-	timeoutAt time.Duration // of the state's timeout; 0: none
+	timeoutAt time.Duration // when the state's timeout expires; 0: none
 
-	lastGrantAt          time.Duration
+	lastGrantAt          time.Duration // when the lease of the runs was last granted
 	runs                 map[workload.RunID]*run
-	used                 workload.Resources
-	bestEffortCPU        int64
+	used                 workload.Resources // charges of the runs
+	bestEffortCPU        int64              // thousandths of a core that best-effort runs declare
 	servingRuns          int
-	endsApplied          uint64 // ends up to this number are applied
-	endsAcknowledged     uint64 // ends up to this number are stored and acknowledged
+	endsApplied          uint64 // number of the last end that was applied
+	endsAcknowledged     uint64 // number of the last end that was stored and acknowledged
 	health               health
-	inventoryStartedAtMS int64         // life whose inventory was taken
-	expected             bool          // runs of a former owner may go on there
-	lastMoveAt           time.Duration // when a filler was last moved there
-	idleSince            time.Duration // when everything there had surely ended
-
-	starts    []msg.RunStart
-	stops     []workload.RunID
-	inventory *msg.HostInventory // during the event inventory
+	inventoryStartedAtMS int64         // incarnation whose inventory was accepted; 0: none
+	expected             bool          // runs of an earlier owner may go on there
+	lastMoveAt           time.Duration // when a best-effort run was last moved to the host; 0: never
+	idleSince            time.Duration // when all runs on the host had certainly ended
+
+	starts    []msg.RunStart     // not yet sent
+	stops     []workload.RunID   // not yet sent
+	inventory *msg.HostInventory // set during the event inventory only
 }
 
+// host returns the host of a name, and adds it if it is not known.
 func (c *Core) host(name workload.HostName) *host {
 	h, ok := c.hosts[name]
 	if !ok {
@@ -83,6 +84,7 @@
 	return h
 }
 
+// step applies an event to the host's chart and sets the timeout of its state.
 func (h *host) step(e chart.Event) {
 	before := h.state
 	hostChart.Step(h, &h.state, e)
@@ -108,14 +110,14 @@
 	}
 }
 
-// Linked says that the agent of a host is linked.
+// Linked records that the agent of a host is linked.
 func (c *Core) Linked(info workload.Host) {
 	h := c.host(info.Name)
 	h.update(info)
 	h.step(evUp)
 }
 
-// Unlinked says that the agent of a host is no longer linked.
+// Unlinked records that the agent of a host is no longer linked.
 func (c *Core) Unlinked(name workload.HostName) {
 	if h, ok := c.hosts[name]; ok {
 		c.addDecision(Decision{Kind: HostChanged, Host: name, Detail: "silent", Age: c.now - h.lastGrantAt})
@@ -123,19 +125,19 @@
 	}
 }
 
-// Announced takes the newest state of a host.
+// Announced updates a host with the state that its agent announces.
 func (c *Core) Announced(info workload.Host) {
 	c.host(info.Name).update(info)
 	c.planNeeded = true
 }
 
-// meet takes what an agent says of its backend server. Another life of it
-// runs nothing of the former one.
+// update applies the state that an agent reports of its backend server. A new
+// incarnation of the backend server has none of the runs of the former one.
 func (h *host) update(info workload.Host) {
 	old := h.info
 	restarted := old.Instance != "" && (old.Instance != info.Instance || old.StartedAtMS != info.StartedAtMS)
 	if info.Instance == "" {
-		return // the agent has not heard of its backend server yet
+		return // the agent does not know its backend server yet
 	}
 	if restarted || info.State == workload.HostUnavailable && old.State != workload.HostUnavailable {
 		h.core.addDecision(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "ended"})
@@ -155,7 +157,7 @@
 	}
 }
 
-// evacuate stops the runs that would not end before the host leaves.
+// evacuate stops the runs that would not end before the host shuts down.
 func (h *host) evacuate() {
 	for _, r := range h.sortedRuns() {
 		if r.task.step.spec.LongRunning || r.remaining() > h.info.Remaining {
@@ -168,7 +170,8 @@
 	h.core.send(h, &msg.OwnerClaim{Epoch: h.core.epoch})
 }
 
-// Inventory takes the answer of an agent to a claim.
+// Inventory applies an agent's answer to a claim. An inventory for another epoch
+// is ignored.
 func (c *Core) Inventory(m *msg.HostInventory) {
 	if m.Epoch != c.epoch {
 		return
@@ -181,7 +184,8 @@
 	c.endRecoveryIfComplete()
 }
 
-// adopt compares what the agent lists with what is charged to the host.
+// adopt reconciles the runs that are charged to the host with the agent's
+// inventory.
 func (h *host) adopt() {
 	m := h.inventory
 	h.core.addDecision(Decision{Kind: HostChanged, Host: h.info.Name, Detail: "taken"})
@@ -211,6 +215,8 @@
 	}
 }
 
+// adoptRun charges a run of an inventory to the host. It returns nil if the run
+// belongs to no known job, and stops such a run.
 func (h *host) adoptRun(s msg.RunStatus) *run {
 	if r, ok := h.runs[s.Run]; ok {
 		if !s.Unconfirmed {
@@ -220,7 +226,7 @@
 	}
 	t := h.core.task(s.Run.Task)
 	if t == nil {
-		h.stops = append(h.stops, s.Run) // no job of ours
+		h.stops = append(h.stops, s.Run)
 		h.core.planNeeded = true
 		return nil
 	}
@@ -248,6 +254,7 @@
 	return r
 }
 
+// uncharge removes a run from the host.
 func (h *host) uncharge(r *run) {
 	if _, ok := h.runs[r.id]; !ok {
 		return
@@ -256,6 +263,8 @@
 	h.adjustUsage(r.task.step.spec, -1)
 }
 
+// adjustUsage adds the charge of a task of step s to the host's usage, or
+// subtracts it if sign is -1.
 func (h *host) adjustUsage(s *workload.Step, sign int64) {
 	c := s.Charge()
 	h.used.MilliCPU += sign * c.MilliCPU
@@ -269,11 +278,13 @@
 	}
 }
 
+// size returns what the agent has to know of the run to admit and throttle it.
 func (r *run) size() msg.RunSize {
 	s := r.task.step.spec
 	return msg.RunSize{Run: r.id, Charge: s.Charge(), TargetLatency: s.TargetLatency, BestEffort: s.BestEffort, Image: s.Image, MilliCPU: s.Need.MilliCPU}
 }
 
+// loseRuns ends the runs of a host on which they have certainly ended.
 func (h *host) loseRuns() {
 	h.idleSince = h.core.now
 	for _, r := range h.sortedRuns() {
@@ -282,7 +293,9 @@
 	h.core.endRecoveryIfComplete()
 }
 
-// RunsChanged takes what an agent reports of its runs.
+// RunsChanged applies an agent's report of runs that started, were refused or
+// ended. It ignores a report for another epoch or incarnation, or while the
+// inventory of the host is missing.
 func (c *Core) RunsChanged(name workload.HostName, m *msg.RunsChanged) {
 	h, ok := c.hosts[name]
 	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
@@ -301,6 +314,7 @@
 	h.applyEnds(m.Ended)
 }
 
+// applyEnds applies the ends that were not applied before.
 func (h *host) applyEnds(ends []msg.RunEnd) {
 	for _, e := range ends {
 		if e.Number <= h.endsApplied {
@@ -316,7 +330,9 @@
 	}
 }
 
-// RunsProgress takes the report of an agent's runs and grants their lease.
+// RunsProgress applies an agent's report on its runs and grants them a new lease.
+// It ignores a report for another epoch or incarnation, or while the inventory
+// of the host is missing.
 func (c *Core) RunsProgress(name workload.HostName, m *msg.RunsProgress) {
 	h, ok := c.hosts[name]
 	if !ok || m.Epoch != c.epoch || h.state != hostReady || m.Instance != h.info.Instance || m.StartedAtMS != h.info.StartedAtMS {
@@ -332,6 +348,7 @@
 	}
 }
 
+// updateStatus records the reported status of the run.
 func (r *run) updateStatus(s msg.RunStatus) {
 	r.status, r.statusAt = s, r.core().now
 	r.updateThrottledSince(s)
@@ -340,9 +357,9 @@
 	}
 }
 
-// remaining estimates how long the run still takes.
+// remaining estimates the time until the run ends.
 func (r *run) remaining() time.Duration {
-	const minProgressPercent = 5 // percent
+	const minProgressPercent = 5 // a lower progress gives no usable estimate
 	ran := r.core().now - r.orderedAt
 	if p := r.status.ProgressPercent; p >= minProgressPercent {
 		return time.Duration(float64(ran) * float64(100-p) / float64(p))
--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -7,18 +7,20 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// forgetAfter is how long nothing must have run on a host before it leaves
-// the stored list. A host that flaps stays in it.
+// hostRetention is how long nothing must have run on an unavailable host before
+// it is removed from the stored list. It keeps a host in the list whose
+// availability flaps.
 const hostRetention = 8 * time.Second
 
-// hostList is the stored list of the hosts on which something may run. A host
-// is in it before the first start there, so a new owner waits for the hosts
-// of the list and for no other.
+// hostList is the stored list of the hosts that may have runs. A host is stored
+// before its first run starts, so a new owner waits for the hosts of the list
+// only.
 type hostList struct {
 	stored map[workload.HostName]bool
 }
 
-// mayRun reports whether something may run on the host, or soon will.
+// mayHaveRuns reports whether the host belongs into the stored list: it may have
+// runs, or may get some.
 func (h *host) mayHaveRuns() bool {
 	if len(h.runs) > 0 || h.state == hostSilent {
 		return true
@@ -29,8 +31,8 @@
 	return true
 }
 
-// hostsToStore returns the list as it should be, and whether it differs from
-// the stored one.
+// hostsToStore returns the names that the stored list should have, and whether
+// they differ from the present ones.
 func (c *Core) hostsToStore() ([]workload.HostName, bool) {
 	var names []workload.HostName
 	for name, h := range c.hosts {
@@ -57,8 +59,8 @@
 	}
 }
 
-// ExpectHost names a host of the stored list, on which runs of a former owner may
-// go on.
+// ExpectHost adds a host of the stored list, on which runs of an earlier owner
+// may go on. The caller calls it before Recover.
 func (c *Core) ExpectHost(name workload.HostName) {
 	_, known := c.hosts[name]
 	h := c.host(name)
@@ -69,8 +71,8 @@
 	}
 }
 
-// settleRecovery lets the tasks start whose runs under a former owner are
-// unknown, once every expected host has answered or can run nothing.
+// endRecoveryIfComplete lets the tasks of recovered jobs start once every
+// expected host has sent its inventory or certainly has no runs.
 func (c *Core) endRecoveryIfComplete() {
 	if c.recoveryDeadline == 0 {
 		return
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -10,9 +10,9 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// learn takes what a report of an agent shows of the interference on its
-// host. A report holds figures of one moment, so the latencies are due to the
-// fillers that it lists.
+// observeInterference updates the interference model with an agent's report. All
+// figures of a report are of one moment, so its latencies can be attributed to
+// the best-effort runs in it.
 func (h *host) observeInterference(m *msg.RunsProgress) {
 	shares := map[contention.Image]float64{}
 	for _, s := range m.Runs {
@@ -33,25 +33,27 @@
 	}
 }
 
-// share is the part of the host's processors that milliCPU are.
+// cpuShare returns thousandths of a core as a share of the host's processors.
 func (h *host) cpuShare(milliCPU float64) float64 {
 	return milliCPU / float64(max(1, h.info.Capacity.MilliCPU))
 }
 
-// loadGroup names the serving tasks that share their load with the job's.
+// loadGroup returns the group of the serving tasks of a job, which share its
+// load.
 func loadGroup(j *job) contention.Group { return contention.Group(j.spec.ID) }
 
-// lookAhead is how far ahead the load of serving tasks is predicted for a
-// filler that starts now.
+// loadLookahead is how far ahead the load of serving tasks is predicted for a
+// best-effort run that starts now.
 const loadLookahead = time.Second
 
-// neighbour is the serving tasks of one job on a host, as fillers see them.
+// neighbour stands for the serving tasks of one job on a host, which share the
+// host with its best-effort runs.
 type neighbour struct {
 	image  contention.Image
-	budget float64 // pressure that they bear
+	budget float64 // pressure at which they keep their target
 }
 
-// neighbours lists the serving tasks on the host by job.
+// neighbours returns a neighbour for each job that has serving tasks on the host.
 func (h *host) neighbours() []neighbour {
 	seen := map[workload.JobID]bool{}
 	var list []neighbour
@@ -67,9 +69,9 @@
 	return list
 }
 
-// fillersFit returns how many fillers like t the serving tasks on the host still
-// bear beside the fillers there that harm them less. The agent holds the more
-// harmful ones first.
+// bestEffortHeadroom returns how many best-effort tasks like t the host can take
+// while its serving tasks keep their targets. Runs there with a higher
+// coefficient than t do not count, because the agent throttles them first.
 func (h *host) bestEffortHeadroom(t *task) float64 {
 	headroom := math.Inf(1)
 	share := h.bestEffortShare(t)
@@ -80,8 +82,8 @@
 	return headroom
 }
 
-// pressureUpTo returns the pressure on a neighbour of the fillers at full pace
-// whose harm is not above a limit.
+// pressureUpTo returns the pressure on a neighbour from the best-effort runs,
+// not throttled, whose coefficient is at most limit.
 func (h *host) pressureUpTo(n neighbour, limit float64) float64 {
 	sum := 0.0
 	for _, r := range h.runs {
@@ -96,17 +98,18 @@
 	return sum
 }
 
-// fillerShare is the part of the host's processors that a filler uses at full
-// pace.
+// bestEffortShare returns the share of the host's processors that a best-effort
+// task uses when it is not throttled.
 func (h *host) bestEffortShare(t *task) float64 {
 	return h.cpuShare(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
 }
 
-// leastPressure keeps fillers without declared processors finite.
+// minPressure keeps the headroom finite for best-effort tasks that declare no
+// processors.
 const minPressure = 0.001
 
-// harms lists what is known of the pairs with images that serve on the host,
-// while fillers run beside them.
+// coefficients returns the measured coefficients of the images that serve on the
+// host, or nil if it has no serving or no best-effort runs.
 func (h *host) coefficients() []msg.Interference {
 	if h.servingRuns == 0 || h.bestEffortCPU == 0 {
 		return nil
@@ -120,7 +123,8 @@
 	return h.core.knownCoefficients(func(p contention.Pair) bool { return serving[p.Serving] })
 }
 
-// knownHarms lists the pairs that were measured and that want accepts.
+// knownCoefficients returns the measured coefficients of the pairs that want
+// accepts, ordered by images.
 func (c *Core) knownCoefficients(want func(contention.Pair) bool) []msg.Interference {
 	var list []msg.Interference
 	c.contention.Coefficients(func(p contention.Pair, value float64) {
@@ -136,15 +140,15 @@
 }
 
 const (
-	// harmsInterval is how old the stored harms may grow while batches are
-	// written.
+	// interferenceInterval is the minimum time between two batches that store
+	// the coefficients.
 	interferenceInterval = 3 * time.Second
-	// maxStoredHarms keeps the row below the 64 KiB that the store takes.
+	// maxStoredCoefficients keeps the row below the store's limit of 64 KiB.
 	maxStoredCoefficients = 1000
 )
 
-// harmsToStore returns the harms for the next batch, or nil while the stored
-// ones are young.
+// interferenceToStore returns the coefficients for the next batch, or nil if
+// they were stored less than interferenceInterval ago.
 func (c *Core) interferenceToStore() []msg.Interference {
 	if c.now-c.interferenceStoredAt < interferenceInterval {
 		return nil
@@ -154,7 +158,7 @@
 	return list[:min(len(list), maxStoredCoefficients)]
 }
 
-// RestoreInterference takes what a former owner had learned.
+// RestoreInterference restores the coefficients that an earlier owner stored.
 func (c *Core) RestoreInterference(list []msg.Interference) {
 	for _, known := range list {
 		c.contention.RestoreCoefficient(contention.Pair{Serving: contention.Image(known.ServingImage), BestEffort: contention.Image(known.BestEffortImage)}, known.Coefficient)
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/batchjob.scxml have the values of the phases.
+// Events of charts/batchjob.scxml. Its states have the values of the phases.
 const (
 	evBegin chart.Event = iota
 	evFinish
@@ -28,13 +28,13 @@
 		States: []string{"queued", "running", "completed", "failed", "cancelled"},
 		Events: []string{"begin", "finish", "fail", "cancel"},
 		Actions: map[string]func(*job){
-			"publish": (*job).publish,
-			"close":   (*job).finalise,
+			"publish":  (*job).publish,
+			"finalise": (*job).finalise,
 		},
 	}
 }
 
-// keepOver is how long the state of a job that is over can be asked for.
+// endedJobRetention is how long the phase of an ended job can be queried.
 const endedJobRetention = 180 * time.Second
 
 // job is one job and its steps.
@@ -44,23 +44,24 @@
 	state       chart.State
 	storedPhase workload.Phase // phase of the stored row
 	steps       []*step
-	admittedAt  time.Duration // when this owner learned of it
-	deadline    time.Duration // by which it should be completed
-	recovered   bool          // accepted before this owner's epoch
+	admittedAt  time.Duration // when this owner admitted the job
+	deadline    time.Duration // by which the job should be completed
+	recovered   bool          // accepted under an earlier owner
 	endedAtMS   int64
 	removeAt    time.Duration
 }
 
+// step is one step of a job.
 type step struct {
 	job        *job
 	number     int
 	spec       *workload.Step
 	tasks      []*task
-	unfinished int // tasks that are not done
+	unfinished int // number of tasks that are not done
 }
 
-// task is one task of a step. It is ready when its step may run and it has no
-// live run.
+// task is one task of a step. It is ready to start when its step may start and
+// it has no run.
 type task struct {
 	step           *step
 	index          int
@@ -70,8 +71,8 @@
 	checkpoint     string
 	starts         uint64
 	runs           []*run
-	failedHosts    map[workload.HostName]bool // hosts where it failed
-	unplacedLogged bool                       // a decision was logged that it waits
+	failedHosts    map[workload.HostName]bool // hosts on which it failed
+	unplacedLogged bool                       // TaskUnplaced was logged since the task became ready
 	readySince     time.Duration
 }
 
@@ -92,8 +93,9 @@
 	return j
 }
 
-// objective is the time in which the job should be completed: its longest
-// chain of estimates, stretched, and the latency objective.
+// completionTarget returns the time in which the job should be completed: the
+// estimates along its critical path, multiplied by the target slowdown, and the
+// target latency.
 func (j *job) completionTarget() time.Duration {
 	pathTimes := make([]time.Duration, len(j.steps))
 	var longest time.Duration
@@ -109,7 +111,8 @@
 
 func (j *job) phase() workload.Phase { return workload.Phase(j.state) }
 
-// shown is the phase that callers may see: a final one only when it is stored.
+// visiblePhase returns the phase that callers may see. A final phase, except
+// Cancelled, is visible only after it is stored.
 func (j *job) visiblePhase() msg.JobPhase {
 	p := j.phase()
 	if p.Final() && p != workload.Cancelled && j.storedPhase != p {
@@ -122,9 +125,10 @@
 
 func (j *job) step(e chart.Event) { jobChart.Step(j, &j.state, e) }
 
+// markDirty makes the next batch write the job's row.
 func (j *job) markDirty() { j.core.dirty[j] = struct{}{} }
 
-// close stops what still runs after the job is over.
+// finalise records the end of the job and stops its runs.
 func (j *job) finalise() {
 	j.endedAtMS = j.core.wallMS
 	j.removeAt = j.core.now + endedJobRetention
@@ -144,10 +148,11 @@
 	}
 }
 
-// Submit takes a stored job. Jobs that are known are not taken again.
+// Submit adds a stored job. A job that is known already is ignored.
 func (c *Core) Submit(spec workload.Job) { c.submit(spec, nil, false) }
 
-// Restore takes a job as a former owner left it.
+// Restore adds a job of an earlier owner with its stored progress, which is nil
+// if none was stored.
 func (c *Core) Restore(spec workload.Job, p *workload.Progress) { c.submit(spec, p, true) }
 
 func (c *Core) submit(spec workload.Job, p *workload.Progress, recovered bool) {
@@ -172,7 +177,7 @@
 	}
 }
 
-// Cancel takes a stored cancellation.
+// Cancel applies a stored cancellation, which may arrive before its job.
 func (c *Core) Cancel(id workload.JobID) {
 	j, known := c.jobs[id]
 	if !known {
@@ -182,7 +187,7 @@
 	j.step(evCancel)
 }
 
-// release makes the tasks ready whose step may run.
+// release makes the tasks of all steps ready that may start.
 func (j *job) release() {
 	for _, s := range j.steps {
 		if !s.mayStart() {
@@ -195,6 +200,7 @@
 	j.finishIfDone()
 }
 
+// mayStart reports whether the steps that this one follows are done.
 func (s *step) mayStart() bool {
 	for _, a := range s.spec.After {
 		if s.job.steps[a].unfinished > 0 {
@@ -204,6 +210,7 @@
 	return true
 }
 
+// release makes the task ready unless it is done or has a run.
 func (t *task) release() {
 	j := t.step.job
 	if t.done || len(t.runs) > 0 || j.phase().Final() {
@@ -218,7 +225,8 @@
 	t.unplacedLogged = false
 }
 
-// complete records that a run of the task ended done.
+// complete records that a run of the task ended as done. It has no effect on a
+// long-running task, which is started again.
 func (t *task) complete() {
 	if t.done || t.step.spec.LongRunning {
 		return
@@ -245,10 +253,11 @@
 	j.step(evFinish)
 }
 
-// fail records a failed run of the task.
+// fail records that a run of the task failed, and fails the job when its
+// attempts are used up.
 func (t *task) fail(number uint64, hostName workload.HostName) {
 	if number <= t.lastFailedRun {
-		return // counted before the last change of ownership
+		return // an earlier owner counted it
 	}
 	j := t.step.job
 	t.lastFailedRun = number
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -11,8 +11,8 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Guards against a job that is shown as completed before its ends are stored,
-// and against a step that starts before the steps that it follows.
+// Guards against a job that callers see as completed before that is stored, and
+// against a step that starts before the steps that it follows are done.
 func TestStepsRunInOrderAndCompletionIsStoredFirst(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -31,7 +31,8 @@
 	require.EqualValues(t, 3, acknowledged.LastNumber, "ends are acknowledged after they are stored")
 }
 
-// Guards against a host that gets more than it holds, also while a run stops.
+// Guards against charges above a host's capacity: a run that is being stopped
+// still uses its resources.
 func TestHostIsNeverOverbooked(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 2000))
@@ -41,13 +42,13 @@
 	w.core.Cancel("j")
 	w.core.Submit(newSpec("k", newStep(1, 1000)))
 	w.process()
-	require.Len(t, w.started, 2, "what is being stopped still counts")
+	require.Len(t, w.started, 2, "runs that are being stopped still count")
 	w.reportEnd(runID("j", 0, 0, 1), workload.EndStopped, "")
 	require.Contains(t, w.started, runID("k", 0, 0, 1))
 }
 
-// Guards against more failed runs than the queue allows, and against a failed
-// run that is counted again after a change of ownership.
+// Guards against more failed runs than the job allows, and against a failed run
+// that is counted twice because its end is reported to two owners.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -73,8 +74,9 @@
 	require.Equal(t, workload.Failed, next.lastPhase("j"))
 }
 
-// Guards against a second run of a task while the first may go on at a host
-// that is silent, and against a run that starts without its checkpoint.
+// Guards against a second run of a task while the first may still go on at an
+// unlinked host, and against a new run that starts without the last reported
+// checkpoint.
 func TestSilentHostKeepsItsRunsUntilTheLeaseExpires(t *testing.T) {
 	w := newHarness(t, 1)
 	s := newStep(1, 1000)
@@ -95,8 +97,8 @@
 	require.Equal(t, "half", start.Starts[0].Checkpoint)
 }
 
-// Guards against tasks that wait for the lease of a life that has ended: a
-// backend server that was born again runs nothing of before.
+// Guards against tasks that wait for the expiry of a lease although their
+// backend server restarted: its new incarnation has none of the old runs.
 func TestRestartedBackendServerLosesItsRunsAtOnce(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -106,13 +108,14 @@
 	restarted.StartedAtMS = 2
 	w.core.Announced(restarted)
 	w.process()
-	require.Len(t, w.started, 1, "nothing starts before the inventory of the new life")
+	require.Len(t, w.started, 1, "nothing starts before the inventory of the new incarnation")
 	w.link(restarted)
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
 
-// Guards against two runs after a change of ownership: the tasks of restored
-// jobs wait until every host has answered, and what runs is taken over.
+// Guards against two runs of a task after a change of ownership: the tasks of
+// restored jobs wait until every stored host has sent its inventory, and the runs
+// in the inventories are adopted.
 func TestNewOwnerStartsNoTaskThatMayStillRun(t *testing.T) {
 	w := newHarness(t, 2)
 	w.core.Restore(newSpec("j", newStep(2, 1000)), nil)
@@ -128,8 +131,8 @@
 	require.NotContains(t, w.started, runID("j", 0, 0, 1<<epochShift+1))
 }
 
-// Guards against an expected host that never returns: the tasks start after
-// its leases have surely lapsed.
+// Guards against a recovery that never ends because an expected host does not
+// return: the tasks start after its lease has certainly expired.
 func TestRecoveryEndsWithoutAnUnavailableHost(t *testing.T) {
 	w := newHarness(t, 2)
 	w.core.Restore(newSpec("j", newStep(1, 1000)), nil)
@@ -142,8 +145,8 @@
 	require.Len(t, w.started, 1)
 }
 
-// Guards against a job that runs on after its cancellation, in whichever
-// order the two arrive.
+// Guards against a job that goes on after its cancellation, whichever of the two
+// arrives first.
 func TestCancellationStopsRunsAndMayPrecedeTheJob(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -159,8 +162,9 @@
 	require.Len(t, w.started, 2)
 }
 
-// Guards against a task whose attempts are used up on one bad host: the next
-// run goes elsewhere, and a host that failed several jobs gets no more tasks.
+// Guards against a task that uses up its attempts on one faulty host: the next
+// run starts on another host, and a host that failed several jobs gets no tasks
+// until the probation ends.
 func TestFailingHostIsAvoided(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 9000))
@@ -183,7 +187,8 @@
 	require.Contains(t, w.started, runID("k", 0, 0, 1))
 }
 
-// Guards against an evacuation that leaves a lasting task on a host that goes.
+// Guards against a long-running task that stays on a draining host until the
+// host shuts down.
 func TestDrainingHostIsEvacuated(t *testing.T) {
 	w := newHarness(t, 1)
 	longRunning, short := newStep(1, 1000), newStep(1, 1000)
@@ -198,14 +203,14 @@
 	w.core.Announced(leaving)
 	w.process()
 	require.True(t, w.stopped[runID("l", 0, 0, 1)])
-	require.False(t, w.stopped[runID("s", 0, 0, 1)], "it ends before the host goes")
+	require.False(t, w.stopped[runID("s", 0, 0, 1)], "it ends before the host shuts down")
 	w.link(readyHost("b", 4000))
 	w.reportEnd(runID("l", 0, 0, 1), workload.EndStopped, "")
 	require.Equal(t, workload.HostName("b"), w.started[runID("l", 0, 0, 2)])
 }
 
-// Guards against a batch that was not stored: nothing of it is acknowledged
-// or shown, and the next one holds it again.
+// Guards against phases that become visible although their batch was not stored,
+// and against rows that are lost with it: the next batch repeats them.
 func TestBatchThatWasNotStoredIsRepeated(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -222,7 +227,8 @@
 	require.Equal(t, workload.Completed, w.lastPhase("j"))
 }
 
-// Guards against a start that the agent refused and that nobody repeats.
+// Guards against a task that never starts because the agent refused its first
+// run.
 func TestRefusedStartIsPlannedAgain(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -233,8 +239,8 @@
 	require.Contains(t, w.started, runID("j", 0, 0, 2))
 }
 
-// Guards against a new owner that does not know of a host on which tasks run:
-// nothing starts on a host before it is in the stored list.
+// Guards against a new owner that does not know a host which has runs: nothing
+// starts on a host before the host is in the stored list.
 func TestNothingStartsOnAHostThatIsNotStored(t *testing.T) {
 	w := newHarness(t, 1)
 	w.core.Linked(readyHost("a", 4000))
@@ -251,9 +257,10 @@
 	require.Len(t, w.started, 1)
 }
 
-// Guards against seconds in which nothing restored starts (trouble-1 of
-// nilegate-permits: 7 s for a host whose backend server had been gone for
-// 20 s). A host that runs nothing leaves the list; one that flaps stays.
+// Guards against a recovery that waits for a host without runs. In trouble-1 of
+// nilegate-permits it took 7 s, for a host whose backend server had been
+// unavailable for 20 s. Such a host is removed from the stored list, but not
+// while its availability flaps.
 func TestUnavailableHostDoesNotDelayRecovery(t *testing.T) {
 	w := newHarness(t, 1)
 	w.link(readyHost("a", 4000))
@@ -278,8 +285,8 @@
 	require.Len(t, next.started, 1)
 }
 
-// Answers the pattern "large jobs fill every host": a task of the first
-// priority still finds room at once.
+// Guards against short tasks that wait while large jobs fill every host: a part
+// of each host is reserved for tasks of the first priority.
 func TestShortTaskStartsBesideABurstOfLargeJobs(t *testing.T) {
 	w := newHarness(t, 1)
 	for i := range 3 {
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// heldPace is the share at which a filler counts as held back.
+	// throttledPercent is the CPU limit up to which a best-effort run counts as
+	// throttled.
 	throttledPercent = 25 // percent
-	// moveAfter is how long a filler is held back before it is moved, so that
-	// a short crest of its neighbours moves nothing.
+	// moveDelay is how long a run is throttled before it is moved, so that a
+	// short load peak of the serving tasks beside it causes no move.
 	moveDelay = 700 * time.Millisecond
-	// moveSpacing is the least time between two moves to one host: the first
-	// has to show in its figures.
+	// minMoveInterval is the minimum time between two moves to one host, so
+	// that the host's figures show the first before the second is decided.
 	minMoveInterval = 150 * time.Millisecond
 )
 
-// noteHeld records since when a filler is held back.
+// updateThrottledSince records since when the run is throttled.
 func (r *run) updateThrottledSince(s msg.RunStatus) {
 	switch {
 	case s.CPULimitPercent > throttledPercent:
@@ -28,15 +29,15 @@
 	}
 }
 
-// movable reports whether the run loses little by a move: it is held back, and
-// goes on from a checkpoint elsewhere.
+// movable reports whether the run loses little by a move: it has been throttled
+// for moveDelay, and can resume from a checkpoint on another host.
 func (r *run) movable() bool {
 	spec := r.task.step.spec
 	return spec.BestEffort && spec.Checkpointing && r.state == runRunning && r.throttledSince != 0 && r.core().now-r.throttledSince >= moveDelay
 }
 
-// moveHeld stops fillers that are held back where another host would let them
-// work. Their tasks start again when the ends are reported.
+// moveThrottled stops throttled best-effort runs that would run faster on
+// another host. Their tasks become ready again when the ends are reported.
 func (c *Core) moveThrottled(hosts []*host) {
 	for _, h := range hosts {
 		for _, r := range h.sortedRuns() {
@@ -51,7 +52,7 @@
 	}
 }
 
-// elsewhere returns the host to which a run should move, or nil.
+// moveTarget returns the host to which a run should move, or nil.
 func (c *Core) moveTarget(r *run, hosts []*host) *host {
 	var others []*host
 	for _, h := range hosts {
--- a/internal/jobs/move_test.go
+++ b/internal/jobs/move_test.go
@@ -23,9 +23,9 @@
 	return s
 }
 
-// besideServing brings a core to where a filler of the image "batch" runs on
-// host a beside a serving task that it harms. Host b comes up later, with a
-// serving task that it does not harm.
+// newInterferenceHarness returns a harness in which a best-effort run of image
+// "batch" runs on host a beside a serving task that it slows down, and the
+// identifier of that run. linkTolerantHost adds host b.
 func newInterferenceHarness(t *testing.T, checkpointing bool) (*harness, workload.RunID) {
 	w := newHarness(t, 1)
 	w.core.contention.SetCoefficient(contention.Pair{Serving: "desk", BestEffort: "batch"}, 2)
@@ -34,11 +34,11 @@
 	w.core.Submit(newSpec("s1", servingStep("desk")))
 	w.process()
 	w.core.Submit(newSpec("f", bestEffortStep("batch", checkpointing)))
-	w.advance(2 * time.Second) // no host bears the filler; it starts after its patience
-	filler := runID("f", 0, 0, 1)
-	require.EqualValues(t, "a", w.started[filler])
-	w.core.RunsChanged("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Started: []workload.RunID{filler, runID("s1", 0, 0, 1)}})
-	return w, filler
+	w.advance(2 * time.Second) // every host is too slow for the task, so it starts after hostselect.MaxWait
+	id := runID("f", 0, 0, 1)
+	require.EqualValues(t, "a", w.started[id])
+	w.core.RunsChanged("a", &msg.RunsChanged{Epoch: 1, Instance: "i-a", StartedAtMS: 1, Started: []workload.RunID{id, runID("s1", 0, 0, 1)}})
+	return w, id
 }
 
 func (w *harness) linkTolerantHost() {
@@ -51,55 +51,56 @@
 	require.EqualValues(w.t, "b", w.started[runID("s2", 0, 0, 1)])
 }
 
-// report tells that the filler works at a share of its speed.
-func (w *harness) reportThrottle(filler workload.RunID, percent int) {
+// reportThrottle reports the CPU limit of the best-effort run, and advances the
+// time by 500 ms.
+func (w *harness) reportThrottle(id workload.RunID, percent int) {
 	w.core.RunsProgress("a", &msg.RunsProgress{
 		Epoch: 1, Instance: "i-a", StartedAtMS: 1, ClockMS: w.now.Milliseconds(),
-		Runs: []msg.RunStatus{{Run: filler, CPULimitPercent: percent, Checkpoint: "c1"}, {Run: runID("s1", 0, 0, 1), Usage: 60}},
+		Runs: []msg.RunStatus{{Run: id, CPULimitPercent: percent, Checkpoint: "c1"}, {Run: runID("s1", 0, 0, 1), Usage: 60}},
 	})
 	w.advance(500 * time.Millisecond)
 }
 
-// A crest on every host: fillers are held back where they harm while other
-// hosts' serving tasks would bear them. Guards against a filler that waits
-// there until its job is late, and against one that loses its work by a move.
+// Guards against a best-effort run that stays throttled, until its job is late,
+// although another host's serving tasks would tolerate it, and against a move
+// that loses the run's work.
 func TestThrottledBestEffortRunsMoveToATolerantHost(t *testing.T) {
-	w, filler := newInterferenceHarness(t, true)
-	w.reportThrottle(filler, 0)
-	w.reportThrottle(filler, 0)
-	w.reportThrottle(filler, 0)
-	require.False(t, w.stopped[filler], "no other host")
+	w, id := newInterferenceHarness(t, true)
+	w.reportThrottle(id, 0)
+	w.reportThrottle(id, 0)
+	w.reportThrottle(id, 0)
+	require.False(t, w.stopped[id], "no other host")
 	w.linkTolerantHost()
-	w.reportThrottle(filler, 0)
-	require.True(t, w.stopped[filler])
-	w.reportEnd(filler, workload.EndStopped, "c2")
+	w.reportThrottle(id, 0)
+	require.True(t, w.stopped[id])
+	w.reportEnd(id, workload.EndStopped, "c2")
 	moved := runID("f", 0, 0, 2)
 	require.EqualValues(t, "b", w.started[moved])
 	starts := w.sent["b"][len(w.sent["b"])-1].(*msg.StartRuns)
 	require.Equal(t, "c2", starts.Starts[0].Checkpoint)
 }
 
-// Guards against moves for a short crest, of tasks that would begin again from
-// nothing, and of tasks that serve.
+// Guards against moves because of a short load peak, and against moves of runs
+// without checkpoints, which would lose their work.
 func TestUnthrottledRunsAndRunsWithoutCheckpointsStay(t *testing.T) {
-	w, filler := newInterferenceHarness(t, true)
+	w, id := newInterferenceHarness(t, true)
 	w.linkTolerantHost()
 	for range 4 {
-		w.reportThrottle(filler, 0)
-		w.reportThrottle(filler, 100)
+		w.reportThrottle(id, 0)
+		w.reportThrottle(id, 100)
 	}
 	require.Empty(t, w.stopped)
 
-	w, filler = newInterferenceHarness(t, false)
+	w, id = newInterferenceHarness(t, false)
 	w.linkTolerantHost()
 	for range 4 {
-		w.reportThrottle(filler, 0)
+		w.reportThrottle(id, 0)
 	}
 	require.Empty(t, w.stopped)
 }
 
-// Guards against fillers that are kept from a host because of others there
-// that are held anyway: the agent holds the most harmful first.
+// Guards against a best-effort task that is kept from a host because of runs
+// there that the agent throttles first, since their coefficient is higher.
 func TestThrottledRunsUseNoPressureBudget(t *testing.T) {
 	w := newHarness(t, 1)
 	w.core.contention.SetCoefficient(contention.Pair{Serving: "desk", BestEffort: "loud"}, 2)
@@ -116,10 +117,10 @@
 	require.Contains(t, w.started, runID("c", 0, 0, 1), "at once")
 }
 
-// Guards against a new owner that has to learn again, at the cost of the users
-// of serving tasks, what fillers do to them, and against a row that is
-// rewritten with each batch.
-func TestCoefficientsSurviveAChangeOfOwner(t *testing.T) {
+// Guards against a new owner that has to estimate the coefficients again while
+// serving tasks miss their targets, and against a batch that writes them although
+// they were stored shortly before.
+func TestCoefficientsSurviveAChangeOfOwnership(t *testing.T) {
 	pair := contention.Pair{Serving: "desk", BestEffort: "batch"}
 	w, _ := newInterferenceHarness(t, true)
 	w.core.contention.SetCoefficient(pair, 2)
@@ -127,7 +128,7 @@
 	stored := w.core.NextBatch().Interference
 	w.core.BatchCommitted()
 	require.Contains(t, stored, msg.Interference{ServingImage: "desk", BestEffortImage: "batch", Coefficient: 2})
-	require.Nil(t, w.core.NextBatch().Interference, "they are young")
+	require.Nil(t, w.core.NextBatch().Interference, "stored less than interferenceInterval ago")
 	w.core.BatchCommitted()
 
 	next := New(2, 0)
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -11,14 +11,17 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// The number of a run holds the owner's epoch above a counter, so that the
-// numbers of a task rise across changes of ownership without a stored row.
+// The number of a run has the owner's epoch in the bits above epochShift and a
+// counter in the bits of numberMask, so that the run numbers of a task increase
+// across changes of ownership without being stored.
 const (
 	epochShift = 20
 	numberMask = 1<<epochShift - 1
 )
 
-// Plan starts what can be started and flushes the orders to the agents.
+// Plan starts the tasks that a host can run, moves throttled runs, and queues
+// the start and stop requests for the agents. It does nothing if no input since
+// the last call may have changed the plan.
 func (c *Core) Plan() {
 	if !c.planNeeded {
 		return
@@ -34,7 +37,8 @@
 	}
 }
 
-// order returns the ready tasks, the most urgent first.
+// readyTasks returns the ready tasks, the most urgent first. Tasks of recovered
+// jobs are left out during the recovery.
 func (c *Core) readyTasks() []*task {
 	list := make([]*task, 0, len(c.ready))
 	for t := range c.ready {
@@ -47,6 +51,8 @@
 	return list
 }
 
+// moreUrgent reports whether a is placed before b: by priority, then by the
+// job's deadline.
 func moreUrgent(a, b *task) bool {
 	ja, jb := a.step.job, b.step.job
 	switch {
@@ -62,6 +68,8 @@
 	return a.index < b.index
 }
 
+// place starts the task on the best host, if there is one. Hosts on which the
+// task failed are considered only if no other host can run it.
 func (c *Core) place(t *task, hosts []*host) {
 	views := make([]hostselect.Host, len(hosts))
 	for i, h := range hosts {
@@ -83,12 +91,13 @@
 	hosts[i].start(t)
 }
 
-// wanted is what a choice of hosts knows of the task.
+// selectionTask returns the task as hostselect sees it.
 func (t *task) selectionTask() hostselect.Task {
 	j := &t.step.job.spec
 	return hostselect.Task{Step: t.step.spec, Service: j.Service, Priority: j.Priority}
 }
 
+// view returns the host as hostselect sees it for a task.
 func (h *host) view(t *task) hostselect.Host {
 	v := hostselect.Host{
 		Info: &h.info, Reachable: h.state == hostReady && h.inventoryStartedAtMS == h.info.StartedAtMS && h.core.hostList.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), BestEffortCPU: h.bestEffortCPU, Serving: h.servingRuns,
@@ -108,6 +117,8 @@
 	return v
 }
 
+// logUnplaced logs why no host can run the task, once each time it becomes
+// ready.
 func (t *task) logUnplaced(excluded map[hostselect.Reason]int) {
 	if t.unplacedLogged {
 		return
@@ -122,6 +133,7 @@
 	t.step.job.core.addDecision(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
 }
 
+// start charges a new run of the task to the host and queues its request.
 func (h *host) start(t *task) {
 	c := h.core
 	t.starts++
@@ -132,9 +144,10 @@
 	c.addDecision(Decision{Kind: RunOrdered, Job: t.step.job.spec.ID, Run: id, Host: h.info.Name, Age: c.now - t.readySince})
 }
 
+// flush sends the queued requests to the agent.
 func (h *host) flush() {
 	if h.state != hostReady {
-		h.stops = nil // repeated after the next inventory
+		h.stops = nil // sent again after the next inventory
 		return
 	}
 	if len(h.stops) > 0 {
@@ -147,8 +160,8 @@
 	}
 }
 
-// Recover makes the tasks of restored jobs wait until every expected host has
-// answered or can run nothing.
+// Recover keeps the tasks of restored jobs from starting until every expected
+// host has sent its inventory or certainly has no runs.
 func (c *Core) Recover() {
 	c.recoveryDeadline = c.now + LeaseExpiry + time.Second
 	c.endRecoveryIfComplete()
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -27,8 +27,8 @@
 	evStopTimeout
 )
 
-// stopRetry is how long an agent may take to report the end of a run that it
-// was told to stop.
+// stopRetry is the time after which the request to stop a run is sent again if
+// its end was not reported.
 const stopRetry = time.Second
 
 var runChart *chart.Machine[run]
@@ -46,28 +46,28 @@
 			"settleEnd":     (*run).settleEnd,
 			"settleRefused": (*run).settleRefused,
 			"settleLost":    (*run).settleLost,
-			"orderStop":     (*run).requestStop,
+			"requestStop":   (*run).requestStop,
 		},
 		Delays: map[string]time.Duration{"stopRetry": stopRetry},
 	}
 }
 
-// run is one start of a task.
+// run is one run of a task on a host.
 type run struct {
 	id        workload.RunID
 	task      *task
 	host      *host
 	state     chart.State
-	timeoutAt time.Duration // of the state's timeout; 0: none
+	timeoutAt time.Duration // when the state's timeout expires; 0: none
 
 	orderedAt  time.Duration
 	startedAt  time.Duration
 	status     msg.RunStatus
 	statusAt   time.Duration
-	end        msg.RunEnd // during the event ended
-	stopReason string     // why it was stopped
+	end        msg.RunEnd // set during the event ended only
+	stopReason string     // why it was stopped, for the log
 
-	throttledSince time.Duration // since when a filler is held back; 0: it is not
+	throttledSince time.Duration // since when a best-effort run is throttled; 0: it is not
 }
 
 func (r *run) core() *Core { return r.host.core }
@@ -115,7 +115,8 @@
 	r.task.applyEnd(r.end, r.host)
 }
 
-// applyEnd lets the end of a run, known or not, count for its task.
+// applyEnd applies the end of a run to its task. The owner need not know the
+// run.
 func (t *task) applyEnd(e msg.RunEnd, h *host) {
 	switch e.Reason {
 	case workload.EndDone:
@@ -145,7 +146,7 @@
 	r.task.release()
 }
 
-// release takes the run off its host and its task.
+// release removes the run from its host and its task.
 func (r *run) release() {
 	r.host.uncharge(r)
 	for i, other := range r.task.runs {
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -8,33 +8,36 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// maxBatch is how many rows one batch holds. The store takes 100 entries.
+// maxBatchRows is the maximum number of job rows in a batch. The store accepts
+// 100 entries in a transaction; the others are for the remaining rows.
 const maxBatchRows = 80
 
-// Write is a row of a batch.
+// Write is the progress row of a job.
 type Write struct {
 	Job      workload.JobID
 	Progress workload.Progress
 }
 
-// Batch is what one transaction stores. After it has been committed the ends
-// that it covers are acknowledged and its final phases are shown.
+// Batch is the content of one transaction. After its commit the ends that it
+// covers are acknowledged and its final phases become visible.
 type Batch struct {
 	Writes       []Write
 	Removed      []workload.JobID
-	Hosts        []workload.HostName // the list of hosts; nil: as it is stored
-	Interference []msg.Interference  // of fillers; nil: as they are stored
+	Hosts        []workload.HostName // the list of hosts; nil: unchanged
+	Interference []msg.Interference  // coefficients; nil: unchanged
 	ends         map[workload.HostName]appliedEnds
 }
 
+// appliedEnds is the number of the last applied end of an incarnation.
 type appliedEnds struct {
 	instance    workload.Instance
 	startedAtMS int64
 	lastNumber  uint64
 }
 
-// Pending reports whether there is something to store, and whether a caller
-// or a host waits for it.
+// Pending reports whether a batch should be written, and whether it is urgent
+// because a caller or the start of tasks on a host depends on it. It returns
+// false while a batch is being written.
 func (c *Core) Pending() (pending, urgent bool) {
 	if c.pendingBatch != nil {
 		return false, false
@@ -56,8 +59,8 @@
 	return pending || len(c.removals) > 0, false
 }
 
-// NextBatch returns what should be stored next. One batch is under way at a
-// time; end it with Committed or Failed.
+// NextBatch returns the next batch to write. The caller ends it with
+// BatchCommitted or BatchFailed before it calls NextBatch again.
 func (c *Core) NextBatch() *Batch {
 	b := &Batch{ends: map[workload.HostName]appliedEnds{}}
 	jobs := make([]*job, 0, len(c.dirty))
@@ -87,10 +90,11 @@
 	return b
 }
 
-// rowsPerJob is how many rows a job has: itself, its cancellation, its progress.
+// rowsPerJob is the number of rows of a job: its specification, its cancellation
+// and its progress.
 const rowsPerJob = 3
 
-// BatchCommitted says that the batch under way is stored.
+// BatchCommitted records that the pending batch was stored.
 func (c *Core) BatchCommitted() {
 	b := c.pendingBatch
 	c.pendingBatch = nil
@@ -120,7 +124,8 @@
 	}
 }
 
-// BatchFailed says that the batch under way was not stored.
+// BatchFailed records that the pending batch was not stored. The next batches
+// repeat its rows.
 func (c *Core) BatchFailed() {
 	b := c.pendingBatch
 	c.pendingBatch = nil
@@ -132,13 +137,15 @@
 	c.removals = append(c.removals, b.Removed...)
 }
 
+// remove drops an ended job and queues the deletion of its rows.
 func (c *Core) remove(j *job) {
 	delete(c.jobs, j.spec.ID)
 	delete(c.dirty, j)
 	c.removals = append(c.removals, j.spec.ID)
 }
 
-// progress returns the row of the job.
+// progress returns the progress row of the job. Done has a bit for each task, in
+// the order of the steps.
 func (j *job) progress() workload.Progress {
 	p := workload.Progress{Phase: j.phase(), EndedAtMS: j.endedAtMS}
 	if j.phase().Final() {
@@ -164,7 +171,7 @@
 	return p
 }
 
-// restore sets the job to a stored row.
+// restore sets the job to the state of its progress row.
 func (j *job) restore(p *workload.Progress) {
 	j.storedPhase = p.Phase
 	j.endedAtMS = p.EndedAtMS
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -82,7 +82,7 @@
 	return chart.Binding[Core]{
 		Chart:  "ownership",
 		States: []string{"reading", "standby", "claiming", "owner", "retired"},
-		Events: []string{"late", "read", "won", "beaten", "unknown", "give"},
+		Events: []string{"late", "read", "claimed", "superseded", "unknown", "retire"},
 		Guards: map[string]func(*Core) bool{"mayClaim": (*Core).mayClaim, "ownerAbsent": (*Core).ownerAbsent},
 		Actions: map[string]func(*Core){
 			"read":    func(c *Core) { c.emit(ReadRow) },
@@ -91,7 +91,7 @@
 			"end":     func(c *Core) { c.emit(End) },
 			"release": func(c *Core) { c.emit(Release) },
 		},
-		Delays: map[string]time.Duration{"readRetry": readRetry, "lookInterval": checkInterval, "claimRetry": claimRetry},
+		Delays: map[string]time.Duration{"readRetry": readRetry, "checkInterval": checkInterval, "claimRetry": claimRetry},
 	}
 }
 
