--- a/internal/jobs/core.go
+++ b/internal/jobs/core.go
@@ -44,13 +44,13 @@
 
 // Kinds of decisions.
 const (
-	JobAdmitted DecisionKind = iota
+	JobAdmitted DecisionKind = iota // the owner started to manage the job
 	JobEnded
 	RunOrdered
 	RunEnded
 	RunStopped
-	HostChanged
-	TaskUnplaced
+	HostChanged  // Detail is the state of its backend server, or what changed
+	TaskUnplaced // no host can run the task at present
 )
 
 // Core is the state of the owner of the jobs. It is not safe for concurrent use.
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -18,16 +18,16 @@
 	started map[workload.RunID]workload.HostName
 	stopped map[workload.RunID]bool
 	sent    map[workload.HostName][]msg.Control
-	ends    map[workload.HostName]uint64
-	phases  map[workload.JobID][]workload.Phase
+	ends    map[workload.HostName]uint64        // number of the last reported end
+	phases  map[workload.JobID][]workload.Phase // as callers saw them
 }
 
 func newHarness(t *testing.T, epoch uint64) *harness {
-	w := &harness{
+	h := &harness{
 		t: t, core: New(epoch, 0), started: map[workload.RunID]workload.HostName{}, stopped: map[workload.RunID]bool{},
 		sent: map[workload.HostName][]msg.Control{}, ends: map[workload.HostName]uint64{}, phases: map[workload.JobID][]workload.Phase{},
 	}
-	return w
+	return h
 }
 
 func readyHost(name string, cpu int64) workload.Host {
@@ -47,75 +47,77 @@
 }
 
 // process plans, and records the messages and phases of the core.
-func (w *harness) process() {
-	w.core.Plan()
-	for _, s := range w.core.Messages() {
-		w.sent[s.Host] = append(w.sent[s.Host], s.Message)
+func (h *harness) process() {
+	h.core.Plan()
+	for _, s := range h.core.Messages() {
+		h.sent[s.Host] = append(h.sent[s.Host], s.Message)
 		switch m := s.Message.(type) {
 		case *msg.StartRuns:
 			for _, r := range m.Starts {
-				w.started[r.Size.Run] = s.Host
+				h.started[r.Size.Run] = s.Host
 			}
 		case *msg.StopRuns:
 			for _, r := range m.Runs {
-				w.stopped[r] = true
+				h.stopped[r] = true
 			}
 		}
 	}
-	for _, p := range w.core.Phases() {
-		w.phases[p.ID] = append(w.phases[p.ID], p.Phase)
+	for _, p := range h.core.Phases() {
+		h.phases[p.ID] = append(h.phases[p.ID], p.Phase)
 	}
-	w.core.Decisions()
+	h.core.Decisions()
 }
 
-func (w *harness) advance(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.now += 100 * time.Millisecond
-		w.core.Advance(w.now, w.now.Milliseconds())
-		w.core.Tick()
-		w.process()
+// advance advances the time in steps of 100 ms.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 100 * time.Millisecond
+		h.core.Advance(h.now, h.now.Milliseconds())
+		h.core.Tick()
+		h.process()
 	}
 }
 
 // link links a host, answers the claim with an inventory of runs, and stores the
 // list of hosts.
-func (w *harness) link(h workload.Host, runs ...msg.RunStatus) {
-	w.core.Linked(h)
-	w.core.Inventory(&msg.HostInventory{Epoch: w.core.epoch, Host: h, Runs: runs})
-	w.storeHosts()
-	w.process()
+func (h *harness) link(info workload.Host, runs ...msg.RunStatus) {
+	h.core.Linked(info)
+	h.core.Inventory(&msg.HostInventory{Epoch: h.core.epoch, Host: info, Runs: runs})
+	h.storeHosts()
+	h.process()
 }
 
 // storeHosts stores the list of hosts; nothing starts on a host that is not in
 // it.
-func (w *harness) storeHosts() {
-	if hosts, changed := w.core.hostsToStore(); changed {
-		w.core.hostList.setStored(hosts)
-		w.core.planNeeded = true
+func (h *harness) storeHosts() {
+	if hosts, changed := h.core.hostsToStore(); changed {
+		h.core.hostList.setStored(hosts)
+		h.core.planNeeded = true
 	}
 }
 
 // reportEnd reports the end of a run with the host's next number.
-func (w *harness) reportEnd(run workload.RunID, reason workload.EndReason, checkpoint string) {
-	name := w.started[run]
-	w.ends[name]++
-	w.core.RunsChanged(name, &msg.RunsChanged{
-		Epoch: w.core.epoch, Instance: workload.Instance("i-" + string(name)), StartedAtMS: 1,
-		Ended: []msg.RunEnd{{Number: w.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
+func (h *harness) reportEnd(run workload.RunID, reason workload.EndReason, checkpoint string) {
+	name := h.started[run]
+	h.ends[name]++
+	h.core.RunsChanged(name, &msg.RunsChanged{
+		Epoch: h.core.epoch, Instance: workload.Instance("i-" + string(name)), StartedAtMS: 1,
+		Ended: []msg.RunEnd{{Number: h.ends[name], Run: run, Reason: reason, Checkpoint: checkpoint}},
 	})
-	w.process()
+	h.process()
 }
 
-func (w *harness) storeBatch() {
-	w.core.NextBatch()
-	w.core.BatchCommitted()
-	w.process()
+// storeBatch writes and commits the next batch.
+func (h *harness) storeBatch() {
+	h.core.NextBatch()
+	h.core.BatchCommitted()
+	h.process()
 }
 
 // lastPhase returns the phase of a job that callers saw last.
-func (w *harness) lastPhase(id workload.JobID) workload.Phase {
-	require.NotEmpty(w.t, w.phases[id])
-	return w.phases[id][len(w.phases[id])-1]
+func (h *harness) lastPhase(id workload.JobID) workload.Phase {
+	require.NotEmpty(h.t, h.phases[id])
+	return h.phases[id][len(h.phases[id])-1]
 }
 
 func runID(id string, step, index int, number uint64) workload.RunID {
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -50,7 +50,7 @@
 // host with its best-effort runs.
 type neighbour struct {
 	image  contention.Image
-	budget float64 // pressure at which they keep their target
+	budget float64 // pressure up to which they keep their targets
 }
 
 // neighbours returns a neighbour for each job that has serving tasks on the host.
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -47,8 +47,8 @@
 	admittedAt  time.Duration // when this owner admitted the job
 	deadline    time.Duration // by which the job should be completed
 	recovered   bool          // accepted under an earlier owner
-	endedAtMS   int64
-	removeAt    time.Duration
+	endedAtMS   int64         // Unix milliseconds; 0: not ended
+	removeAt    time.Duration // when the job's rows are deleted; 0: not ended
 }
 
 // step is one step of a job.
@@ -66,11 +66,11 @@
 	step           *step
 	index          int
 	done           bool
-	failedRuns     int
-	lastFailedRun  uint64
-	checkpoint     string
-	starts         uint64
-	runs           []*run
+	failedRuns     int                        // runs that count as attempts; always 0 for long-running tasks
+	lastFailedRun  uint64                     // number of the last failed run
+	checkpoint     string                     // from which the next run resumes
+	starts         uint64                     // counter of the run numbers of this epoch
+	runs           []*run                     // runs that have not ended
 	failedHosts    map[workload.HostName]bool // hosts on which it failed
 	unplacedLogged bool                       // TaskUnplaced was logged since the task became ready
 	readySince     time.Duration
@@ -121,6 +121,7 @@
 	return msg.JobPhase{ID: j.spec.ID, Queue: j.spec.Queue, Phase: p}
 }
 
+// publish adds the job's visible phase to the changes for callers.
 func (j *job) publish() { j.core.phases = append(j.core.phases, j.visiblePhase()) }
 
 func (j *job) step(e chart.Event) { jobChart.Step(j, &j.state, e) }
@@ -142,6 +143,7 @@
 	}
 }
 
+// stopRuns stops all runs of the task. The reason is logged.
 func (t *task) stopRuns(reason string) {
 	for _, r := range append([]*run(nil), t.runs...) {
 		r.stop(reason)
@@ -275,6 +277,7 @@
 	}
 }
 
+// task returns a task of the job, or nil if the job has no such task.
 func (j *job) task(id workload.TaskID) *task {
 	if id.Occurrence != 0 || id.Step >= len(j.steps) || id.Index >= len(j.steps[id.Step].tasks) {
 		return nil
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -86,11 +86,13 @@
 	}
 }
 
+// stop stops the run unless it is being stopped. The reason is logged.
 func (r *run) stop(reason string) {
 	r.stopReason = reason
 	r.step(evStop)
 }
 
+// requestStop queues a stop request to the agent.
 func (r *run) requestStop() {
 	r.core().addDecision(Decision{Kind: RunStopped, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.stopReason})
 	r.host.stops = append(r.host.stops, r.id)
@@ -102,6 +104,7 @@
 	r.task.step.job.step(evBegin)
 }
 
+// settleEnd applies the reported end of the run.
 func (r *run) settleEnd() {
 	c := r.core()
 	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: r.end.Reason.String(), Age: c.now - r.orderedAt})
@@ -129,6 +132,7 @@
 	}
 }
 
+// settleRefused ends a run that the agent refused; its task becomes ready again.
 func (r *run) settleRefused() {
 	c := r.core()
 	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "refused", Age: c.now - r.orderedAt})
@@ -136,6 +140,8 @@
 	r.task.release()
 }
 
+// settleLost ends a run that has certainly ended without a report. Its task
+// becomes ready again, and resumes from the last reported checkpoint.
 func (r *run) settleLost() {
 	c := r.core()
 	c.addDecision(Decision{Kind: RunEnded, Job: r.id.Task.Job, Run: r.id, Host: r.host.info.Name, Detail: "lost", Age: c.now - r.orderedAt})
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -22,7 +22,7 @@
 // covers are acknowledged and its final phases become visible.
 type Batch struct {
 	Writes       []Write
-	Removed      []workload.JobID
+	Removed      []workload.JobID    // jobs whose rows are deleted
 	Hosts        []workload.HostName // the list of hosts; nil: unchanged
 	Interference []msg.Interference  // coefficients; nil: unchanged
 	ends         map[workload.HostName]appliedEnds
