--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,6 +1,7 @@
-// Package ownership decides which entry owns the jobs. The owner is a row of
-// the table service; it is claimed by compare-and-set with a higher epoch when
-// the entry that it names is away. The package does no input or output.
+// Package ownership decides which entry owns the jobs. The owner is named by a row
+// of the table service. An entry claims the row by compare-and-set with a higher
+// epoch when the entry that it names is unlinked. The package does no input or
+// output.
 package ownership
 
 import (
@@ -35,40 +36,44 @@
 	readRetry     = 300 * time.Millisecond
 	checkInterval = 50 * time.Millisecond
 	claimRetry    = time.Second
-	// absence is how long an owner may be without a link before it is
-	// replaced. A link that was reset is up again sooner.
+	// ownerTimeout is how long an owner may be unlinked before it is replaced.
+	// A link that was reset is up again sooner.
 	ownerTimeout = 250 * time.Millisecond
-	// startAbsence replaces absence until links had time to come up.
+	// startOwnerTimeout replaces ownerTimeout after the start of an entry, until
+	// its links have had time to come up.
 	startOwnerTimeout = 900 * time.Millisecond
-	// turn keeps entries from claiming at the same time.
+	// rankDelay is added to the timeout once for each linked entry with a lower
+	// name, so that entries do not claim at the same time.
 	rankDelay = 200 * time.Millisecond
 )
 
-// Effect is what the entry has to do.
+// Effect is an action that the entry has to perform.
 type Effect uint8
 
-// Effects.
+// Kinds of effects. The entry passes the outcomes of ReadRow and ClaimRow to Read
+// and Claimed.
 const (
-	ReadRow  Effect = iota // answer with Read
-	ClaimRow               // commit Claim, answer with Claimed
-	Begin                  // it is the owner
-	End                    // it is no longer the owner
-	Release                // commit Released and tell the peers
+	ReadRow  Effect = iota // read the stored owner and call Read
+	ClaimRow               // commit the row of Claim and call Claimed
+	Begin                  // the entry became the owner
+	End                    // the entry is no longer the owner
+	Release                // store a row without an owner and notify the peers
 )
 
-// Core is the state of an entry's ownership. It belongs to one goroutine.
+// Core is the state of the ownership as one entry sees it. It is not safe for
+// concurrent use. Times are durations on the entry's monotonic clock.
 type Core struct {
 	self string
 	boot uint64
 	now  time.Duration
 
 	state       chart.State
-	timeoutAt   time.Duration
-	row         workload.Owner // newest known
-	rowVersion  table.Revision // version of the row
-	maxEpoch    uint64         // highest known
-	linked      map[string]bool
-	ownerSeenAt time.Duration // when the owner was last seen, or this entry began
+	timeoutAt   time.Duration   // when the state's timeout expires; 0: none
+	row         workload.Owner  // newest known owner
+	rowVersion  table.Revision  // version of the row
+	maxEpoch    uint64          // highest known epoch
+	linked      map[string]bool // names of the linked entries
+	ownerSeenAt time.Duration   // start of the timeout after which the owner is replaced
 
 	effects []Effect
 }
@@ -95,7 +100,8 @@
 	}
 }
 
-// New returns the ownership of an entry that starts at now.
+// New returns the state of an entry self that starts at now. boot distinguishes
+// the processes of an entry.
 func New(self string, boot uint64, now time.Duration) *Core {
 	c := &Core{self: self, boot: boot, now: now, linked: map[string]bool{}, ownerSeenAt: now + startOwnerTimeout - ownerTimeout}
 	c.state = ownershipChart.Initial()
@@ -105,13 +111,14 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// Effects returns what to do since the last call.
+// Effects returns the effects since the last call.
 func (c *Core) Effects() []Effect {
 	out := c.effects
 	c.effects = nil
 	return out
 }
 
+// step applies an event to the chart and sets the timeout of the new state.
 func (c *Core) step(e chart.Event) {
 	ownershipChart.Step(c, &c.state, e)
 	if d, _, ok := ownershipChart.Timeout(c.state); ok {
@@ -121,7 +128,7 @@
 	}
 }
 
-// Tick applies a due timeout.
+// Tick applies the timeout of the state if it has expired.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	if c.timeoutAt != 0 && now >= c.timeoutAt {
@@ -135,13 +142,13 @@
 // Epoch returns the highest epoch that the entry knows.
 func (c *Core) Epoch() uint64 { return c.maxEpoch }
 
-// Owner returns the name of the owner, or nothing.
+// Owner returns the name of the owner, or "" if it is not known or there is none.
 func (c *Core) Owner() string { return c.row.Name }
 
-// PeerUp and PeerDown say which entries are linked.
+// PeerUp records that an entry is linked.
 func (c *Core) PeerUp(name string) { c.linked[name] = true }
 
-// PeerDown says that an entry is no longer linked.
+// PeerDown records that an entry is no longer linked.
 func (c *Core) PeerDown(name string, now time.Duration) {
 	c.now = now
 	delete(c.linked, name)
@@ -150,7 +157,8 @@
 	}
 }
 
-// OwnerObserved takes an owner and its epoch from a peer or an agent.
+// OwnerObserved applies an owner and its epoch that a peer or an agent reports.
+// owner is "" if the owner of that epoch released the jobs.
 func (c *Core) OwnerObserved(owner string, epoch uint64, now time.Duration) {
 	c.now = now
 	if epoch < c.maxEpoch || epoch == c.maxEpoch && owner != "" {
@@ -165,7 +173,7 @@
 	}
 }
 
-// EpochObserved takes an epoch of which the owner is not known.
+// EpochObserved applies an epoch whose owner is not known.
 func (c *Core) EpochObserved(epoch uint64, now time.Duration) {
 	c.now = now
 	if epoch <= c.maxEpoch {
@@ -178,7 +186,7 @@
 	}
 }
 
-// Read takes the stored owner; version 0 means that there is none.
+// Read applies the stored owner. Version 0 means that no row is stored.
 func (c *Core) Read(o workload.Owner, version table.Revision, now time.Duration) {
 	c.now = now
 	if o.Name != "" && o.Name != c.row.Name && c.row.Name != "" {
@@ -189,12 +197,14 @@
 	c.step(evRead)
 }
 
-// Claim returns the row that claims the jobs, and the version to check.
+// Claim returns the row that claims the jobs, and the version on which its commit
+// is conditional.
 func (c *Core) Claim() (workload.Owner, table.Revision) {
 	return workload.Owner{Name: c.self, Boot: c.boot, Epoch: c.maxEpoch + 1}, c.rowVersion
 }
 
-// Claimed takes the outcome of a claim.
+// Claimed applies the outcome of the commit of a claim. version is that of the
+// committed row.
 func (c *Core) Claimed(o workload.Owner, outcome table.Outcome, version table.Revision, now time.Duration) {
 	c.now = now
 	switch outcome {
@@ -208,25 +218,29 @@
 	}
 }
 
-// Superseded says that a write showed another owner.
+// Superseded records that a write of the owner was rejected because another entry
+// has changed the row.
 func (c *Core) Superseded(now time.Duration) {
 	c.now = now
 	c.ownerSeenAt = now
 	c.step(evSuperseded)
 }
 
-// Retire ends the entry's part: it releases the jobs if it owns them.
+// Retire makes the entry stop claiming the jobs, and release them if it owns
+// them.
 func (c *Core) Retire(now time.Duration) {
 	c.now = now
 	c.step(evRetire)
 }
 
-// mine reports whether the row names this process.
+// namesSelf reports whether the row names this entry.
 func (c *Core) namesSelf() bool { return c.row.Name == c.self }
 
+// mayClaim reports whether the entry may claim the jobs.
 func (c *Core) mayClaim() bool { return c.namesSelf() || c.ownerAbsent() }
 
-// ownerAbsent reports whether it is this entry's turn to replace the owner.
+// ownerAbsent reports whether the owner has been unlinked for so long that this
+// entry replaces it. Entries with lower names do so earlier.
 func (c *Core) ownerAbsent() bool {
 	if c.namesSelf() {
 		return true
@@ -236,12 +250,12 @@
 	}
 	timeout := ownerTimeout + time.Duration(c.rank())*rankDelay
 	if c.row.Name == "" && c.maxEpoch > 0 {
-		timeout -= ownerTimeout // it was given up
+		timeout -= ownerTimeout // the owner released the jobs
 	}
 	return c.now-c.ownerSeenAt >= timeout
 }
 
-// rank is the number of linked entries that come before this one.
+// rank returns the number of linked entries with a lower name.
 func (c *Core) rank() int {
 	n := 0
 	for name := range c.linked {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -10,13 +10,13 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// row is the stored owner that several entries contend for.
+// ownerRow is the stored row that the entries of a test claim.
 type ownerRow struct {
 	owner   workload.Owner
 	version table.Revision
 }
 
-// serve performs the effects of an entry at once.
+// apply performs the effects of an entry until there are none.
 func (r *ownerRow) apply(c *Core, now time.Duration) {
 	for {
 		effects := c.Effects()
@@ -40,6 +40,7 @@
 	}
 }
 
+// advance advances the time for several entries in steps of 50 ms.
 func (r *ownerRow) advance(now *time.Duration, d time.Duration, cores ...*Core) {
 	for end := *now + d; *now < end; *now += 50 * time.Millisecond {
 		for _, c := range cores {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Guards against two owners: of entries that start together one claims the
-// jobs, and the others see it.
+// Guards against two owners when entries start at the same time: one claims the
+// jobs, and the other reads its row.
 func TestOneOfManyEntriesOwnsTheJobs(t *testing.T) {
 	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
@@ -62,8 +63,8 @@
 	require.EqualValues(t, 1, a.Epoch())
 }
 
-// Guards against jobs that nobody owns after the owner's end, and against a
-// replaced owner that goes on.
+// Guards against jobs that have no owner after the owner's link ended, and against
+// an owner that was replaced and does not stop.
 func TestUnlinkedOwnerIsReplaced(t *testing.T) {
 	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
@@ -72,7 +73,7 @@
 	r.advance(&now, 3*time.Second, a, b)
 	b.PeerDown("a", now)
 	r.advance(&now, 200*time.Millisecond, b)
-	require.False(t, b.Owns(), "a link that was reset returns sooner")
+	require.False(t, b.Owns(), "a link that was reset is up again sooner")
 	r.advance(&now, 300*time.Millisecond, b)
 	require.True(t, b.Owns())
 	a.OwnerObserved("b", b.Epoch(), now)
@@ -80,7 +81,8 @@
 	require.Contains(t, a.Effects(), End)
 }
 
-// Guards against an entry that waits for itself after a restart.
+// Guards against a restarted owner that waits for the timeout of the owner, which
+// is itself.
 func TestRestartedOwnerReclaimsTheJobsAtOnce(t *testing.T) {
 	r := &ownerRow{owner: workload.Owner{Name: "a", Boot: 1, Epoch: 4}, version: 9}
 	now := time.Duration(0)
@@ -90,8 +92,8 @@
 	require.EqualValues(t, 5, a.Epoch())
 }
 
-// Guards against a gap at a planned stop: jobs that were given up are claimed
-// without waiting for the link to end.
+// Guards against a time without an owner after a planned stop: released jobs are
+// claimed without waiting for the end of the link.
 func TestReleasedJobsAreClaimedAtOnce(t *testing.T) {
 	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
@@ -106,7 +108,8 @@
 	require.True(t, b.Owns())
 }
 
-// Guards against a claim whose answer was lost: the row tells whether it won.
+// Guards against an entry that does not know whether its claim was committed,
+// because the answer was lost: it reads the row.
 func TestClaimOfUnknownOutcomeIsReadBack(t *testing.T) {
 	a := New("a", 1, 0)
 	a.Tick(time.Millisecond)
--- a/internal/policy/contention/contention.go
+++ b/internal/policy/contention/contention.go
@@ -1,9 +1,10 @@
-// Package contention models how tasks that fill unused processors slow the
-// serving tasks on their host. A serving task of load ρ under the pressure P of
-// its neighbours has the tail latency L = L0/(1 − ρ − P), as a queue whose
-// server they keep busy for the part P of the time. The pressure of a filler is
-// its share of the host's processors times the harm of the pair of images. The
-// package is pure: times are durations on a monotonic clock.
+// Package contention models how best-effort tasks slow down the serving tasks on
+// their host. A serving task with load ρ under pressure P has the tail latency
+// L = L0/(1 − ρ − P): it is modelled as a queue whose server the best-effort
+// tasks occupy for the fraction P of the time. The pressure of a best-effort task
+// is its share of the host's processors times the interference coefficient of
+// the pair of images. The package does no input or output; times are durations on
+// the caller's monotonic clock.
 package contention
 
 import (
@@ -11,34 +12,38 @@
 	"time"
 )
 
-// Image names what a task runs. Tasks of an image behave alike.
+// Image is the name of the program that a task runs. Tasks with the same image
+// are assumed to interfere alike.
 type Image string
 
-// Pair is a filler's image beside a serving task's.
+// Pair is the image of a serving task and that of a best-effort task on its host.
 type Pair struct{ Serving, BestEffort Image }
 
-// Group names serving tasks that share their load: those of one job.
+// Group identifies serving tasks that share their load: those of one job.
 type Group string
 
-// UsedShare of the processors that fillers declare is what they use.
+// UsedShare is the fraction of its declared processors that a best-effort task
+// uses.
 const UsedShare = 0.85
 
-// UnknownHarm is that of a filler of which nothing has been measured.
+// DefaultCoefficient is the coefficient of a pair without samples.
 const DefaultCoefficient = 0.3
 
 const (
-	// idleShare is the tail latency without load, relative to the target. The
-	// law has to be right near the target, where this share matters little.
+	// idleLatencyShare is the tail latency without load as a fraction of the
+	// target. The model has to be accurate near the target, where this value
+	// has little influence.
 	idleLatencyShare = 0.2
-	// aimShare of the target is the latency up to which fillers may push.
+	// aimLatencyShare is the tail latency, as a fraction of the target, that
+	// best-effort tasks may cause.
 	aimLatencyShare = 0.75
-	// leastBusy and mostBusy bound 1 − L0/L: beyond them a measured latency
-	// tells nothing of the load.
+	// minUtilisation and maxUtilisation bound 1 − L0/L. Beyond them a measured
+	// latency does not determine the load.
 	minUtilisation = 0.05
 	maxUtilisation = 0.97
 )
 
-// Busy is how busy a serving task is, ρ + P, by its latency.
+// Utilisation estimates ρ + P of a serving task from its latency.
 func Utilisation(latency, target time.Duration) float64 {
 	if latency <= 0 || target <= 0 {
 		return minUtilisation
@@ -46,8 +51,8 @@
 	return min(maxUtilisation, max(minUtilisation, 1-idleLatencyShare*float64(target)/float64(latency)))
 }
 
-// PressureBudget is the pressure that a serving task of a load bears below the latency
-// that fillers may push it to.
+// PressureBudget returns the highest pressure at which a serving task with a load
+// stays below aimLatencyShare of its target.
 func PressureBudget(load float64) float64 {
 	const aimUtilisation = 1 - idleLatencyShare/aimLatencyShare
 	return max(0, aimUtilisation-load)
@@ -59,33 +64,36 @@
 	Group   Group
 	Latency time.Duration
 	Target  time.Duration
-	// Shares of the host's processors that fillers used meanwhile.
+	// Shares of the host's processors that best-effort tasks used meanwhile, by
+	// image.
 	Shares map[Image]float64
 }
 
-// Model estimates the load of each group and the harm of each pair from
-// samples of many hosts. It is a Kalman filter: a group has a load and its
-// slope, a pair its harm, and their errors are taken as independent.
+// Model estimates the load of each group and the coefficient of each pair from
+// samples of many hosts. It is a Kalman filter whose state is the load of each
+// group with its slope, and the coefficient of each pair. The errors of groups
+// and pairs are treated as independent. A Model is not safe for concurrent use.
 type Model struct {
 	groups            map[Group]*load
 	pairs             map[Pair]*coefficient
-	fixedCoefficients bool // harms are taken from Teach only
+	fixedCoefficients bool // samples do not change the coefficients
 }
 
-// load is the load of a group, its slope for each second, and their
-// covariance.
+// load is the estimated load of a group, its slope per second, and their
+// covariance matrix.
 type load struct {
 	updatedAt                                time.Duration
 	value, slope                             float64
 	valueVariance, covariance, slopeVariance float64
 }
 
+// coefficient is the estimated interference coefficient of a pair.
 type coefficient struct{ value, variance float64 }
 
 const (
 	initialLoad                = 0.45
 	initialLoadVariance        = 0.04
-	maxSlope                   = 0.15 // for each second
+	maxSlope                   = 0.15 // per second
 	initialSlopeVariance       = 0.01
 	initialCoefficientVariance = 0.5
 	restoredVariance           = 0.05
@@ -93,22 +101,24 @@
 	maxCoefficient             = 4.0
 	minLoad                    = 0.05
 	maxLoad                    = 0.95
-	// Growth of the variances: loads swing within seconds, harm changes slower.
-	loadNoise        = 0.0003 // for each second
-	slopeNoise       = 0.003  // for each second
-	coefficientNoise = 0.0002 // for each sample
-	// latencyNoise is the relative error of a measured latency, busyNoise the
-	// error of the law.
+	// Growth of the variances. Loads vary within seconds, coefficients more
+	// slowly.
+	loadNoise        = 0.0003 // per second
+	slopeNoise       = 0.003  // per second
+	coefficientNoise = 0.0002 // per sample
+	// latencyNoise is the relative error of a measured latency, modelNoise the
+	// error of the utilisation that the model derives from it.
 	latencyNoise = 0.12
 	modelNoise   = 0.03
-	// outlier deviations bound what one sample may change.
+	// maxDeviations limits the residual of a sample, in standard deviations, so
+	// that an outlier has a limited effect.
 	maxDeviations = 3.0
-	// saturated is where neither a prediction nor a latency tells how far a
-	// task is past its limit.
+	// saturation is the utilisation above which neither the prediction nor the
+	// latency determines by how much a task is overloaded.
 	saturation = 0.95
-	// horizon bounds the time over which a slope is extrapolated.
+	// maxExtrapolation limits the time over which a slope is extrapolated.
 	maxExtrapolation = 1500 * time.Millisecond
-	// forgetAfter is how long a group without samples is kept.
+	// groupRetention is how long a group without samples is kept.
 	groupRetention = 30 * time.Second
 )
 
@@ -117,8 +127,9 @@
 	return &Model{groups: map[Group]*load{}, pairs: map[Pair]*coefficient{}}
 }
 
-// NewLoadModel returns a model that learns loads only. The samples of one
-// host cannot tell harm from load, so the harms come from Teach.
+// NewLoadModel returns a model that estimates loads only, from the samples of one
+// host. These cannot distinguish interference from load, so the coefficients come
+// from SetCoefficient.
 func NewLoadModel() *Model {
 	m := NewModel()
 	m.fixedCoefficients = true
@@ -135,15 +146,15 @@
 }
 
 func (m *Model) pair(p Pair) *coefficient {
-	h, ok := m.pairs[p]
+	c, ok := m.pairs[p]
 	if !ok {
-		h = &coefficient{DefaultCoefficient, initialCoefficientVariance}
-		m.pairs[p] = h
+		c = &coefficient{DefaultCoefficient, initialCoefficientVariance}
+		m.pairs[p] = c
 	}
-	return h
+	return c
 }
 
-// Observe learns from a sample.
+// Observe updates the estimates with a sample that was taken at now.
 func (m *Model) Observe(now time.Duration, s Sample) {
 	l := m.group(s.Group, now)
 	l.advance(now)
@@ -169,7 +180,7 @@
 	}
 }
 
-// advance predicts the load at a later time.
+// advance predicts the load and its covariance matrix at a later time.
 func (l *load) advance(now time.Duration) {
 	t := (now - l.updatedAt).Seconds()
 	l.updatedAt = now
@@ -180,7 +191,7 @@
 	l.clamp()
 }
 
-// correct applies a residual of the given variance.
+// correct updates the load with a residual of the given variance.
 func (l *load) correct(residual, variance float64) {
 	gain, slopeGain := l.valueVariance/variance, l.covariance/variance
 	l.value += gain * residual
@@ -191,20 +202,22 @@
 	l.clamp()
 }
 
+// clamp limits the load and its slope to their bounds.
 func (l *load) clamp() {
 	l.value = min(maxLoad, max(minLoad, l.value))
 	l.slope = min(maxSlope, max(-maxSlope, l.slope))
 }
 
-// correct applies a residual that the harm influences with a weight.
-func (h *coefficient) correct(weight, residual, variance float64) {
-	gain := weight * h.variance / variance
-	h.value = min(maxCoefficient, max(minCoefficient, h.value+gain*residual))
-	h.variance = min(initialCoefficientVariance, h.variance*(1-gain*weight)+coefficientNoise)
+// correct updates the coefficient with a residual of the given variance, to which
+// the coefficient contributes with a weight.
+func (c *coefficient) correct(weight, residual, variance float64) {
+	gain := weight * c.variance / variance
+	c.value = min(maxCoefficient, max(minCoefficient, c.value+gain*residual))
+	c.variance = min(initialCoefficientVariance, c.variance*(1-gain*weight)+coefficientNoise)
 }
 
-// Load predicts the load of a group at a time. A group without samples has a
-// middling load.
+// Load predicts the load of a group at a time. It returns initialLoad for a group
+// without samples.
 func (m *Model) Load(g Group, at time.Duration) float64 {
 	l, ok := m.groups[g]
 	if !ok {
@@ -214,36 +227,37 @@
 	return min(maxLoad, max(minLoad, l.value+l.slope*ahead))
 }
 
-// Coefficient returns the pressure of a filler that uses a whole host on a serving
-// task.
+// Coefficient returns the interference coefficient of a pair: the pressure on the
+// serving task of a best-effort task that uses all processors of the host.
 func (m *Model) Coefficient(p Pair) float64 {
-	if h, ok := m.pairs[p]; ok {
-		return h.value
+	if c, ok := m.pairs[p]; ok {
+		return c.value
 	}
 	return DefaultCoefficient
 }
 
-// Harms calls visit for each pair that was measured.
+// Coefficients calls visit for each pair that has samples or was set.
 func (m *Model) Coefficients(visit func(Pair, float64)) {
-	for p, h := range m.pairs {
-		visit(p, h.value)
+	for p, c := range m.pairs {
+		visit(p, c.value)
 	}
 }
 
-// SetCoefficient sets the harm of a pair to what another model has learned from more
-// hosts.
+// SetCoefficient sets the coefficient of a pair to the estimate of a model that
+// has the samples of all hosts.
 func (m *Model) SetCoefficient(p Pair, value float64) {
 	m.pair(p).value = min(maxCoefficient, max(minCoefficient, value))
 }
 
-// Restore sets the harm of a pair to what a former model had learned. Samples
-// change it, though less than one that is not known.
+// RestoreCoefficient sets the coefficient of a pair to the stored estimate of an
+// earlier model. Samples change it less than that of an unknown pair.
 func (m *Model) RestoreCoefficient(p Pair, value float64) {
 	m.SetCoefficient(p, value)
 	m.pair(p).variance = restoredVariance
 }
 
-// Pressure on a serving task of fillers that use shares of its host.
+// Pressure returns the pressure on a serving task of best-effort tasks that use
+// shares of the host's processors.
 func (m *Model) Pressure(serving Image, shares map[Image]float64) float64 {
 	sum := 0.0
 	for image, share := range shares {
@@ -252,7 +266,8 @@
 	return sum
 }
 
-// DropIdleGroups drops groups without recent samples.
+// DropIdleGroups drops the groups whose last sample is older than
+// groupRetention.
 func (m *Model) DropIdleGroups(now time.Duration) {
 	for g, l := range m.groups {
 		if now-l.updatedAt > groupRetention {
--- a/internal/policy/hostselect/hostselect.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -1,5 +1,5 @@
-// Package hostselect chooses hosts for the tasks of jobs: it filters the hosts on
-// which a task may run and scores the rest. It is free of input and output.
+// Package hostselect chooses hosts for the tasks of jobs: it filters out the hosts
+// that cannot run a task, and scores the others. It does no input or output.
 package hostselect
 
 import (
@@ -9,21 +9,22 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Reason says why a task may not run on a host.
+// Reason is the reason why a task cannot run on a host. The texts of the reasons
+// are logged.
 type Reason uint8
 
-// Reasons against a host. Fits is none.
+// Reasons against a host. Fits means that the task can run there.
 const (
 	Fits Reason = iota
 	Unreachable
 	Draining
 	OtherService
 	NoLabel
-	TooManyOfStep // of the step's tasks are on the host
+	TooManyOfStep // the host has MaxPerHost tasks of the step
 	NoCapacity
 	Failing
 	Avoided  // the task failed there
-	LowSpeed // a filler would hardly work there
+	LowSpeed // a best-effort task would run below minSpeed there
 )
 
 func (r Reason) String() string {
@@ -32,37 +33,38 @@
 	}[r]
 }
 
-// Host is what a choice knows of a host.
+// Host describes a host to Choose, as seen by one task.
 type Host struct {
 	Info               *workload.Host
 	Reachable          bool
-	Free               workload.Resources // declared sizes of live runs taken off
-	BestEffortCPU      int64              // demand of fillers in thousandths of a core
-	Serving            int                // live runs that serve
-	SameStep           int                // live runs of the step
-	SameImage          bool               // a live run serves with the task's image
-	BestEffortHeadroom float64            // how many fillers like the task the serving runs still bear
-	Suspect            bool               // the last run there failed, or progress is slow
-	Failing            bool
-	Avoided            bool
+	Free               workload.Resources // capacity less the charges of the runs
+	BestEffortCPU      int64              // thousandths of a core that best-effort runs declare
+	Serving            int                // number of serving runs
+	SameStep           int                // number of runs of the task's step
+	SameImage          bool               // a serving run has the task's image
+	BestEffortHeadroom float64            // best-effort tasks like the task that may be added while the serving runs keep their targets; set if Serving > 0
+	Suspect            bool               // a run failed since the last completed one
+	Failing            bool               // several jobs failed there in succession
+	Avoided            bool               // the task failed there
 }
 
-// Task is what a choice knows of a task.
+// Task describes a task to Choose.
 type Task struct {
 	Step     *workload.Step
 	Service  workload.Service
 	Priority int
-	MayWait  bool // a filler that may still wait for a better host
+	MayWait  bool // a best-effort task that is not placed where it would run below minSpeed
 }
 
-// Patience is how long a filler waits for a host on which it would work at
-// leastSpeed at least.
+// MaxWait is how long a best-effort task waits for a host on which it would run
+// at minSpeed or faster. A speed of 1 is that of a task which is not throttled.
 const (
 	MaxWait  = 1500 * time.Millisecond
 	minSpeed = 0.4
 )
 
-// Speed estimates the share of its speed at which a filler would work on h.
+// Speed estimates the speed of a best-effort task on h, as a fraction of its speed
+// on an idle host.
 func Speed(t Task, h Host) float64 {
 	speed := min(1, 1/max(demand(t, h), 0.01))
 	if h.Serving > 0 {
@@ -71,10 +73,12 @@
 	return speed
 }
 
-// servingUse is the part of their declared processors that other tasks use.
+// otherUsedShare is the fraction of their declared processors that tasks use which
+// are not best-effort.
 const otherUsedShare = 0.6
 
-// demand is what the tasks on h would use of its processors with a filler t.
+// demand estimates the fraction of h's processors that its tasks would use
+// together with the best-effort task t.
 func demand(t Task, h Host) float64 {
 	capacity := float64(max(1, h.Info.Capacity.MilliCPU))
 	others := capacity - float64(h.Free.MilliCPU)
@@ -82,11 +86,11 @@
 	return (otherUsedShare*others + contention.UsedShare*bestEffort) / capacity
 }
 
-// reservedShare of a host's processors is kept for tasks of the first
-// priority, so that short tasks start at once beside large ones.
+// reservedShare is the fraction of a host's processors that is reserved for tasks
+// of the first priority, so that short tasks start at once beside large ones.
 const reservedShare = 0.06
 
-// Check returns why t may not run on h, or Fits.
+// Check returns why t cannot run on h, or Fits.
 func Check(t Task, h Host) Reason {
 	switch {
 	case !h.Reachable || h.Info.State == workload.HostUnavailable:
@@ -117,27 +121,28 @@
 	return Fits
 }
 
-// Weights of the parts of a score. A score of 1 is an empty host.
+// Weights of the terms of a score. The score of an empty host is 1.
 const (
 	suspectWeight   = 4.0
 	otherRackWeight = 0.6
 	speedWeight     = 4.0
 	demandWeight    = 0.5
-	// pressureWeight is for the part of what serving tasks still bear.
+	// pressureWeight applies to the fraction of the headroom that the task takes.
 	pressureWeight = 1.0
-	// Fillers disturb serving tasks, so the two are kept apart.
+	// Best-effort tasks slow down serving tasks, so the two are kept apart.
 	servingBesideBestEffort = 2.0
-	// Serving tasks share hosts, which leaves the others to fillers. A filler
-	// disturbs some images of serving tasks and others hardly, so hosts with
-	// one image find fillers that suit them.
+	// Serving tasks share hosts, which leaves the other hosts to best-effort
+	// tasks. A best-effort task slows down some images and hardly affects
+	// others, so a host with one serving image has best-effort tasks that suit
+	// it.
 	servingTogether   = 1.5
 	sameImageTogether = 2.0
-	// Tasks of one job have their crests at the same time, so their host has
-	// room for fillers in between.
+	// The load of the tasks of one job peaks at the same time, so their host
+	// has capacity for best-effort tasks in between.
 	sameJobTogether = 1.0
 )
 
-// Score rates a host on which t may run; the highest is best.
+// Score returns the score of a host that can run t. A higher score is better.
 func Score(t Task, h Host) float64 {
 	score := 0.0
 	if h.Suspect {
@@ -162,11 +167,13 @@
 	return score + unusedShare(h)
 }
 
-// unused is the part of the processors that no task takes.
+// unusedShare returns the fraction of the processors that no task declares.
 func unusedShare(h Host) float64 {
 	return float64(h.Free.MilliCPU-h.BestEffortCPU) / float64(max(1, h.Info.Capacity.MilliCPU))
 }
 
+// bestEffortScore returns the part of the score that is specific to best-effort
+// tasks.
 func bestEffortScore(t Task, h Host) float64 {
 	score := speedWeight*Speed(t, h) - demandWeight*demand(t, h)
 	if h.Serving > 0 {
@@ -175,8 +182,8 @@
 	return score
 }
 
-// Choose returns the index of the best host, or -1, and how many hosts each
-// reason excluded.
+// Choose returns the index of the host with the highest score, or -1 if no host
+// can run t, and the number of hosts that each reason excluded.
 func Choose(t Task, hosts []Host) (int, map[Reason]int) {
 	best, bestScore := -1, 0.0
 	excluded := map[Reason]int{}
--- a/internal/policy/hostselect/hostselect_test.go
+++ b/internal/policy/hostselect/hostselect_test.go
@@ -22,8 +22,8 @@
 	return Task{Service: "desk", Step: &workload.Step{Count: 1, Need: workload.Resources{MilliCPU: cpu, MemoryMB: 10}}}
 }
 
-// Guards against a start that a rule forbids: each case differs from a host
-// that fits in one point.
+// Guards against a task that is placed where a rule forbids it. Each case differs
+// in one property from a host that fits.
 func TestCheckNamesTheReason(t *testing.T) {
 	cases := map[Reason]func(*Task, *Host){
 		Fits:          func(*Task, *Host) {},
@@ -43,7 +43,8 @@
 	}
 }
 
-// Guards against fillers beside serving tasks while another host is as free.
+// Guards against a best-effort task that is placed beside serving tasks although a
+// host without serving tasks fits.
 func TestBestEffortTasksAvoidServingTasks(t *testing.T) {
 	serving, free := readyHost("a", 8000), readyHost("b", 4000)
 	serving.Serving, serving.BestEffortHeadroom = 1, 1
@@ -53,7 +54,8 @@
 	require.Equal(t, 1, i)
 }
 
-// Guards against a host that is given more than it has, whatever the mix.
+// Guards against a task that is placed on an unreachable host or above a host's
+// capacity.
 func TestChoiceAlwaysFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		task := newTask(rapid.Int64Range(0, 5000).Draw(t, "cpu"))
@@ -80,9 +82,9 @@
 	})
 }
 
-// A crest of fillers beside serving tasks on every host: each filler disturbs
-// some images and others hardly. Guards against one that is placed where the
-// serving tasks cannot bear it while another host's can.
+// Guards against a best-effort task that is placed beside serving tasks which it
+// slows down above their targets, although another host has serving tasks that it
+// hardly affects.
 func TestBestEffortTasksPreferTolerantServingTasks(t *testing.T) {
 	sensitive, tolerant := readyHost("a", 8000), readyHost("b", 8000)
 	sensitive.Serving, sensitive.BestEffortHeadroom = 4, 0.3
@@ -94,8 +96,8 @@
 	require.Equal(t, 1, i)
 }
 
-// Guards against a filler that is paced down to nothing at once instead of
-// waiting for a host, and against one that waits for ever.
+// Guards against a best-effort task that starts at once where it is throttled
+// almost to a stop, and against one that waits for a faster host for ever.
 func TestBestEffortTasksWaitForAFasterHost(t *testing.T) {
 	host := readyHost("a", 8000)
 	host.Serving, host.BestEffortHeadroom = 4, 0.1
@@ -107,8 +109,8 @@
 	require.Equal(t, Fits, Check(task, host))
 }
 
-// Guards against serving tasks of many images on each host, beside which no
-// filler is harmless.
+// Guards against hosts with serving tasks of many images, where every best-effort
+// task slows down one of them.
 func TestServingTasksPreferHostsWithTheirImage(t *testing.T) {
 	empty, other, same := readyHost("a", 8000), readyHost("b", 8000), readyHost("c", 8000)
 	other.Serving, same.Serving, same.SameImage = 2, 2, true
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a holder that trusts its lease after the granter considers it
-// expired: delays of renewals and acknowledgements are arbitrary and the
-// clocks differ in rate by up to 1%.
+// Guards against a holder whose lease is still valid when the granter considers it
+// expired. Renewals and acknowledgements take any length of time, and the
+// holder's clock is 1% slow.
 func TestHolderLeaseEndsBeforeGranterRecord(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Second, 20 * time.Second, time.Minute, time.Hour} {
 		for _, back := range []time.Duration{0, 3 * time.Second, 40 * time.Second} {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against a renewal that was buffered while the holder was paused and
-// would confirm a lease that its granter gave up.
+// Guards against a renewal that was buffered while the holder was paused, and
+// would confirm a lease that the granter considers expired.
 func TestBufferedRenewalDoesNotConfirmTheLease(t *testing.T) {
 	var h Holder
 	h.Receive(1*time.Second, 1, TTL, TTL)
@@ -43,13 +43,13 @@
 	h.Receive(20*time.Second, 3, TTL, TTL)
 	require.False(t, h.Valid(20*time.Second, false), "3 may have been sent before the pause")
 	h.Receive(21*time.Second, 3, TTL, TTL)
-	require.False(t, h.Valid(21*time.Second, false), "a repetition proves nothing")
+	require.False(t, h.Valid(21*time.Second, false), "a repetition does not confirm the lease")
 	h.Receive(22*time.Second, 4, TTL, TTL)
 	require.Equal(t, 50*time.Second, h.Until(false))
 }
 
-// Guards against a granter that raises the sequence number without an
-// acknowledgement, on which the holder's count relies.
+// Guards against a granter that increments the sequence number without an
+// acknowledgement: the holder would count the lease from the wrong one.
 func TestSequenceWaitsForAck(t *testing.T) {
 	var g Grants
 	renew := func(now, ttl, long time.Duration, want uint64, fresh bool) {
