--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/host.scxml.
+// States of charts/host.scxml, in the order of HostBinding.
 const (
 	hostUnavailable chart.State = iota
 	hostClaiming
@@ -17,7 +17,7 @@
 	hostSilent
 )
 
-// Events of charts/host.scxml.
+// Events of charts/host.scxml, in the order of HostBinding.
 const (
 	evUp chart.Event = iota
 	evDown
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -9,7 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Events of charts/batchjob.scxml. Its states have the values of the phases.
+// Events of charts/batchjob.scxml, in the order of JobBinding. The states have the
+// values of the phases.
 const (
 	evBegin chart.Event = iota
 	evFinish
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/run.scxml.
+// States of charts/run.scxml, in the order of RunBinding.
 const (
 	runOrdered chart.State = iota
 	runRunning
@@ -17,7 +17,7 @@
 	runEnded
 )
 
-// Events of charts/run.scxml.
+// Events of charts/run.scxml, in the order of RunBinding.
 const (
 	evStarted chart.Event = iota
 	evRefused
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -13,7 +13,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/ownership.scxml.
+// States of charts/ownership.scxml, in the order of Binding.
 const (
 	stReading chart.State = iota
 	stStandby
@@ -22,7 +22,7 @@
 	stRetired
 )
 
-// Events of charts/ownership.scxml.
+// Events of charts/ownership.scxml, in the order of Binding.
 const (
 	evTimeout chart.Event = iota
 	evRead
--- a/internal/policy/hostselect/hostselect.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -9,8 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Reason is the reason why a task cannot run on a host. The texts of the reasons
-// are logged.
+// Reason is the reason why a task cannot run on a host. Operators read the texts of
+// the reasons in the detail of event 913 (task-waits), so the texts are stable.
 type Reason uint8
 
 // Reasons against a host. Fits means that the task can run there.
@@ -35,17 +35,19 @@
 
 // Host describes a host to Choose, as seen by one task.
 type Host struct {
-	Info               *workload.Host
-	Reachable          bool
-	Free               workload.Resources // capacity less the charges of the runs
-	BestEffortCPU      int64              // thousandths of a core that best-effort runs declare
-	Serving            int                // number of serving runs
-	SameStep           int                // number of runs of the task's step
-	SameImage          bool               // a serving run has the task's image
-	BestEffortHeadroom float64            // best-effort tasks like the task that may be added while the serving runs keep their targets; set if Serving > 0
-	Suspect            bool               // a run failed since the last completed one
-	Failing            bool               // several jobs failed there in succession
-	Avoided            bool               // the task failed there
+	Info          *workload.Host
+	Reachable     bool
+	Free          workload.Resources // capacity less the charges of the runs
+	BestEffortCPU int64              // thousandths of a core that best-effort runs declare
+	Serving       int                // number of serving runs
+	SameStep      int                // number of runs of the task's step
+	SameImage     bool               // a serving run has the task's image
+	// BestEffortHeadroom is how many best-effort tasks like this one can be added
+	// while the serving runs keep their targets. It is set if Serving > 0.
+	BestEffortHeadroom float64
+	Suspect            bool // a run failed since the last completed one
+	Failing            bool // several jobs failed there in succession
+	Avoided            bool // the task failed there
 }
 
 // Task describes a task to Choose.
@@ -53,7 +55,7 @@
 	Step     *workload.Step
 	Service  workload.Service
 	Priority int
-	MayWait  bool // a best-effort task that is not placed where it would run below minSpeed
+	MayWait  bool // do not place a best-effort task where it would run below minSpeed
 }
 
 // MaxWait is how long a best-effort task waits for a host on which it would run
