--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -7,72 +7,74 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// forgetAfter is how long nothing must have run on a host before it leaves
-// the stored list. A host that flaps stays in it.
-const forgetAfter = 8 * time.Second
+// hostRetention is how long nothing must have run on an unavailable host before
+// it is removed from the stored list. It keeps a host in the list whose
+// availability flaps.
+const hostRetention = 8 * time.Second
 
-// hostList is the stored list of the hosts on which something may run. A host
-// is in it before the first start there, so a new owner waits for the hosts
-// of the list and for no other.
+// hostList is the stored list of the hosts that may have runs. A host is stored
+// before its first run starts, so a new owner waits for the hosts of the list
+// only.
 type hostList struct {
 	stored map[workload.HostName]bool
 }
 
-// mayRun reports whether something may run on the host, or soon will.
-func (h *host) mayRun() bool {
+// mayHaveRuns reports whether the host belongs into the stored list: it may have
+// runs, or may get some.
+func (h *host) mayHaveRuns() bool {
 	if len(h.runs) > 0 || h.state == hostSilent {
 		return true
 	}
-	if h.info.Instance == "" || h.info.State == workload.HostUnavailable || h.state == hostAway {
-		return h.core.now-h.idleSince < forgetAfter && h.core.list.stored[h.info.Name]
+	if h.info.Instance == "" || h.info.State == workload.HostUnavailable || h.state == hostUnavailable {
+		return h.core.now-h.idleSince < hostRetention && h.core.hostList.stored[h.info.Name]
 	}
 	return true
 }
 
-// hostsToStore returns the list as it should be, and whether it differs from
-// the stored one.
+// hostsToStore returns the names that the stored list should have, and whether
+// they differ from the present ones.
 func (c *Core) hostsToStore() ([]workload.HostName, bool) {
-	var want []workload.HostName
+	var names []workload.HostName
 	for name, h := range c.hosts {
-		if h.mayRun() {
-			want = append(want, name)
+		if h.mayHaveRuns() {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(want)
-	if len(want) != len(c.list.stored) {
-		return want, true
+	slices.Sort(names)
+	if len(names) != len(c.hostList.stored) {
+		return names, true
 	}
-	for _, name := range want {
-		if !c.list.stored[name] {
-			return want, true
+	for _, name := range names {
+		if !c.hostList.stored[name] {
+			return names, true
 		}
 	}
-	return want, false
+	return names, false
 }
 
-func (l *hostList) committed(hosts []workload.HostName) {
+func (l *hostList) setStored(hosts []workload.HostName) {
 	l.stored = make(map[workload.HostName]bool, len(hosts))
 	for _, name := range hosts {
 		l.stored[name] = true
 	}
 }
 
-// ExpectHost names a host of the stored list, on which runs of a former owner may
-// go on.
+// ExpectHost adds a host of the stored list, on which runs of an earlier owner
+// may go on. The caller calls it before Recover.
 func (c *Core) ExpectHost(name workload.HostName) {
 	_, known := c.hosts[name]
 	h := c.host(name)
 	h.expected = true
-	c.list.stored[name] = true
+	c.hostList.stored[name] = true
 	if !known {
 		h.step(evExpect)
 	}
 }
 
-// settleRecovery lets the tasks start whose runs under a former owner are
-// unknown, once every expected host has answered or can run nothing.
-func (c *Core) settleRecovery() {
-	if c.recovered == 0 {
+// endRecoveryIfComplete lets the tasks of recovered jobs start once every
+// expected host has sent its inventory or certainly has no runs.
+func (c *Core) endRecoveryIfComplete() {
+	if c.recoveryDeadline == 0 {
 		return
 	}
 	for _, h := range c.hosts {
@@ -80,6 +82,6 @@
 			return
 		}
 	}
-	c.recovered = 0
-	c.plan = true
+	c.recoveryDeadline = 0
+	c.planNeeded = true
 }
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -10,14 +10,14 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// learn takes what a report of an agent shows of the interference on its
-// host. A report holds figures of one moment, so the latencies are due to the
-// fillers that it lists.
-func (h *host) learn(m *msg.RunsProgress) {
+// observeInterference updates the interference model with an agent's report. All
+// figures of a report are of one moment, so its latencies can be attributed to
+// the best-effort runs in it.
+func (h *host) observeInterference(m *msg.RunsProgress) {
 	shares := map[contention.Image]float64{}
 	for _, s := range m.Runs {
 		if r, ok := h.runs[s.Run]; ok && r.task.step.spec.BestEffort {
-			shares[contention.Image(r.task.step.spec.Image)] += h.share(float64(s.Usage))
+			shares[contention.Image(r.task.step.spec.Image)] += h.cpuShare(float64(s.Usage))
 		}
 	}
 	for _, s := range m.Runs {
@@ -33,25 +33,27 @@
 	}
 }
 
-// share is the part of the host's processors that milliCPU are.
-func (h *host) share(milliCPU float64) float64 {
+// cpuShare returns thousandths of a core as a share of the host's processors.
+func (h *host) cpuShare(milliCPU float64) float64 {
 	return milliCPU / float64(max(1, h.info.Capacity.MilliCPU))
 }
 
-// loadGroup names the serving tasks that share their load with the job's.
+// loadGroup returns the group of the serving tasks of a job, which share its
+// load.
 func loadGroup(j *job) contention.Group { return contention.Group(j.spec.ID) }
 
-// lookAhead is how far ahead the load of serving tasks is predicted for a
-// filler that starts now.
-const lookAhead = time.Second
+// loadLookahead is how far ahead the load of serving tasks is predicted for a
+// best-effort run that starts now.
+const loadLookahead = time.Second
 
-// neighbour is the serving tasks of one job on a host, as fillers see them.
+// neighbour stands for the serving tasks of one job on a host, which share the
+// host with its best-effort runs.
 type neighbour struct {
-	image contention.Image
-	room  float64 // pressure that they bear
+	image  contention.Image
+	budget float64 // pressure up to which they keep their targets
 }
 
-// neighbours lists the serving tasks on the host by job.
+// neighbours returns a neighbour for each job that has serving tasks on the host.
 func (h *host) neighbours() []neighbour {
 	seen := map[workload.JobID]bool{}
 	var list []neighbour
@@ -61,54 +63,55 @@
 			continue
 		}
 		seen[j.spec.ID] = true
-		load := h.core.contention.Load(loadGroup(j), h.core.now+lookAhead)
+		load := h.core.contention.Load(loadGroup(j), h.core.now+loadLookahead)
 		list = append(list, neighbour{contention.Image(spec.Image), contention.PressureBudget(load)})
 	}
 	return list
 }
 
-// fillersFit returns how many fillers like t the serving tasks on the host still
-// bear beside the fillers there that harm them less. The agent holds the more
-// harmful ones first.
-func (h *host) fillersFit(t *task) float64 {
-	fit := math.Inf(1)
-	share := h.fillerShare(t)
+// bestEffortHeadroom returns how many best-effort tasks like t the host can take
+// while its serving tasks keep their targets. Runs there with a higher
+// coefficient than t do not count, because the agent throttles them first.
+func (h *host) bestEffortHeadroom(t *task) float64 {
+	headroom := math.Inf(1)
+	share := h.bestEffortShare(t)
 	for _, n := range h.neighbours() {
-		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
-		fit = min(fit, max(0, n.room-h.pressureUpTo(n, harm))/max(leastPressure, share*harm))
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
+		headroom = min(headroom, max(0, n.budget-h.pressureUpTo(n, coefficient))/max(minPressure, share*coefficient))
 	}
-	return fit
+	return headroom
 }
 
-// pressureUpTo returns the pressure on a neighbour of the fillers at full pace
-// whose harm is not above a limit.
+// pressureUpTo returns the pressure on a neighbour from the best-effort runs,
+// not throttled, whose coefficient is at most limit.
 func (h *host) pressureUpTo(n neighbour, limit float64) float64 {
 	sum := 0.0
 	for _, r := range h.runs {
 		if !r.task.step.spec.BestEffort {
 			continue
 		}
-		harm := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
-		if harm <= limit {
-			sum += harm * h.fillerShare(r.task)
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
+		if coefficient <= limit {
+			sum += coefficient * h.bestEffortShare(r.task)
 		}
 	}
 	return sum
 }
 
-// fillerShare is the part of the host's processors that a filler uses at full
-// pace.
-func (h *host) fillerShare(t *task) float64 {
-	return h.share(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
+// bestEffortShare returns the share of the host's processors that a best-effort
+// task uses when it is not throttled.
+func (h *host) bestEffortShare(t *task) float64 {
+	return h.cpuShare(contention.UsedShare * float64(t.step.spec.Need.MilliCPU))
 }
 
-// leastPressure keeps fillers without declared processors finite.
-const leastPressure = 0.001
+// minPressure keeps the headroom finite for best-effort tasks that declare no
+// processors.
+const minPressure = 0.001
 
-// harms lists what is known of the pairs with images that serve on the host,
-// while fillers run beside them.
-func (h *host) harms() []msg.Interference {
-	if h.serving == 0 || h.fillerCPU == 0 {
+// coefficients returns the measured coefficients of the images that serve on the
+// host, or nil if it has no serving or no best-effort runs.
+func (h *host) coefficients() []msg.Interference {
+	if h.servingRuns == 0 || h.bestEffortCPU == 0 {
 		return nil
 	}
 	serving := map[contention.Image]bool{}
@@ -117,13 +120,14 @@
 			serving[contention.Image(r.task.step.spec.Image)] = true
 		}
 	}
-	return h.core.knownHarms(func(p contention.Pair) bool { return serving[p.Serving] })
+	return h.core.knownCoefficients(func(p contention.Pair) bool { return serving[p.Serving] })
 }
 
-// knownHarms lists the pairs that were measured and that want accepts.
-func (c *Core) knownHarms(want func(contention.Pair) bool) []msg.Interference {
+// knownCoefficients returns the measured coefficients of the pairs that want
+// accepts, ordered by images.
+func (c *Core) knownCoefficients(want func(contention.Pair) bool) []msg.Interference {
 	var list []msg.Interference
-	c.contention.Harms(func(p contention.Pair, value float64) {
+	c.contention.Coefficients(func(p contention.Pair, value float64) {
 		if want(p) {
 			list = append(list, msg.Interference{ServingImage: string(p.Serving), BestEffortImage: string(p.BestEffort), Coefficient: value})
 		}
@@ -136,27 +140,27 @@
 }
 
 const (
-	// harmsInterval is how old the stored harms may grow while batches are
-	// written.
-	harmsInterval = 3 * time.Second
-	// maxStoredHarms keeps the row below the 64 KiB that the store takes.
-	maxStoredHarms = 1000
+	// interferenceInterval is the minimum time between two batches that store
+	// the coefficients.
+	interferenceInterval = 3 * time.Second
+	// maxStoredCoefficients keeps the row below the store's limit of 64 KiB.
+	maxStoredCoefficients = 1000
 )
 
-// harmsToStore returns the harms for the next batch, or nil while the stored
-// ones are young.
-func (c *Core) harmsToStore() []msg.Interference {
-	if c.now-c.harmsStored < harmsInterval {
+// interferenceToStore returns the coefficients for the next batch, or nil if
+// they were stored less than interferenceInterval ago.
+func (c *Core) interferenceToStore() []msg.Interference {
+	if c.now-c.interferenceStoredAt < interferenceInterval {
 		return nil
 	}
-	c.harmsStored = c.now
-	list := c.knownHarms(func(contention.Pair) bool { return true })
-	return list[:min(len(list), maxStoredHarms)]
+	c.interferenceStoredAt = c.now
+	list := c.knownCoefficients(func(contention.Pair) bool { return true })
+	return list[:min(len(list), maxStoredCoefficients)]
 }
 
-// RestoreInterference takes what a former owner had learned.
-func (c *Core) RestoreInterference(harms []msg.Interference) {
-	for _, h := range harms {
-		c.contention.Restore(contention.Pair{Serving: contention.Image(h.ServingImage), BestEffort: contention.Image(h.BestEffortImage)}, h.Coefficient)
+// RestoreInterference restores the coefficients that an earlier owner stored.
+func (c *Core) RestoreInterference(list []msg.Interference) {
+	for _, known := range list {
+		c.contention.RestoreCoefficient(contention.Pair{Serving: contention.Image(known.ServingImage), BestEffort: contention.Image(known.BestEffortImage)}, known.Coefficient)
 	}
 }
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -11,43 +11,49 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// The number of a run holds the owner's epoch above a counter, so that the
-// numbers of a task rise across changes of ownership without a stored row.
+// The number of a run has the owner's epoch in the bits above epochShift and a
+// counter in the bits of numberMask, so that the run numbers of a task increase
+// across changes of ownership without being stored.
 const (
 	epochShift = 20
 	numberMask = 1<<epochShift - 1
 )
 
-// Plan starts what can be started and flushes the orders to the agents.
+// Plan starts the tasks that a host can run, moves throttled runs, and queues
+// the start and stop requests for the agents. It does nothing if no input since
+// the last call may have changed the plan.
 func (c *Core) Plan() {
-	if !c.plan {
+	if !c.planNeeded {
 		return
 	}
-	c.plan = false
+	c.planNeeded = false
 	hosts := c.sortedHosts()
-	for _, t := range c.order() {
+	for _, t := range c.readyTasks() {
 		c.place(t, hosts)
 	}
-	c.moveHeld(hosts)
+	c.moveThrottled(hosts)
 	for _, h := range hosts {
 		h.flush()
 	}
 }
 
-// order returns the ready tasks, the most urgent first.
-func (c *Core) order() []*task {
+// readyTasks returns the ready tasks, the most urgent first. Tasks of recovered
+// jobs are left out during the recovery.
+func (c *Core) readyTasks() []*task {
 	list := make([]*task, 0, len(c.ready))
 	for t := range c.ready {
-		if t.step.job.recovered && c.recovered != 0 {
+		if t.step.job.recovered && c.recoveryDeadline != 0 {
 			continue
 		}
 		list = append(list, t)
 	}
-	sort.Slice(list, func(i, k int) bool { return before(list[i], list[k]) })
+	sort.Slice(list, func(i, k int) bool { return moreUrgent(list[i], list[k]) })
 	return list
 }
 
-func before(a, b *task) bool {
+// moreUrgent reports whether a is placed before b: by priority, then by the
+// job's deadline.
+func moreUrgent(a, b *task) bool {
 	ja, jb := a.step.job, b.step.job
 	switch {
 	case ja.spec.Priority != jb.spec.Priority:
@@ -62,40 +68,43 @@
 	return a.index < b.index
 }
 
+// place starts the task on the best host, if there is one. Hosts on which the
+// task failed are considered only if no other host can run it.
 func (c *Core) place(t *task, hosts []*host) {
 	views := make([]hostselect.Host, len(hosts))
 	for i, h := range hosts {
 		views[i] = h.view(t)
 	}
-	want := t.wanted()
-	want.Patient = c.now-t.readySince < hostselect.Patience
-	i, against := hostselect.Choose(want, views)
-	if i < 0 && len(t.avoid) > 0 && against[hostselect.Avoided] > 0 {
+	selection := t.selectionTask()
+	selection.MayWait = c.now-t.readySince < hostselect.MaxWait
+	i, excluded := hostselect.Choose(selection, views)
+	if i < 0 && len(t.failedHosts) > 0 && excluded[hostselect.Avoided] > 0 {
 		for k := range views {
 			views[k].Avoided = false
 		}
-		i, against = hostselect.Choose(want, views)
+		i, excluded = hostselect.Choose(selection, views)
 	}
 	if i < 0 {
-		t.noteWaiting(against)
+		t.logUnplaced(excluded)
 		return
 	}
 	hosts[i].start(t)
 }
 
-// wanted is what a choice of hosts knows of the task.
-func (t *task) wanted() hostselect.Task {
+// selectionTask returns the task as hostselect sees it.
+func (t *task) selectionTask() hostselect.Task {
 	j := &t.step.job.spec
 	return hostselect.Task{Step: t.step.spec, Service: j.Service, Priority: j.Priority}
 }
 
+// view returns the host as hostselect sees it for a task.
 func (h *host) view(t *task) hostselect.Host {
 	v := hostselect.Host{
-		Info: &h.info, Reachable: h.state == hostReady && h.takenBorn == h.info.StartedAtMS && h.core.list.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), FillerCPU: h.fillerCPU, Serving: h.serving,
-		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.avoid[h.info.Name],
+		Info: &h.info, Reachable: h.state == hostReady && h.inventoryStartedAtMS == h.info.StartedAtMS && h.core.hostList.stored[h.info.Name], Free: h.info.Capacity.Sub(h.used), BestEffortCPU: h.bestEffortCPU, Serving: h.servingRuns,
+		Suspect: h.suspect(), Failing: h.failing(), Avoided: t.failedHosts[h.info.Name],
 	}
-	if t.step.spec.BestEffort && h.serving > 0 {
-		v.FillersFit = h.fillersFit(t)
+	if t.step.spec.BestEffort && h.servingRuns > 0 {
+		v.BestEffortHeadroom = h.bestEffortHeadroom(t)
 	}
 	for _, r := range h.runs {
 		if r.task.step == t.step {
@@ -108,20 +117,23 @@
 	return v
 }
 
-func (t *task) noteWaiting(against map[hostselect.Reason]int) {
-	if t.waits {
+// logUnplaced logs why no host can run the task, once each time it becomes
+// ready.
+func (t *task) logUnplaced(excluded map[hostselect.Reason]int) {
+	if t.unplacedLogged {
 		return
 	}
-	t.waits = true
+	t.unplacedLogged = true
 	var parts []string
-	for r := hostselect.Fits + 1; r <= hostselect.Crowded; r++ {
-		if against[r] > 0 {
-			parts = append(parts, fmt.Sprintf("%s=%d", r, against[r]))
+	for r := hostselect.Fits + 1; r <= hostselect.LowSpeed; r++ {
+		if excluded[r] > 0 {
+			parts = append(parts, fmt.Sprintf("%s=%d", r, excluded[r]))
 		}
 	}
-	t.step.job.core.note(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
+	t.step.job.core.addDecision(Decision{Kind: TaskUnplaced, Job: t.step.job.spec.ID, Run: workload.RunID{Task: t.id()}, Detail: strings.Join(parts, " ")})
 }
 
+// start charges a new run of the task to the host and queues its request.
 func (h *host) start(t *task) {
 	c := h.core
 	t.starts++
@@ -129,12 +141,13 @@
 	r := h.charge(t, id)
 	delete(c.ready, t)
 	h.starts = append(h.starts, msg.RunStart{Size: r.size(), Specification: t.step.job.spec.Specification, Checkpoint: t.checkpoint})
-	c.note(Decision{Kind: RunOrdered, Job: t.step.job.spec.ID, Run: id, Host: h.info.Name, Age: c.now - t.readySince})
+	c.addDecision(Decision{Kind: RunOrdered, Job: t.step.job.spec.ID, Run: id, Host: h.info.Name, Age: c.now - t.readySince})
 }
 
+// flush sends the queued requests to the agent.
 func (h *host) flush() {
 	if h.state != hostReady {
-		h.stops = nil // repeated after the next inventory
+		h.stops = nil // sent again after the next inventory
 		return
 	}
 	if len(h.stops) > 0 {
@@ -147,9 +160,9 @@
 	}
 }
 
-// Recover makes the tasks of restored jobs wait until every expected host has
-// answered or can run nothing.
+// Recover keeps the tasks of restored jobs from starting until every expected
+// host has sent its inventory or certainly has no runs.
 func (c *Core) Recover() {
-	c.recovered = c.now + Lapse + time.Second
-	c.settleRecovery()
+	c.recoveryDeadline = c.now + LeaseExpiry + time.Second
+	c.endRecoveryIfComplete()
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -10,14 +10,14 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// row is the stored owner that several entries contend for.
-type row struct {
+// ownerRow is the stored row that the entries of a test claim.
+type ownerRow struct {
 	owner   workload.Owner
 	version table.Revision
 }
 
-// serve performs the effects of an entry at once.
-func (r *row) serve(c *Core, now time.Duration) {
+// apply performs the effects of an entry until there are none.
+func (r *ownerRow) apply(c *Core, now time.Duration) {
 	for {
 		effects := c.Effects()
 		if len(effects) == 0 {
@@ -40,19 +40,20 @@
 	}
 }
 
-func (r *row) advance(now *time.Duration, d time.Duration, cores ...*Core) {
+// advance advances the time for several entries in steps of 50 ms.
+func (r *ownerRow) advance(now *time.Duration, d time.Duration, cores ...*Core) {
 	for end := *now + d; *now < end; *now += 50 * time.Millisecond {
 		for _, c := range cores {
 			c.Tick(*now)
-			r.serve(c, *now)
+			r.apply(c, *now)
 		}
 	}
 }
 
-// Guards against two owners: of entries that start together one claims the
-// jobs, and the others see it.
+// Guards against two owners when entries start at the same time: one claims the
+// jobs, and the other reads its row.
 func TestOneOfManyEntriesOwnsTheJobs(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
@@ -62,17 +63,17 @@
 	require.EqualValues(t, 1, a.Epoch())
 }
 
-// Guards against jobs that nobody owns after the owner's end, and against a
-// replaced owner that goes on.
-func TestOwnerThatIsAwayIsReplaced(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+// Guards against jobs that have no owner after the owner's link ended, and against
+// an owner that was replaced and does not stop.
+func TestUnlinkedOwnerIsReplaced(t *testing.T) {
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
 	r.advance(&now, 3*time.Second, a, b)
 	b.PeerDown("a", now)
 	r.advance(&now, 200*time.Millisecond, b)
-	require.False(t, b.Owns(), "a link that was reset returns sooner")
+	require.False(t, b.Owns(), "a link that was reset is up again sooner")
 	r.advance(&now, 300*time.Millisecond, b)
 	require.True(t, b.Owns())
 	a.OwnerObserved("b", b.Epoch(), now)
@@ -80,9 +81,10 @@
 	require.Contains(t, a.Effects(), End)
 }
 
-// Guards against an entry that waits for itself after a restart.
-func TestRestartedOwnerTakesItsJobsBackAtOnce(t *testing.T) {
-	r := &row{owner: workload.Owner{Name: "a", Boot: 1, Epoch: 4}, version: 9}
+// Guards against a restarted owner that waits for the timeout of the owner, which
+// is itself.
+func TestRestartedOwnerReclaimsTheJobsAtOnce(t *testing.T) {
+	r := &ownerRow{owner: workload.Owner{Name: "a", Boot: 1, Epoch: 4}, version: 9}
 	now := time.Duration(0)
 	a := New("a", 2, 0)
 	r.advance(&now, 100*time.Millisecond, a)
@@ -90,10 +92,10 @@
 	require.EqualValues(t, 5, a.Epoch())
 }
 
-// Guards against a gap at a planned stop: jobs that were given up are claimed
-// without waiting for the link to end.
-func TestJobsThatAreGivenUpAreClaimedAtOnce(t *testing.T) {
-	r, now := &row{}, time.Duration(0)
+// Guards against a time without an owner after a planned stop: released jobs are
+// claimed without waiting for the end of the link.
+func TestReleasedJobsAreClaimedAtOnce(t *testing.T) {
+	r, now := &ownerRow{}, time.Duration(0)
 	a, b := New("a", 1, 0), New("b", 2, 0)
 	a.PeerUp("b")
 	b.PeerUp("a")
@@ -106,8 +108,9 @@
 	require.True(t, b.Owns())
 }
 
-// Guards against a claim whose answer was lost: the row tells whether it won.
-func TestLostAnswerOfAClaimIsReadBack(t *testing.T) {
+// Guards against an entry that does not know whether its claim was committed,
+// because the answer was lost: it reads the row.
+func TestClaimOfUnknownOutcomeIsReadBack(t *testing.T) {
 	a := New("a", 1, 0)
 	a.Tick(time.Millisecond)
 	a.Effects()
