--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -49,16 +49,16 @@
 
 // Status is the state of the agent's slots.
 type Status struct {
-	Backend  model.BackendID
-	Service  model.Service
-	State    string
-	Slots    int
-	Running  int
-	Waiting  int
-	Lent     int
-	Long     int
-	Settling int
-	Drained  bool // nothing runs, and nothing new can start
+	Backend        model.BackendID
+	Service        model.Service
+	State          string
+	Slots          int
+	Running        int
+	Waiting        int
+	GrantedCredits int
+	LongRunning    int
+	Settling       int
+	Drained        bool // nothing runs, and nothing new can start
 }
 
 // begin asks for a slot for a request that has arrived.
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -253,9 +253,9 @@
 func (s *slots) status() Status {
 	st := Status{
 		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.StateName(s.backend.state),
-		Slots: s.backend.Slots, Running: len(s.running), Waiting: len(s.waiting), Long: s.longRunning(),
+		Slots: s.backend.Slots, Running: len(s.running), Waiting: len(s.waiting), LongRunning: s.longRunning(),
 	}
-	st.Lent, st.Settling = s.lent(), s.busy()-len(s.running)
+	st.GrantedCredits, st.Settling = s.lent(), s.busy()-len(s.running)
 	st.Drained = s.backend.state != beReady && s.backend.state != beSuspect &&
 		s.backend.state != beDraining && s.idle()
 	return st
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -64,7 +64,7 @@
 	controllers := startCells(g, set.Entry.Cells, self, c.Agents.Addr(), c.Table, c.Log)
 	// Subscribe fails only when the process ends.
 	_ = store.Subscribe(g.Context(), func(u configstore.Update) bool {
-		return dispatcher.TrySend(entry.Routing{Table: routing(u.Snapshot, set)}) && controllers.configure(u.Snapshot)
+		return dispatcher.TrySend(entry.SetRouting{Table: routing(u.Snapshot, set)}) && controllers.configure(u.Snapshot)
 	})
 	startLinks(g, c, self, store, dispatcher, controllers)
 	registry := metrics.Start(g)
@@ -74,7 +74,7 @@
 	api := startOperator(g, c, v, store, registry)
 	front := &entry.Frontend{
 		Dispatcher: dispatcher, Table: table.Get, MaxBody: int64(set.Entry.MaxBody),
-		Began: c.Began, Slots: make(chan struct{}, set.Entry.MaxCallers), Observe: observer(metrics.StartRequests(g, registry), recent.Observe),
+		StartedAt: c.Began, Semaphore: make(chan struct{}, set.Entry.MaxCallers), Observe: observer(metrics.StartRequests(g, registry), recent.Observe),
 	}
 	directory.Announce(g, c.Table, rows.Entry{
 		ID: self.Entry, Boot: self.Boot, Address: c.Agents.Addr(), Operator: c.Operator.Addr().String(),
@@ -91,7 +91,7 @@
 		switch {
 		case r.Status == 0:
 			outcome = "aborted"
-		case r.Own:
+		case r.LocalReply:
 			outcome = r.Outcome.String()
 		}
 		for _, record := range records {
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -99,7 +99,7 @@
 	if known == nil {
 		return nil, errors.Wrap(storage.ErrUnavailable, "the list of entries has not been read yet")
 	}
-	entries, err := known.Update(ctx, v.table)
+	entries, err := known.Current(ctx, v.table)
 	if err != nil {
 		entries = known.Entries
 	}
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -11,10 +11,10 @@
 // force.
 func routing(s *configstore.Snapshot, set *settings.Settings) *entry.RoutingTable {
 	t := &entry.RoutingTable{
-		Services: map[model.Service]entry.ServiceRule{},
-		Default:  set.Entry.DefaultService, Deadline: set.Entry.RequestDeadline,
+		Services:       map[model.Service]entry.ServiceRule{},
+		DefaultService: set.Entry.DefaultService, DefaultDeadline: set.Entry.RequestDeadline,
 	}
-	t.Shared = classRules(s.Classes(""), nil)
+	t.SharedClasses = classRules(s.Classes(""), nil)
 	for _, name := range configuredServices(s) {
 		p := s.Service(name)
 		t.Services[name] = entry.ServiceRule{
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -19,5 +19,5 @@
 	}), &settings.Settings{})
 	require.Len(t, table.Services["permit-desk"].Classes, 1)
 	require.Equal(t, 500*time.Millisecond, table.Services["permit-desk"].Classes[0].Deadline)
-	require.Empty(t, table.Shared)
+	require.Empty(t, table.SharedClasses)
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Update adds the entries whose rows have changed since the list was read: they
+// Current returns the list with the entries added whose rows have changed since the list was read: they
 // live, and some may be new.
-func (l List) Update(ctx context.Context, table storage.Table) ([]rows.Entry, error) {
+func (l List) Current(ctx context.Context, table storage.Table) ([]rows.Entry, error) {
 	changed, _, err := table.Scan(ctx, rows.EntryPrefix, l.UpTo)
 	if err != nil {
 		return nil, err
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -288,6 +288,6 @@
 	}
 	c.front.Observe(Result{
 		Service: c.rt.service, Class: c.rt.class.Name, Tenant: c.rt.tenant,
-		Status: c.status, Outcome: c.outcome, Own: c.own, Duration: time.Since(c.began),
+		Status: c.status, Outcome: c.outcome, LocalReply: c.own, Duration: time.Since(c.began),
 	})
 }
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -131,7 +131,7 @@
 		d.agentUp(m)
 	case AgentDown:
 		d.agentDown(m.Worker, m.Generation)
-	case Routing:
+	case SetRouting:
 		d.route(m.Table)
 	case StatusQuery:
 		m.Reply.Put(d.status())
@@ -171,7 +171,7 @@
 	maps.Copy(all.Services, d.rules.Services)
 	for name := range d.services {
 		if _, ok := all.Services[name]; !ok {
-			all.Services[name] = ServiceRule{Name: name, Classes: d.rules.Shared}
+			all.Services[name] = ServiceRule{Name: name, Classes: d.rules.SharedClasses}
 		}
 	}
 	d.table.Set(&all)
@@ -180,7 +180,7 @@
 func (d *dispatcher) applyRule(s *service) {
 	rule, ok := d.rules.Services[s.name]
 	if !ok {
-		rule.Classes = d.rules.Shared
+		rule.Classes = d.rules.SharedClasses
 	}
 	for _, c := range rule.Classes {
 		if c.Long != nil {
--- a/internal/entry/dispatcher_test.go
+++ b/internal/entry/dispatcher_test.go
@@ -134,7 +134,7 @@
 		g := actor.NewGroup(t.Context(), nil)
 		defer g.Stop()
 		table := &actor.Value[RoutingTable]{}
-		to := SpawnDispatcher(g, Self{Entry: "a"}, &RoutingTable{Default: "svc",
+		to := SpawnDispatcher(g, Self{Entry: "a"}, &RoutingTable{DefaultService: "svc",
 			Services: map[model.Service]ServiceRule{"svc": {Name: "svc"}}}, table)
 		failures := 3
 		for _, m := range []Message{
@@ -144,7 +144,7 @@
 		} {
 			require.NoError(t, to.Send(t.Context(), m))
 		}
-		f := &Frontend{Dispatcher: to, Table: table.Get, MaxBody: 1 << 20, Slots: make(chan struct{}, 8)}
+		f := &Frontend{Dispatcher: to, Table: table.Get, MaxBody: 1 << 20, Semaphore: make(chan struct{}, 8)}
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "http://svc/", strings.NewReader("x")))
 		assert.Equal(t, 200, w.Code, w.Body.String())
--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -17,13 +17,13 @@
 
 // Result is what became of one request, for metrics.
 type Result struct {
-	Service  model.Service
-	Class    model.Class
-	Tenant   model.Tenant
-	Status   int           // 0: aborted
-	Outcome  model.Outcome // meaningful when the system itself answered
-	Own      bool          // the system itself answered
-	Duration time.Duration
+	Service    model.Service
+	Class      model.Class
+	Tenant     model.Tenant
+	Status     int           // 0: aborted
+	Outcome    model.Outcome // meaningful when the system itself answered
+	LocalReply bool          // the system itself answered
+	Duration   time.Duration
 }
 
 // Frontend serves callers. Its exported fields are not changed after its first
@@ -34,13 +34,14 @@
 	Table   func() *RoutingTable
 	MaxBody int64        // bytes
 	Observe func(Result) // must not block; may be nil
-	// Slots bounds the requests in progress, queued ones included; a request
-	// beyond its capacity is refused.
-	Slots chan struct{}
-	// Began is when the process started. Shortly after it a service that is
-	// not known may be one whose agents are not linked yet. Zero: long ago.
-	Began time.Time
-	keys  actor.Counter
+	// Semaphore holds one element for each request in progress, queued ones
+	// included. A request beyond its capacity is refused.
+	Semaphore chan struct{}
+	// StartedAt is when the process started. For settleTime afterwards an
+	// unknown service may be one whose agents are not linked yet. The zero
+	// value disables this grace period.
+	StartedAt time.Time
+	keys      actor.Counter
 }
 
 // settleTime is how long after its start an entry waits for agents to connect
@@ -59,15 +60,15 @@
 	// Recorders in tests do not support deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(began.Add(writeTimeout))
 	select {
-	case f.Slots <- struct{}{}:
-		defer func() { <-f.Slots }()
+	case f.Semaphore <- struct{}{}:
+		defer func() { <-f.Semaphore }()
 	default:
 		answer(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "too many requests in progress", retryAfter)
 		return
 	}
 	rt, ok := f.Table().find(r)
 	switch {
-	case !ok && began.Sub(f.Began) < settleTime:
+	case !ok && began.Sub(f.StartedAt) < settleTime:
 		answer(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "the service is not known yet; this entry has just started", retryAfter)
 		return
 	case !ok:
--- a/internal/entry/keepalive_test.go
+++ b/internal/entry/keepalive_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &actor.Value[RoutingTable]{}
 		table.Set(&RoutingTable{})
-		f := &Frontend{Table: table.Get, Slots: make(chan struct{}, 1)}
+		f := &Frontend{Table: table.Get, Semaphore: make(chan struct{}, 1)}
 		w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 		time.Sleep(time.Minute)
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://nosuch.example/", nil))
--- a/internal/entry/messages.go
+++ b/internal/entry/messages.go
@@ -36,8 +36,8 @@
 	Msg        msg.Control
 }
 
-// Routing replaces the services and classes that the dispatcher knows.
-type Routing struct{ Table *RoutingTable }
+// SetRouting replaces the services and classes that the dispatcher knows.
+type SetRouting struct{ Table *RoutingTable }
 
 // StatusQuery asks for what the entry knows of its services.
 type StatusQuery struct {
@@ -105,7 +105,7 @@
 func (AgentUp) isMessage()     {}
 func (AgentDown) isMessage()   {}
 func (FromAgent) isMessage()   {}
-func (Routing) isMessage()     {}
+func (SetRouting) isMessage()  {}
 func (StatusQuery) isMessage() {}
 func (DrainQuery) isMessage()  {}
 func (admit) isMessage()       {}
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -48,10 +48,10 @@
 
 // RoutingTable is an immutable set of services.
 type RoutingTable struct {
-	Services map[model.Service]ServiceRule
-	Shared   []ClassRule   // classes of services that have no rule of their own
-	Default  model.Service // for requests that name none; may be empty
-	Deadline time.Duration // of classes without one of their own; 0: DefaultDeadline
+	Services        map[model.Service]ServiceRule
+	SharedClasses   []ClassRule   // classes of services that have no rule of their own
+	DefaultService  model.Service // for requests that name none; may be empty
+	DefaultDeadline time.Duration // of classes without one of their own; 0: DefaultDeadline
 }
 
 // route is where a request belongs.
@@ -75,7 +75,7 @@
 	if rt.tenant == "" {
 		rt.tenant = model.Tenant(rule.Name)
 	}
-	rt.deadline = cmp.Or(rt.class.Deadline, t.Deadline, DefaultDeadline)
+	rt.deadline = cmp.Or(rt.class.Deadline, t.DefaultDeadline, DefaultDeadline)
 	return rt, true
 }
 
@@ -94,7 +94,7 @@
 			return rule, true
 		}
 	}
-	rule, ok := t.Services[t.Default]
+	rule, ok := t.Services[t.DefaultService]
 	return rule, ok
 }
 
--- a/internal/entry/settle_test.go
+++ b/internal/entry/settle_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &actor.Value[RoutingTable]{}
 		table.Set(&RoutingTable{})
-		f := &Frontend{Table: table.Get, Slots: make(chan struct{}, 1), Began: time.Now()}
+		f := &Frontend{Table: table.Get, Semaphore: make(chan struct{}, 1), StartedAt: time.Now()}
 		status := func() int {
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://permit-desk.example/", nil))
--- a/internal/measure/cluster_test.go
+++ b/internal/measure/cluster_test.go
@@ -133,7 +133,7 @@
 func (c *cluster) startEntry(i int) {
 	p := c.process(entryName(i))
 	self := entry.Self{Entry: model.EntryID(entryName(i)), Boot: c.boots, DataCentre: c.dataCentre(i)}
-	rules := &entry.RoutingTable{Default: c.d.service, Services: map[model.Service]entry.ServiceRule{
+	rules := &entry.RoutingTable{DefaultService: c.d.service, Services: map[model.Service]entry.ServiceRule{
 		c.d.service: {Name: c.d.service, Classes: c.d.classes}}}
 	table := &actor.Value[entry.RoutingTable]{}
 	dispatcher := entry.SpawnDispatcher(p.group, self, rules, table)
@@ -144,7 +144,7 @@
 		Version: func() model.ConfigVersion { return 0 }}
 	actor.Go(p.group, "agents listener", func(ctx context.Context) error { return links.Accept(ctx, l) })
 	c.entries[i].Set(&entry.Frontend{Dispatcher: dispatcher, Table: table.Get, MaxBody: 1 << 20,
-		Slots: make(chan struct{}, 1<<20)})
+		Semaphore: make(chan struct{}, 1<<20)})
 }
 
 func (c *cluster) startAgent(i int) {
--- a/internal/measure/path_test.go
+++ b/internal/measure/path_test.go
@@ -29,7 +29,7 @@
 		_, _ = w.Write([]byte("ok"))
 	}))
 	table := &actor.Value[entry.RoutingTable]{}
-	dispatcher := entry.SpawnDispatcher(g, entry.Self{Entry: "a", Boot: 1, DataCentre: "x"}, &entry.RoutingTable{Default: "svc",
+	dispatcher := entry.SpawnDispatcher(g, entry.Self{Entry: "a", Boot: 1, DataCentre: "x"}, &entry.RoutingTable{DefaultService: "svc",
 		Services: map[model.Service]entry.ServiceRule{"svc": {Name: "svc"}}}, table)
 	l, err := link.Listen(g, "127.0.0.1:0", link.Config{})
 	require.NoError(b, err)
@@ -49,7 +49,7 @@
 			return &msg.AgentHello{Worker: model.Worker{ID: "w", DataCentre: "x"}, Boot: 2}
 		}}
 	actor.Go(g, "entry link", func(ctx context.Context) error { return out.Connect(ctx, l.Addr()) })
-	front := httptest.NewServer(&entry.Frontend{Dispatcher: dispatcher, Table: table.Get, MaxBody: 1 << 20, Slots: make(chan struct{}, 1024)})
+	front := httptest.NewServer(&entry.Frontend{Dispatcher: dispatcher, Table: table.Get, MaxBody: 1 << 20, Semaphore: make(chan struct{}, 1024)})
 	b.Cleanup(func() {
 		front.Close()
 		g.Stop()
