--- a/internal/command/applyfile.go
+++ b/internal/command/applyfile.go
@@ -23,7 +23,7 @@
 	Items   []json.RawMessage `json:"items"`
 }
 
-var fileCheck = configstore.Check{
+var fileCheck = configstore.Validator{
 	Labels: labels.Validate,
 	Selector: func(text string) error {
 		_, err := labels.Parse(text)
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -46,8 +46,8 @@
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	tables := httptest.NewServer(standin.NewTable(g, standin.StoreFaults{}).Handler())
 	table := storage.NewHTTPTable(storage.HTTPConfig{URL: tables.URL})
-	check := configstore.Check{Labels: func(model.Labels) finding.List { return nil }, Selector: func(string) error { return nil }}
-	s := &system{t: t, store: configstore.StartStore(g, configstore.StoreConfig{ID: "entry-1", Table: table, Check: check, Log: quiet})}
+	check := configstore.Validator{Labels: func(model.Labels) finding.List { return nil }, Selector: func(string) error { return nil }}
+	s := &system{t: t, store: configstore.StartStore(g, configstore.StoreConfig{ID: "entry-1", Table: table, Validator: check, Log: quiet})}
 	api := operator.New(g, operator.Config{Entry: "entry-1", Build: "test", DefaultCell: "dip-shed", Table: table, Store: s.store, Log: quiet,
 		Labels:   check.Labels,
 		Selector: func(string) (func(model.Labels) bool, error) { return func(model.Labels) bool { return true }, nil },
--- a/internal/command/edit.go
+++ b/internal/command/edit.go
@@ -107,7 +107,7 @@
 
 // sendEdit sends an edit, and sends it again with the same id while its
 // outcome is unknown.
-func (a *app) sendEdit(ctx context.Context, e configstore.Edit) (accepted configstore.Accepted, err error) {
+func (a *app) sendEdit(ctx context.Context, e configstore.Edit) (accepted configstore.EditResult, err error) {
 	for try := range editTries {
 		if try > 0 {
 			a.progress("the outcome of edit %s is unknown; sending it again", e.ID)
--- a/internal/configstore/configstore_test.go
+++ b/internal/configstore/configstore_test.go
@@ -20,7 +20,7 @@
 
 var quiet = &log.Logger{Handler: discard.New(), Level: log.DebugLevel}
 
-var check = Check{
+var check = Validator{
 	Labels: labels.Validate,
 	Selector: func(s string) error {
 		_, err := labels.Parse(s)
@@ -52,14 +52,14 @@
 }
 
 func (w *world) newStore(id model.EntryID) *Store {
-	return StartStore(w.g, StoreConfig{ID: id, Table: w.table, Check: check, Log: quiet})
+	return StartStore(w.g, StoreConfig{ID: id, Table: w.table, Validator: check, Log: quiet})
 }
 
 func (w *world) faults(reads fault, commits ...fault) {
 	require.NoError(w.t, w.table.do(w.t.Context(), func(d *tableData) { d.reads, d.commits = reads, commits }))
 }
 
-func (w *world) edit(e Edit) Accepted {
+func (w *world) edit(e Edit) EditResult {
 	a, err := w.store.Edit(w.t.Context(), e)
 	require.NoError(w.t, err)
 	return a
@@ -150,9 +150,9 @@
 		"request lost":                 {[]fault{lostFirst}, nil},
 		"lost twice, then written":     {[]fault{lostFirst, lostAfter}, nil},
 		"away":                         {[]fault{away}, storage.ErrUnavailable},
-		"lost, then away for long":     {[]fault{lostFirst, away, away, away, away, away, away, away, away, away, away, away}, storage.ErrUnknown},
+		"lost, then away for long":     {[]fault{lostFirst, away, away, away, away, away, away, away, away, away, away, away}, storage.ErrOutcomeUnknown},
 		"request delayed":              {[]fault{late}, nil},
-		"every response lost for long": {[]fault{lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst}, storage.ErrUnknown},
+		"every response lost for long": {[]fault{lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst, lostFirst}, storage.ErrOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -167,7 +167,7 @@
 					require.NoError(t, err)
 				}
 				require.EqualValues(t, 1, accepted.Version)
-				require.Equal(t, Accepted{Version: 1, Repeated: true}, w.edit(set("a", 0, "w1", "1")))
+				require.Equal(t, EditResult{Version: 1, Repeated: true}, w.edit(set("a", 0, "w1", "1")))
 				w.expect(w.store.Handle, 1, "current")
 			})
 		})
--- a/internal/configstore/distribute_test.go
+++ b/internal/configstore/distribute_test.go
@@ -72,7 +72,7 @@
 // and against an edit that misses the removal of its item in a pruned row.
 func TestOldEditsArePruned(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
-		store := StartStore(w.g, StoreConfig{ID: "entry-2", Table: w.table, Check: check, Log: quiet, Keep: 3})
+		store := StartStore(w.g, StoreConfig{ID: "entry-2", Table: w.table, Validator: check, Log: quiet, KeepVersions: 3})
 		edit := func(id string, e Edit) {
 			_, err := store.Edit(t.Context(), e)
 			require.NoError(t, err, id)
--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -35,8 +35,8 @@
 	Item *model.ConfigItem `json:"item,omitempty"` // nil removes the item
 }
 
-// Accepted is the result of an edit that is known to be committed.
-type Accepted struct {
+// EditResult is the result of an edit that is known to be committed.
+type EditResult struct {
 	Version  model.ConfigVersion `json:"version"`
 	Repeated bool                `json:"repeated,omitempty"` // it had been accepted before
 }
@@ -59,14 +59,14 @@
 		e.Key, by, e.Version, e.Base)
 }
 
-// Check holds the syntax checks of labels and selectors.
-type Check struct {
+// Validator holds the syntax checks of labels and selectors.
+type Validator struct {
 	Labels   func(model.Labels) finding.List
 	Selector func(string) error
 }
 
 // Validate returns every finding of an edit. Positions are names of fields.
-func (c Check) Validate(e Edit) finding.List {
+func (c Validator) Validate(e Edit) finding.List {
 	var found finding.List
 	add := func(where, format string, args ...any) { found.Add("edit", 0, where, format, args...) }
 	if e.ID == "" || !plainName(e.ID) {
@@ -90,7 +90,7 @@
 	return found
 }
 
-func (c Check) change(where string, ch Change) finding.List {
+func (c Validator) change(where string, ch Change) finding.List {
 	var found finding.List
 	add := func(field, format string, args ...any) { found.Add("edit", 0, where+field, format, args...) }
 	if !knownKind(ch.Key.Kind) {
@@ -119,7 +119,7 @@
 	return found
 }
 
-func (c Check) selector(where string, item model.ConfigItem) finding.List {
+func (c Validator) selector(where string, item model.ConfigItem) finding.List {
 	var found finding.List
 	add := func(field, format string, args ...any) { found.Add("edit", 0, where+field, format, args...) }
 	if len(item.Labels) > 0 {
--- a/internal/configstore/editor.go
+++ b/internal/configstore/editor.go
@@ -38,7 +38,7 @@
 }
 
 type editAnswer struct {
-	accepted Accepted
+	accepted EditResult
 	err      error
 }
 
@@ -70,12 +70,12 @@
 	}
 }
 
-func (w *editor) report(e Edit, a Accepted, err error) {
+func (w *editor) report(e Edit, a EditResult, err error) {
 	fields := log.Fields{"edit": e.ID, "author": e.Author, "version": uint64(a.Version)}
 	switch {
 	case err == nil:
 		event.Log(w.log, event.ConfigEditAccepted, fields)
-	case errors.Is(err, storage.ErrUnknown):
+	case errors.Is(err, storage.ErrOutcomeUnknown):
 		fields["error"] = err.Error()
 		event.Log(w.log, event.ConfigEditUnknown, fields)
 	}
@@ -92,7 +92,7 @@
 // perform makes an edit. After a commit with an unknown outcome it reads the
 // log before it writes again: the edit's id there proves that it was
 // accepted, and another id that this commit failed and will not succeed later.
-func (w *editor) perform(ctx context.Context, e Edit) (Accepted, error) {
+func (w *editor) perform(ctx context.Context, e Edit) (EditResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, editBudget)
 	defer cancel()
 	a := &attempt{edit: e}
@@ -109,47 +109,47 @@
 		}
 		delay = min(2*delay, maxBackoff)
 	}
-	return Accepted{}, a.outcome(last)
+	return EditResult{}, a.outcome(last)
 }
 
 // outcome makes an error say unknown while a commit's outcome is.
 func (a *attempt) outcome(err error) error {
-	if err == nil || len(a.open) == 0 || errors.Is(err, storage.ErrUnknown) {
+	if err == nil || len(a.open) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
 		return err
 	}
-	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrUnknown, a.edit.ID, a.open[0], err)
+	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, a.edit.ID, a.open[0], err)
 }
 
-func (w *editor) try(ctx context.Context, a *attempt) (accepted Accepted, again bool, err error) {
+func (w *editor) try(ctx context.Context, a *attempt) (accepted EditResult, again bool, err error) {
 	if v, done, err := w.settle(ctx, a); err != nil {
-		return Accepted{}, true, err
+		return EditResult{}, true, err
 	} else if done {
-		return Accepted{Version: v}, false, nil
+		return EditResult{Version: v}, false, nil
 	}
 	now, err := w.read(ctx, a.edit)
 	if err != nil {
-		return Accepted{}, len(a.open) > 0, unavailable(err)
+		return EditResult{}, len(a.open) > 0, unavailable(err)
 	}
 	txn, entry, err := plan(a.edit, now, w.keep)
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
 		return w.conflicting(ctx, a, conflict)
 	} else if err != nil {
-		return Accepted{}, false, err
+		return EditResult{}, false, err
 	}
 	_, err = w.table.Commit(ctx, txn)
 	var failed *storage.ConflictError
 	switch {
 	case err == nil:
 		w.committed(ctx, entry)
-		return Accepted{Version: entry.Version}, false, nil
+		return EditResult{Version: entry.Version}, false, nil
 	case errors.As(err, &failed):
-		return Accepted{}, true, fmt.Errorf("%w: other edits were accepted first: %v", storage.ErrUnavailable, err)
+		return EditResult{}, true, fmt.Errorf("%w: other edits were accepted first: %v", storage.ErrUnavailable, err)
 	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrRefused):
-		return Accepted{}, len(a.open) > 0, err
+		return EditResult{}, len(a.open) > 0, err
 	}
 	a.open = append(a.open, entry.Version)
-	return Accepted{}, true, fmt.Errorf("%w: %v", storage.ErrUnknown, err)
+	return EditResult{}, true, fmt.Errorf("%w: %v", storage.ErrOutcomeUnknown, err)
 }
 
 // unavailable marks the error of a read, before anything was written.
@@ -181,16 +181,16 @@
 }
 
 // conflicting tells a repetition of an accepted edit from a conflict.
-func (w *editor) conflicting(ctx context.Context, a *attempt, c *ConflictError) (Accepted, bool, error) {
+func (w *editor) conflicting(ctx context.Context, a *attempt, c *ConflictError) (EditResult, bool, error) {
 	v, err := w.find(ctx, a.edit.ID, c)
 	if err != nil {
-		return Accepted{}, true, err
+		return EditResult{}, true, err
 	}
 	a.open = nil // the head has moved past every version that was tried
 	if v > 0 {
-		return Accepted{Version: v, Repeated: true}, false, nil
+		return EditResult{Version: v, Repeated: true}, false, nil
 	}
-	return Accepted{}, false, c
+	return EditResult{}, false, c
 }
 
 // find returns the version of the edit with this id, or 0. It looks at the
--- a/internal/configstore/history_test.go
+++ b/internal/configstore/history_test.go
@@ -119,7 +119,7 @@
 		case fate == nil:
 			accepted++
 			require.Equal(t, 1, written[id], "accepted edit %s", id)
-		case errors.Is(fate, storage.ErrUnknown):
+		case errors.Is(fate, storage.ErrOutcomeUnknown):
 			require.LessOrEqual(t, written[id], 1, "unknown edit %s", id)
 		default:
 			require.Zero(t, written[id], "edit %s was refused: %v", id, fate)
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -72,19 +72,19 @@
 
 // StoreConfig is what an entry's Store needs.
 type StoreConfig struct {
-	ID    model.EntryID
-	Table storage.Table
-	Check Check
-	Log   log.Interface
-	// Keep is how many versions stay in the log; 0 means 10,000.
-	Keep model.ConfigVersion
+	ID        model.EntryID
+	Table     storage.Table
+	Validator Validator
+	Log       log.Interface
+	// KeepVersions is how many versions stay in the log; 0 means 10,000.
+	KeepVersions model.ConfigVersion
 }
 
 func (c StoreConfig) keep() model.ConfigVersion {
-	if c.Keep == 0 {
+	if c.KeepVersions == 0 {
 		return keepVersions
 	}
-	return c.Keep
+	return c.KeepVersions
 }
 
 // Store is the configuration of an entry, whose peers are agents. It also
@@ -92,7 +92,7 @@
 type Store struct {
 	Handle
 	table  storage.Table
-	check  Check
+	check  Validator
 	editor actor.Address[editRequest]
 }
 
@@ -103,21 +103,21 @@
 	poller := actor.Spawn(g, actor.Spec[pollNow]{Name: "config-poller", Mailbox: 1, Restart: actor.OnFailure, Run: p.run})
 	_ = addr.Send(g.Context(), &sourceIs{poller}) // fails only when the group has ended
 	w := &editor{table: c.Table, node: addr, log: c.Log, keep: c.keep()}
-	return &Store{Handle: Handle{addr}, table: c.Table, check: c.Check,
+	return &Store{Handle: Handle{addr}, table: c.Table, check: c.Validator,
 		editor: actor.Spawn(g, actor.Spec[editRequest]{Name: "config-editor", Mailbox: editorMailbox, Restart: actor.OnFailure, Run: w.run})}
 }
 
 // Edit makes an edit. Errors: a finding.List when it is invalid,
 // *ConflictError, storage.ErrUnavailable or ErrRefused when it certainly had
-// no effect, and storage.ErrUnknown when that could not be determined.
-func (s *Store) Edit(ctx context.Context, e Edit) (Accepted, error) {
+// no effect, and storage.ErrOutcomeUnknown when that could not be determined.
+func (s *Store) Edit(ctx context.Context, e Edit) (EditResult, error) {
 	found := s.check.Validate(e)
 	if err := found.Err(); err != nil {
-		return Accepted{}, err
+		return EditResult{}, err
 	}
 	r := editRequest{ctx: ctx, edit: e, answer: actor.NewReply[editAnswer]()}
 	if !s.editor.TrySend(r) {
-		return Accepted{}, fmt.Errorf("%w: too many edits are waiting", storage.ErrUnavailable)
+		return EditResult{}, fmt.Errorf("%w: too many edits are waiting", storage.ErrUnavailable)
 	}
 	select {
 	case a := <-r.answer.C():
@@ -125,7 +125,7 @@
 	case <-s.editor.Done():
 	case <-ctx.Done():
 	}
-	return Accepted{}, fmt.Errorf("%w: edit %s did not end in time", storage.ErrUnknown, e.ID)
+	return EditResult{}, fmt.Errorf("%w: edit %s did not end in time", storage.ErrOutcomeUnknown, e.ID)
 }
 
 // refusal makes a base that cannot be used a finding of the edit.
--- a/internal/configstore/table_test.go
+++ b/internal/configstore/table_test.go
@@ -79,16 +79,16 @@
 	case away:
 		return 0, storage.ErrUnavailable
 	case lostFirst:
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	case late:
 		d.onWay = &x
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	if err := d.apply(x); err != nil && kind != lostAfter {
 		return 0, err
 	}
 	if kind == lostAfter {
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return d.rev, nil
 }
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -58,11 +58,11 @@
 	lost := s.loseResponse != nil && s.loseResponse(t)
 	if lost && s.lostCommitDelay > 0 {
 		time.AfterFunc(s.lostCommitDelay, func() { s.withLock(func() { _, _ = s.apply(t) }) })
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	rev, err := s.apply(t)
 	if err == nil && lost {
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return rev, err
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -58,7 +58,7 @@
 func StartEntry(g *actor.Group, c EntryConfig) *Entry {
 	set := c.Settings
 	self := entry.Self{Entry: model.EntryID(set.Daemon.ID), Boot: newBoot(), DataCentre: set.Daemon.DataCentre}
-	store := configstore.StartStore(g, configstore.StoreConfig{ID: self.Entry, Table: c.Table, Check: configCheck, Log: c.Log})
+	store := configstore.StartStore(g, configstore.StoreConfig{ID: self.Entry, Table: c.Table, Validator: configCheck, Log: c.Log})
 	table := &actor.Value[entry.RoutingTable]{}
 	dispatcher := entry.SpawnDispatcher(g, self, routing(configstore.NewSnapshot(0, nil), set), table)
 	controllers := startCells(g, set.Entry.Cells, self, c.Agents.Addr(), c.Table, c.Log)
--- a/internal/jobdaemon/gateway_test.go
+++ b/internal/jobdaemon/gateway_test.go
@@ -32,7 +32,7 @@
 	}
 	if t.lost > 0 {
 		t.lost--
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return 1, nil
 }
--- a/internal/operator/encode.go
+++ b/internal/operator/encode.go
@@ -83,7 +83,7 @@
 		return http.StatusConflict, body
 	case errors.Is(err, storage.ErrNotFound):
 		return http.StatusNotFound, body
-	case errors.Is(err, storage.ErrUnknown), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, storage.ErrOutcomeUnknown), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		body.Outcome = model.OutcomeUnknown.String()
 		return http.StatusServiceUnavailable, body
 	case errors.Is(err, storage.ErrRefused):
--- a/internal/operator/fixture_test.go
+++ b/internal/operator/fixture_test.go
@@ -40,7 +40,7 @@
 	if step == "away" {
 		return 0, storage.ErrUnavailable
 	} else if step == "lost-before" {
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	for _, c := range x.Checks {
 		if t.rows[c.Key].Version != c.Version {
@@ -52,7 +52,7 @@
 		t.rows[p.Key] = storage.Row{Key: p.Key, Value: p.Value, Version: t.rev}
 	}
 	if step == "lost-after" {
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return t.rev, nil
 }
@@ -90,8 +90,8 @@
 	status configstore.Status
 }
 
-func (s *fixedStore) Edit(context.Context, configstore.Edit) (configstore.Accepted, error) {
-	return configstore.Accepted{Version: 4}, s.err
+func (s *fixedStore) Edit(context.Context, configstore.Edit) (configstore.EditResult, error) {
+	return configstore.EditResult{Version: 4}, s.err
 }
 func (s *fixedStore) Current(context.Context) (configstore.Update, error) {
 	return configstore.Update{State: "current", Snapshot: configstore.NewSnapshot(3, map[model.ConfigKey]model.ConfigItem{
--- a/internal/operator/jobhandlers.go
+++ b/internal/operator/jobhandlers.go
@@ -50,7 +50,7 @@
 	row, created, err := a.jobs.submit(ctx, cell, spec)
 	fields := log.Fields{"cell": cell, "job": spec.ID, "team": spec.Team}
 	if err != nil {
-		if errors.Is(err, storage.ErrUnknown) {
+		if errors.Is(err, storage.ErrOutcomeUnknown) {
 			event.Log(a.Log, event.OperatorJobUnknown, fields)
 		}
 		return response{}, err
--- a/internal/operator/jobs.go
+++ b/internal/operator/jobs.go
@@ -34,7 +34,7 @@
 
 // submit writes the row of a job. created is false when the same job had been
 // submitted before. The error is *JobConflictError, storage.ErrUnavailable
-// (not written) or storage.ErrUnknown.
+// (not written) or storage.ErrOutcomeUnknown.
 func (j jobs) submit(ctx context.Context, cell model.Cell, spec model.JobSpec) (row model.JobRow, created bool, err error) {
 	key := rows.JobKey(cell, spec.ID)
 	row = model.JobRow{Spec: spec, Phase: phasePending}
@@ -102,7 +102,7 @@
 // fate makes an error say whether the write may have taken effect.
 func fate(unknown bool, err error) error {
 	if unknown {
-		return fmt.Errorf("%w: %v", storage.ErrUnknown, err)
+		return fmt.Errorf("%w: %v", storage.ErrOutcomeUnknown, err)
 	}
 	return fmt.Errorf("%w: %v", storage.ErrUnavailable, err)
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -40,7 +40,7 @@
 
 // ConfigStore is the configuration of the entry; *configstore.Store is one.
 type ConfigStore interface {
-	Edit(ctx context.Context, e configstore.Edit) (configstore.Accepted, error)
+	Edit(ctx context.Context, e configstore.Edit) (configstore.EditResult, error)
 	Current(ctx context.Context) (configstore.Update, error)
 	Status(ctx context.Context) (configstore.Status, error)
 	History(ctx context.Context, before model.ConfigVersion, limit int) ([]rows.ConfigLog, error)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -37,7 +37,7 @@
 		status, _, body := f.call("POST", "/v1/config", `{"id":"e","base":5,"changes":[]}`)
 		require.Equal(f.t, 409, status)
 		require.Equal(f.t, "esra", body["conflict"].(map[string]any)["author"])
-		f.store.err = errors.Wrap(storage.ErrUnknown, "edit e")
+		f.store.err = errors.Wrap(storage.ErrOutcomeUnknown, "edit e")
 		status, header, _ := f.call("POST", "/v1/config", `{"id":"e","changes":[]}`)
 		require.Equal(f.t, 503, status)
 		require.Equal(f.t, "unknown", header.Get(model.OutcomeHeader))
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -18,7 +18,7 @@
 )
 
 // errLost leaves the outcome unknown to the client.
-var errLost = storage.ErrUnknown
+var errLost = storage.ErrOutcomeUnknown
 
 // StoreFaults are the faults of a table service or an object store. The zero
 // value simulates a healthy service with the default limits.
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -90,7 +90,7 @@
 func ask[M, T any](ctx context.Context, to actor.Address[M], build func(actor.Reply[answer[T]]) M) (T, error) {
 	a, err := actor.Ask(ctx, to, build)
 	if errors.Is(err, actor.ErrStopped) {
-		err = storage.ErrUnknown
+		err = storage.ErrOutcomeUnknown
 	}
 	if err != nil {
 		return a.value, err
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -140,7 +140,7 @@
 // readError reports a simulator that has ended as an unavailable service: a
 // read has no outcome that could be unknown.
 func readError(err error) error {
-	if err == storage.ErrUnknown {
+	if err == storage.ErrOutcomeUnknown {
 		return storage.ErrUnavailable
 	}
 	return err
--- a/internal/standin/table_test.go
+++ b/internal/standin/table_test.go
@@ -66,7 +66,7 @@
 
 	require.NoError(t, service.SetFaults(ctx, StoreFaults{LoseAnswers: 1}))
 	_, err = table.Commit(ctx, put("lost", "1"))
-	require.ErrorIs(t, err, storage.ErrUnknown)
+	require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 	_, err = table.Read(ctx, "lost")
 	require.NoError(t, err, "the write took effect")
 
@@ -94,7 +94,7 @@
 	service := NewTable(g, StoreFaults{DelayMs: time.Hour.Milliseconds()})
 	slow := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + listen(t, g, service.Serve), Timeout: 50 * time.Millisecond})
 	_, err = slow.Commit(t.Context(), put("a", "a"))
-	require.ErrorIs(t, err, storage.ErrUnknown)
+	require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 	_, err = slow.Read(t.Context(), "a")
 	require.ErrorIs(t, err, storage.ErrUnavailable)
 }
--- a/internal/storage/http.go
+++ b/internal/storage/http.go
@@ -76,7 +76,7 @@
 }
 
 // Do sends a request and reads the whole response. Its error is
-// ErrUnavailable when the request was certainly not sent, else ErrUnknown;
+// ErrUnavailable when the request was certainly not sent, else ErrOutcomeUnknown;
 // after the end of ctx it matches the context's error as well.
 func (c *HTTPClient) Do(ctx context.Context, r Request) (Response, error) {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
@@ -110,7 +110,7 @@
 func transportError(ctx context.Context, sent bool, cause error) error {
 	class := ErrUnavailable
 	if sent {
-		class = ErrUnknown
+		class = ErrOutcomeUnknown
 		if ctx.Err() != nil {
 			return fmt.Errorf("%w: %w", class, ctx.Err())
 		}
@@ -123,7 +123,7 @@
 
 // Failure maps a status other than success to an error.
 func (r Response) Failure() error {
-	class := ErrUnknown
+	class := ErrOutcomeUnknown
 	switch r.Status {
 	case http.StatusNotFound:
 		class = ErrNotFound
@@ -139,7 +139,7 @@
 // ReadFailure turns an unknown outcome into ErrUnavailable: a read has no
 // effect, so it may be repeated.
 func ReadFailure(err error) error {
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	return err
--- a/internal/storage/http_table.go
+++ b/internal/storage/http_table.go
@@ -37,12 +37,12 @@
 	switch r.Status {
 	case http.StatusOK:
 		if err := json.Unmarshal(r.Body, &a); err != nil || a.Revision == 0 {
-			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrUnknown)
+			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrOutcomeUnknown)
 		}
 		return a.Revision, nil
 	case http.StatusConflict:
 		if err := json.Unmarshal(r.Body, &a); err != nil || len(a.Failed) == 0 {
-			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrUnknown)
+			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrOutcomeUnknown)
 		}
 		return 0, &ConflictError{Keys: a.Failed}
 	}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -22,22 +22,22 @@
 )
 
 // Errors of the table service and the object store. ErrUnavailable: the
-// operation certainly had no effect. ErrUnknown: it may have taken effect.
+// operation certainly had no effect. ErrOutcomeUnknown: it may have taken effect.
 // ErrRefused: the service does not accept such an operation, so it had no
 // effect and must not be repeated.
 var (
-	ErrUnavailable  = errors.New("platform service is unavailable")
-	ErrUnknown      = errors.New("outcome of the operation at the platform service is unknown")
-	ErrCompacted    = errors.New("the table service no longer has the changes")
-	ErrNotListening = errors.New("nothing listens at the address") // besides ErrUnavailable
-	ErrNotFound     = errors.New("not found")
-	ErrRefused      = errors.New("refused by the platform service as invalid")
+	ErrUnavailable    = errors.New("platform service is unavailable")
+	ErrOutcomeUnknown = errors.New("outcome of the operation at the platform service is unknown")
+	ErrCompacted      = errors.New("the table service no longer has the changes")
+	ErrNotListening   = errors.New("nothing listens at the address") // besides ErrUnavailable
+	ErrNotFound       = errors.New("not found")
+	ErrRefused        = errors.New("refused by the platform service as invalid")
 )
 
 // Table is the transactional table service.
 type Table interface {
 	// Commit applies a transaction. The error is a *ConflictError,
-	// ErrUnavailable, ErrRefused, ErrUnknown or the context's error (then it is
+	// ErrUnavailable, ErrRefused, ErrOutcomeUnknown or the context's error (then it is
 	// unknown).
 	Commit(ctx context.Context, t Txn) (Revision, error)
 	// Read returns a row, or ErrNotFound or ErrUnavailable.
@@ -57,7 +57,7 @@
 }
 
 // Objects is the object store. Errors of Put and Delete are ErrUnavailable,
-// ErrUnknown, ErrRefused or the context's error; writing the same content
+// ErrOutcomeUnknown, ErrRefused or the context's error; writing the same content
 // again is harmless.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -69,8 +69,8 @@
 
 // Write writes op and waits for the outcome. The error is a *ConflictError
 // with those of op's checks that failed, ErrUnavailable (no effect),
-// ErrRefused (no effect, op is invalid) or ErrUnknown. After the end of ctx
-// it is ErrUnavailable if op was certainly never sent, else ErrUnknown; it
+// ErrRefused (no effect, op is invalid) or ErrOutcomeUnknown. After the end of ctx
+// it is ErrUnavailable if op was certainly never sent, else ErrOutcomeUnknown; it
 // then matches the context's error as well. The slices in op must not be
 // modified afterwards: a withdrawn operation may still be under way.
 func (w Writer) Write(ctx context.Context, op Op) (Revision, error) {
@@ -105,7 +105,7 @@
 	case r := <-p.reply.C():
 		return r.Revision, withContext(ctx, r.Err)
 	default:
-		return 0, withContext(ctx, errors.Wrap(ErrUnknown, "the writer stopped"))
+		return 0, withContext(ctx, errors.Wrap(ErrOutcomeUnknown, "the writer stopped"))
 	}
 }
 
@@ -200,7 +200,7 @@
 // call runs f, which completes r. If f panics the outcome is unknown.
 func (l *writerLoop) call(r callResult, f func(context.Context, *callResult)) {
 	results := l.results
-	r.err = ErrUnknown
+	r.err = ErrOutcomeUnknown
 	actor.Go(l.group, "table call", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
--- a/internal/storage/writer_actions.go
+++ b/internal/storage/writer_actions.go
@@ -113,7 +113,7 @@
 		w.notice(event.WriterRowMoved, nil)
 	}
 	if len(w.doubt) > 0 {
-		w.settleUnknown(errors.Wrap(ErrUnknown, "the writer's row was changed by someone else"))
+		w.settleUnknown(errors.Wrap(ErrOutcomeUnknown, "the writer's row was changed by someone else"))
 	} else {
 		w.requeue()
 	}
@@ -124,7 +124,7 @@
 // refuse an earlier version of it.
 func (w *writerCore) giveUp() {
 	w.notice(event.WriteRefused, w.cause)
-	w.settleUnknown(fmt.Errorf("%w: %v", ErrUnknown, w.cause))
+	w.settleUnknown(fmt.Errorf("%w: %v", ErrOutcomeUnknown, w.cause))
 }
 
 // settleUnknown gives up every operation that was sent.
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -129,7 +129,7 @@
 		return
 	}
 	p.withdrawn = true
-	w.settleOp(p, 0, errors.Wrap(ErrUnknown, "withdrawn after it was sent"))
+	w.settleOp(p, 0, errors.Wrap(ErrOutcomeUnknown, "withdrawn after it was sent"))
 }
 
 // committed handles the answer to a commit.
@@ -237,6 +237,6 @@
 	for _, p := range w.queue {
 		w.settleOp(p, 0, errors.Wrap(ErrUnavailable, "the writer stopped before it was sent"))
 	}
-	w.settleUnknown(fmt.Errorf("%w: the writer stopped", ErrUnknown))
+	w.settleUnknown(fmt.Errorf("%w: the writer stopped", ErrOutcomeUnknown))
 	w.queue = nil
 }
--- a/internal/storage/writer_history_test.go
+++ b/internal/storage/writer_history_test.go
@@ -52,7 +52,7 @@
 	switch {
 	case got.Err == nil:
 		require.Equal(t, []storage.Revision{got.Revision}, effects, "%s succeeded", id)
-	case errors.Is(got.Err, storage.ErrUnknown):
+	case errors.Is(got.Err, storage.ErrOutcomeUnknown):
 		require.LessOrEqual(t, len(effects), 1, "%s: %v", id, got.Err)
 	case errors.As(got.Err, &conflict), errors.Is(got.Err, storage.ErrUnavailable):
 		require.Empty(t, effects, "%s: %v", id, got.Err)
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -142,7 +142,7 @@
 		got := parallel(ctx, w, write("a", 0), write("b", 0), write("c", 0))
 		for i, r := range got {
 			require.ErrorIs(t, r.Err, storage.ErrUnavailable)
-			require.NotErrorIs(t, r.Err, storage.ErrUnknown)
+			require.NotErrorIs(t, r.Err, storage.ErrOutcomeUnknown)
 			require.Equal(t, i < 2, errors.Is(r.Err, context.DeadlineExceeded), "the third is refused at once")
 		}
 		require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{}))
@@ -153,7 +153,7 @@
 		short, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err = w.Write(short, write("d", 0))
-		require.ErrorIs(t, err, storage.ErrUnknown)
+		require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 }
