--- a/internal/jobdaemon/links.go
+++ b/internal/jobdaemon/links.go
@@ -75,7 +75,7 @@
 
 func (l *links) run(ctx context.Context, conn link.Conn) error {
 	sink := &linkSink{ctx: ctx, id: linkID(l.next.Next()), send: l.send}
-	err := peer.RunTimed(ctx, conn, l.hello(), sink, linkTiming)
+	err := peer.RunWithTiming(ctx, conn, l.hello(), sink, linkTiming)
 	return err
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,7 @@
-// Package peer runs a link to another daemon from the established connection
-// to its end: greeting, heartbeats, detection of silence, and delivery of
-// control messages. It does not know what the messages mean.
+// Package peer serves a link to another daemon from the established connection
+// to its end: it exchanges the hello messages, sends heartbeats, detects a
+// silent peer, and delivers control messages. It does not know what the
+// messages mean.
 package peer
 
 import (
@@ -19,69 +20,70 @@
 const (
 	heartbeatInterval = time.Second
 	silenceTimeout    = 4 * time.Second
-	greetingTimeout   = 4 * time.Second
-	// outboundMessages is the room for messages that wait for the socket. A
-	// link whose peer reads slower than that is ended, because dropping single
-	// messages would leave the two sides with different views. It holds the 200
-	// reports of demand that fall due until a peer counts as silent; 1024 took
-	// 16 KiB of each link at both sides, a fifth of an entry's memory.
+	handshakeTimeout  = 4 * time.Second
+	// outboundMessages is the number of messages that may wait for the socket.
+	// A link whose queue overflows is ended, because dropping single messages
+	// would leave the two sides with different views. The queue holds the 200
+	// reports of demand that fall due until a peer counts as silent. 1024 used
+	// 16 KiB on each side of a link, a fifth of an entry's memory.
 	outboundMessages = 256
 )
 
 // Errors that end a link.
 var (
 	ErrSilent   = errors.New("peer is silent")
-	ErrProtocol = errors.New("peer broke the protocol")
-	ErrOverflow = errors.New("peer reads too slowly: a message for it was dropped")
+	ErrProtocol = errors.New("peer violated the protocol")
+	ErrOverflow = errors.New("peer reads too slowly: outbound queue overflowed")
 )
 
-// Out is the address of a link's outbound messages.
+// Out is the actor address that accepts a link's outbound messages.
 type Out = actor.Address[msg.Control]
 
-// Handler receives what happens on a link. Its methods are called by one
-// goroutine, in order: Up once, Receive, and Down once after Up.
+// Handler receives the events of a link. One goroutine calls its methods: Up
+// once, Receive for each message, and Down once if Up succeeded.
 type Handler interface {
-	// Up is called with the peer's hello. An error refuses the link.
+	// Up is called with the peer's hello. An error ends the link.
 	Up(hello msg.Control, out Out) error
 	Receive(m msg.Control)
 	Down(err error)
 }
 
-// Timing says how soon a silent peer is noticed.
+// Timing determines how soon a silent peer is detected.
 type Timing struct {
-	Heartbeat time.Duration // a message is sent at least that often
-	Silence   time.Duration // after which the link is ended
+	Heartbeat time.Duration // maximum interval between two messages that are sent
+	Silence   time.Duration // time without a received message after which the link ends
 }
 
-// DefaultTiming suits links of which there are many at an entry.
+// DefaultTiming is for entries with many links.
 var DefaultTiming = Timing{Heartbeat: heartbeatInterval, Silence: silenceTimeout}
 
-// Run greets the peer and serves the link with DefaultTiming until it fails or
-// ctx ends. It closes conn.
+// Run sends hello and serves the link with DefaultTiming until the link fails
+// or ctx ends. It closes conn and returns the reason.
 func Run(ctx context.Context, conn link.Conn, hello msg.Control, h Handler) error {
-	return RunTimed(ctx, conn, hello, h, DefaultTiming)
+	return RunWithTiming(ctx, conn, hello, h, DefaultTiming)
 }
 
-// RunTimed is Run with a timing.
-func RunTimed(ctx context.Context, conn link.Conn, hello msg.Control, h Handler, timing Timing) error {
-	g := actor.NewGroup(ctx, nil)
-	defer g.Stop()
+// RunWithTiming is like Run with the given timing.
+func RunWithTiming(ctx context.Context, conn link.Conn, hello msg.Control, h Handler, timing Timing) error {
+	group := actor.NewGroup(ctx, nil)
+	defer group.Stop()
 	defer conn.Close()
-	full := make(chan struct{}, 1)
-	out := actor.Spawn(g, actor.Spec[msg.Control]{Name: "link writer", Mailbox: outboundMessages, Overflow: full,
+	overflow := make(chan struct{}, 1)
+	out := actor.Spawn(group, actor.Spec[msg.Control]{Name: "link writer", Mailbox: outboundMessages, Overflow: overflow,
 		Run: func(ctx context.Context, in <-chan msg.Control) error {
 			return write(ctx, conn, hello, in, timing.Heartbeat)
 		}})
 	in := make(chan msg.Control, 16)
-	failed := actor.NewReply[error]()
-	actor.Go(g, "link reader", func(ctx context.Context) error {
-		failed.Put(read(ctx, conn, in))
+	readFailed := actor.NewReply[error]()
+	actor.Go(group, "link reader", func(ctx context.Context) error {
+		readFailed.Put(read(ctx, conn, in))
 		return nil
 	})
-	l := &session{handler: h, out: out, full: full, silence: timing.Silence}
-	return l.serve(ctx, in, failed, out.Done())
+	s := &session{handler: h, out: out, overflow: overflow, silence: timing.Silence}
+	return s.serve(ctx, in, readFailed, out.Done())
 }
 
+// write sends hello, and then messages and heartbeats until ctx ends.
 func write(ctx context.Context, conn link.Conn, hello msg.Control, in <-chan msg.Control, heartbeat time.Duration) error {
 	if err := conn.Send(hello); err != nil {
 		return err
@@ -104,6 +106,7 @@
 	}
 }
 
+// read passes received messages to in until the connection fails.
 func read(ctx context.Context, conn link.Conn, in chan<- msg.Control) error {
 	for {
 		m, err := conn.Receive()
@@ -128,7 +131,7 @@
 
 var linkChart = chart.MustCompile(charts.Files, chart.Binding[session]{
 	Chart:  "link",
-	States: []string{"greeting", "up", "closed"},
+	States: []string{"handshake", "up", "closed"},
 	Events: []string{"hello", "message", "silence", "failed"},
 	Actions: map[string]func(*session){
 		"announceUp":     (*session).announceUp,
@@ -137,19 +140,19 @@
 		"reportSilent":   func(s *session) { s.err = ErrSilent },
 		"reportFailed":   func(*session) {},
 	},
-	Delays: map[string]time.Duration{"greetingTimeout": greetingTimeout, "silenceTimeout": silenceTimeout},
+	Delays: map[string]time.Duration{"handshakeTimeout": handshakeTimeout, "silenceTimeout": silenceTimeout},
 })
 
-// session is the state of a link; it belongs to the goroutine of Run.
+// session is the state of a link. It belongs to the goroutine of Run.
 type session struct {
-	handler Handler
-	out     Out
-	full    <-chan struct{} // a message for the peer was dropped
-	silence time.Duration   // of an established link
-	state   chart.State
-	current msg.Control // message that is being delivered
-	wasUp   bool
-	err     error
+	handler  Handler
+	out      Out
+	overflow <-chan struct{} // signalled when a message for the peer was dropped
+	silence  time.Duration   // silence timeout of an established link
+	state    chart.State
+	current  msg.Control // message that is applied at present
+	wasUp    bool
+	err      error
 }
 
 func (s *session) announceUp() {
@@ -158,7 +161,7 @@
 	}
 }
 
-func (s *session) serve(ctx context.Context, in <-chan msg.Control, failed actor.Reply[error], writerDone <-chan struct{}) error {
+func (s *session) serve(ctx context.Context, in <-chan msg.Control, readFailed actor.Reply[error], writerDone <-chan struct{}) error {
 	s.state = linkChart.Initial()
 	defer func() {
 		if s.wasUp {
@@ -172,12 +175,12 @@
 		event := evMessage
 		select {
 		case s.current = <-in:
-			event = kindOf(s.current)
-		case err := <-failed.C():
+			event = eventOf(s.current)
+		case err := <-readFailed.C():
 			s.err, event = err, evFailed
 		case <-writerDone:
 			s.err, event = link.ErrClosed, evFailed
-		case <-s.full:
+		case <-s.overflow:
 			s.err, event = ErrOverflow, evFailed
 		case <-silence.C:
 			event = evSilence
@@ -196,7 +199,7 @@
 	return s.err
 }
 
-func kindOf(m msg.Control) chart.Event {
+func eventOf(m msg.Control) chart.Event {
 	switch m.(type) {
 	case *msg.AgentHello, *msg.EntryHello, *msg.PeerHello:
 		return evHello
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,7 +12,7 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// recorder is a Handler that keeps the address of the link and its end.
+// recorder is a Handler that passes on the arguments of Up and Down.
 type recorder struct {
 	up   chan Out
 	down chan error
@@ -22,8 +22,8 @@
 func (r *recorder) Receive(msg.Control)             {}
 func (r *recorder) Down(err error)                  { r.down <- err }
 
-// connected runs a test with a link whose sides are run by Run.
-func connected(t *testing.T, test func(t *testing.T, net *link.Memory, agent, entry *recorder)) {
+// withLink runs test with a link between an agent and an entry.
+func withLink(t *testing.T, test func(t *testing.T, net *link.Memory, agent, entry *recorder)) {
 	synctest.Test(t, func(t *testing.T) {
 		net := link.NewMemory(t.Context(), 1)
 		l, err := net.Listen("entry")
@@ -44,12 +44,12 @@
 	})
 }
 
-// Guards against a message to a peer that is dropped while the link goes on:
-// a lost credit grant would never be repeated.
+// Guards against a link that continues after a message for the peer was
+// dropped: a lost credit grant would never be repeated.
 func TestDroppedMessageEndsTheLink(t *testing.T) {
-	connected(t, func(t *testing.T, net *link.Memory, agent, entry *recorder) {
+	withLink(t, func(t *testing.T, net *link.Memory, agent, entry *recorder) {
 		out := <-entry.up
-		net.Cut("entry", "agent") // what is sent stays in bounded buffers
+		net.Cut("entry", "agent") // sent messages stay in bounded buffers
 		dropped := false
 		for range 100_000 {
 			if !out.TrySend(&msg.CreditGrant{Backend: "permit-desk@worker", Count: 1}) {
@@ -63,16 +63,16 @@
 	})
 }
 
-// Guards against a link that stays up although its peer is not heard.
+// Guards against a link that stays up although nothing arrives from its peer.
 func TestSilentPeerEndsTheLink(t *testing.T) {
-	connected(t, func(t *testing.T, net *link.Memory, agent, entry *recorder) {
+	withLink(t, func(t *testing.T, net *link.Memory, agent, entry *recorder) {
 		<-entry.up
 		<-agent.up
 		time.Sleep(time.Minute)
 		require.Empty(t, entry.down, "heartbeats keep an idle link up")
-		began := time.Now()
+		start := time.Now()
 		net.Cut("agent", "entry")
 		require.ErrorIs(t, <-entry.down, ErrSilent)
-		require.LessOrEqual(t, time.Since(began), silenceTimeout)
+		require.LessOrEqual(t, time.Since(start), silenceTimeout)
 	})
 }
