--- a/internal/hostagent/core.go
+++ b/internal/hostagent/core.go
@@ -1,8 +1,9 @@
-// Package hostagent decides for the agent of a host: it guards the host's
-// capacity, refuses owners that have been replaced, keeps the lease of what
-// runs, and settles what became of orders without an answer. It does no input
-// or output: events come in, messages and calls to the backend server come
-// out.
+// Package hostagent makes the decisions of the agent of a host. It rejects
+// starts that exceed the host's free resources, rejects commands of owners
+// that have been replaced, extends the lease of the runs, throttles best-effort
+// runs, and finds out whether an unanswered start took effect. It does no input
+// or output: it receives events and returns messages and calls to the backend
+// server.
 package hostagent
 
 import (
@@ -14,53 +15,56 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Config holds the settings of a guard.
+// Config holds the settings of a Core.
 type Config struct {
 	Name       workload.HostName
 	DataCentre workload.DataCentre
-	// OwnerLease is how long the host works on without the owner's word.
+	// OwnerLease is how long runs may continue after the owner last granted
+	// the lease.
 	OwnerLease time.Duration
-	// RunLease is the lease of what runs. The agent extends it, so it bounds
-	// how long the runs outlive a crash of the agent, and how long a silent
-	// backend server keeps its tasks.
+	// RunLease is the lease of the runs at the backend server. The agent
+	// extends it, so it bounds how long the runs outlive a crash of the agent,
+	// and how long a silent backend server keeps its tasks.
 	RunLease time.Duration
-	Token    uint64 // first fencing token; above those of former processes
+	// Token is the first fencing token. It is higher than the tokens of former
+	// processes of the agent; see FirstToken.
+	Token uint64
 }
 
-// LinkID names a link to an entry.
+// LinkID identifies a link to an entry. Zero means no link.
 type LinkID uint64
 
-// Send is a message for one link, or for every link.
+// Send is a message for one link or for all links.
 type Send struct {
-	Link    LinkID // 0: every link
+	Link    LinkID // 0: all links
 	Message msg.Control
 }
 
-// Call is an order for the backend server. Exactly one of the pointers is set.
+// Call is a request to the backend server. Exactly one of the pointers is set.
 type Call struct {
 	Target      runner.Target
 	Start       *runner.StartRequest
 	Stop        *workload.RunID
-	Pace        *PaceCall
-	Look        *runner.PollRequest
-	startedAtMS int64
+	Throttle    *ThrottleCall
+	Poll        *runner.PollRequest
+	startedAtMS int64 // incarnation of the backend server that is called
 }
 
-// PaceCall sets the share at which a run may work.
-type PaceCall struct {
+// ThrottleCall sets the CPU limit of a run.
+type ThrottleCall struct {
 	Run     workload.RunID
-	Percent int
+	Percent int // of full speed; 0 pauses the run
 }
 
-// Answer is the outcome of a call.
+// Answer is the outcome of a Call.
 type Answer struct {
-	Call    Call
-	ClockMS int64 // 0: not told
-	Listing runner.PollResponse
-	Err     error
+	Call     Call
+	ClockMS  int64               // clock of the backend server; 0: unknown
+	Response runner.PollResponse // of a poll
+	Err      error
 }
 
-// Decision is a log line.
+// Decision is a decision that is logged.
 type Decision struct {
 	Kind   DecisionKind
 	Run    workload.RunID
@@ -68,7 +72,7 @@
 	Epoch  uint64
 }
 
-// DecisionKind says what was decided.
+// DecisionKind is the kind of a Decision.
 type DecisionKind uint8
 
 // Kinds of decisions.
@@ -76,63 +80,65 @@
 	OwnerAdopted DecisionKind = iota
 	OwnerRefused
 	RunRefused
-	RunDoubtful
-	LifeBegan
-	LifeEnded
-	RunPaced
+	RunUnconfirmed
+	IncarnationStarted
+	IncarnationEnded
+	RunThrottled
 )
 
-// Core is the state of a guard. It belongs to one goroutine.
+// Core is the state of the agent of one host. It must be used by one goroutine
+// only.
 type Core struct {
 	cfg Config
 	now time.Duration
 
-	host     workload.Host
-	sequence uint64
-	ended    bool // this life of the backend server has certainly ended
-
-	epoch uint64
-	owner LinkID // 0: none
-	taken bool   // the owner has the inventory; starts are allowed
-	told  bool   // the inventory was sent
-
-	token    uint64
-	runs     map[workload.RunID]*held
-	used     workload.Resources
-	ends     []msg.RunEnd // not acknowledged by the owner
-	endsSeen uint64
-	cursor   uint64 // ends up to it are stored by the owner
-
-	clock      clock
-	listed     bool  // a listing of this life has arrived
-	listedMS   int64 // clock of the newest listing
-	leaseEnd   int64 // of the owner's grant, in the backend server's clock
-	leaseSent  int64 // the longest lease that a call carried
-	refusals   int   // connections refused in a row
-	nextReport time.Duration
-	pacer      pacer
+	host         workload.Host
+	announcement uint64 // sequence number of the newest announcement
+	ended        bool   // this incarnation of the backend server cannot return
+
+	epoch             uint64 // highest observed epoch
+	owner             LinkID // 0: none
+	inventoryAccepted bool   // the owner has the inventory, so it may start runs
+	inventorySent     bool
+
+	token          uint64
+	runs           map[workload.RunID]*run
+	used           workload.Resources // charge of the runs
+	unacknowledged []msg.RunEnd       // ends that the owner has not acknowledged
+	lastEnd        uint64             // number of the last end received
+	acknowledged   uint64             // number of the last end that the owner has stored
+
+	clock              clock
+	polled             bool  // this incarnation has answered a poll
+	polledMS           int64 // clock of the newest poll response
+	leaseEndMS         int64 // end of the owner's lease, in the backend server's clock
+	sentLeaseMS        int64 // latest end of a lease that a call carried, in the same clock
+	connectionRefusals int   // consecutive refused connections
+	nextReport         time.Duration
+	throttler          throttler
 
 	sends     []Send
 	calls     []Call
 	decisions []Decision
-	changed   msg.RunsChanged
+	changed   msg.RunsChanged // changes to report to the owner
 }
 
-// New returns the guard of a host whose backend server is not known yet.
+// New returns the Core of a host whose backend server has not announced itself
+// yet.
 func New(cfg Config) *Core {
-	return &Core{cfg: cfg, pacer: newPacer(), token: cfg.Token, runs: map[workload.RunID]*held{}, host: workload.Host{Name: cfg.Name, DataCentre: cfg.DataCentre}}
+	return &Core{cfg: cfg, throttler: newThrottler(), token: cfg.Token, runs: map[workload.RunID]*run{}, host: workload.Host{Name: cfg.Name, DataCentre: cfg.DataCentre}}
 }
 
-// Advance sets the time. Call it before each event.
+// Advance sets the current time. The caller must call it before each event.
 func (c *Core) Advance(now time.Duration) { c.now = now }
 
-// Epoch returns the highest epoch of an owner that the guard knows.
+// Epoch returns the highest epoch of an owner that the agent has observed.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Host returns what is known of the backend server.
+// Host returns the last known state of the host and its backend server.
 func (c *Core) Host() workload.Host { return c.host }
 
-// Sends returns the messages since the last call.
+// Sends returns the messages that were added since the previous call of Sends.
 func (c *Core) Sends() []Send {
 	c.flushChanges()
 	out := c.sends
@@ -140,21 +146,22 @@
 	return out
 }
 
-// Calls returns the calls since the last call.
+// Calls returns the requests that were added since the previous call of Calls.
 func (c *Core) Calls() []Call {
 	out := c.calls
 	c.calls = nil
 	return out
 }
 
-// Decisions returns the log lines since the last call.
+// Decisions returns the decisions that were made since the previous call of
+// Decisions.
 func (c *Core) Decisions() []Decision {
 	out := c.decisions
 	c.decisions = nil
 	return out
 }
 
-func (c *Core) note(d Decision) {
+func (c *Core) addDecision(d Decision) {
 	d.Epoch = c.epoch
 	c.decisions = append(c.decisions, d)
 }
@@ -163,79 +170,83 @@
 	return runner.Target{Instance: c.host.Instance, Token: c.token}
 }
 
-func (c *Core) call(call Call) {
+func (c *Core) addCall(call Call) {
 	call.Target, call.startedAtMS = c.target(), c.host.StartedAtMS
 	c.calls = append(c.calls, call)
 }
 
-// clock estimates the backend server's clock from below.
+// clock computes a lower bound of the backend server's clock from the last time
+// that the backend server sent.
 type clock struct {
-	ms int64
-	at time.Duration
+	ms         int64 // clock of the backend server at receivedAt
+	receivedAt time.Duration
 }
 
-// driftDivisor is the inverse of how much slower the backend server's clock
-// may be.
+// driftDivisor bounds the drift of the backend server's clock: it is slower
+// than this host's by at most 1/driftDivisor.
 const driftDivisor = 50
 
 func (c *clock) set(ms int64, now time.Duration) {
-	if ms > c.least(now) {
-		c.ms, c.at = ms, now
+	if ms > c.lowerBound(now) {
+		c.ms, c.receivedAt = ms, now
 	}
 }
 
-func (c *clock) least(now time.Duration) int64 {
-	elapsed := now - c.at
+func (c *clock) lowerBound(now time.Duration) int64 {
+	elapsed := now - c.receivedAt
 	return c.ms + (elapsed - elapsed/driftDivisor).Milliseconds()
 }
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// reportInterval is how often the owner hears of the runs' progress and
-	// grants the lease.
+	// reportInterval is the interval at which the agent reports the progress
+	// of the runs. The owner answers each report by a lease grant.
 	reportInterval = 500 * time.Millisecond
 )
 
-// NextTick is when Tick should be called.
+// NextTick returns the time at which Tick should be called next.
 func (c *Core) NextTick() time.Duration { return c.now + tickInterval }
 
-// Tick applies due timeouts.
+// Tick applies expired timeouts and sends the report of the runs if it is due.
 func (c *Core) Tick() {
 	for _, r := range c.sorted() {
 		r.tick()
 	}
-	if c.host.Instance != "" && !c.ended && c.leaseSent > 0 && c.clock.least(c.now) > c.leaseSent && c.host.State != workload.HostUnavailable {
-		c.endLife("its leases have lapsed without an answer")
+	if c.host.Instance != "" && !c.ended && c.sentLeaseMS > 0 && c.clock.lowerBound(c.now) > c.sentLeaseMS && c.host.State != workload.HostUnavailable {
+		c.endIncarnation("its leases expired without an answer")
 	}
 	c.report()
 }
 
-// report tells the owner of the runs, for a new grant of the lease.
+// report sends the status of the runs to the owner at most once per
+// reportInterval. The owner answers by a lease grant.
 func (c *Core) report() {
-	if c.owner == 0 || !c.taken || c.now < c.nextReport || c.host.State == workload.HostUnavailable {
+	if c.owner == 0 || !c.inventoryAccepted || c.now < c.nextReport || c.host.State == workload.HostUnavailable {
 		return
 	}
 	c.nextReport = c.now + reportInterval
-	m := &msg.RunsProgress{Epoch: c.epoch, Instance: c.host.Instance, StartedAtMS: c.host.StartedAtMS, ClockMS: c.clock.least(c.now)}
+	m := &msg.RunsProgress{Epoch: c.epoch, Instance: c.host.Instance, StartedAtMS: c.host.StartedAtMS, ClockMS: c.clock.lowerBound(c.now)}
 	for _, r := range c.sorted() {
 		m.Runs = append(m.Runs, r.status())
 	}
 	c.sends = append(c.sends, Send{c.owner, m})
 }
 
-// flushChanges sends what changed to the owner in one message.
+// flushChanges sends the collected changes of the runs to the owner in one
+// message. Without an owner that has the inventory they are discarded.
 func (c *Core) flushChanges() {
 	m := c.changed
 	c.changed = msg.RunsChanged{}
-	if c.owner == 0 || !c.told || len(m.Started)+len(m.Refused)+len(m.Ended) == 0 {
-		return // the next inventory tells
+	if c.owner == 0 || !c.inventorySent || len(m.Started)+len(m.Refused)+len(m.Ended) == 0 {
+		return // the next inventory contains the changes
 	}
 	m.Epoch, m.Instance, m.StartedAtMS = c.epoch, c.host.Instance, c.host.StartedAtMS
 	c.sends = append(c.sends, Send{c.owner, &m})
 }
 
-func (c *Core) sorted() []*held {
-	list := make([]*held, 0, len(c.runs))
+// sorted returns the runs in order of arrival.
+func (c *Core) sorted() []*run {
+	list := make([]*run, 0, len(c.runs))
 	for _, r := range c.runs {
 		list = append(list, r)
 	}
--- /dev/null
+++ b/internal/hostagent/core_test.go
@@ -0,0 +1,280 @@
+package hostagent
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/bambooscale/bambooscale/internal/msg"
+	"github.com/bambooscale/bambooscale/internal/runner"
+	"github.com/bambooscale/bambooscale/internal/workload"
+)
+
+const ownerLink LinkID = 1
+
+// harness drives a Core and acts as its owner and its backend server.
+type harness struct {
+	t     *testing.T
+	core  *Core
+	now   time.Duration
+	sends []msg.Control
+	calls []Call
+}
+
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, core: New(Config{Name: "a", OwnerLease: 6 * time.Second, RunLease: 5 * time.Second, Token: 100})}
+}
+
+func (h *harness) collect() {
+	for _, s := range h.core.Sends() {
+		h.sends = append(h.sends, s.Message)
+	}
+	h.calls = append(h.calls, h.core.Calls()...)
+	h.core.Decisions()
+}
+
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 50 * time.Millisecond
+		h.core.Advance(h.now)
+		h.core.Tick()
+		h.collect()
+	}
+}
+
+// clockMS is the backend server's clock, which runs at full speed.
+func (h *harness) clockMS() int64 { return 1000 + h.now.Milliseconds() }
+
+func (h *harness) announce(startedAtMS int64, state workload.HostState, sequence uint64) {
+	h.core.Announced(runner.Announcement{
+		Host: workload.Host{
+			Instance: "i", StartedAtMS: startedAtMS, Service: "desk", State: state, Capacity: workload.Resources{MilliCPU: 2000, MemoryMB: 100},
+		},
+		Sequence: sequence, ClockMS: h.clockMS(),
+	})
+	h.collect()
+}
+
+// answerPoll answers the next poll of the backend server.
+func (h *harness) answerPoll(runs []msg.RunStatus, ends ...msg.RunEnd) {
+	poll := h.core.NextPoll()
+	h.core.PollAnswered(poll.Target, poll.StartedAtMS, runner.PollResponse{ClockMS: h.clockMS(), StartedAtMS: poll.StartedAtMS, Runs: runs, Ended: ends}, nil)
+	h.collect()
+}
+
+// prepare lets an owner of epoch 1 accept the inventory, so that it may start
+// runs.
+func (h *harness) prepare() {
+	h.announce(1, workload.HostReady, 1)
+	h.claim(ownerLink, 1)
+	h.answerPoll(nil)
+	h.acceptInventory(ownerLink, 1)
+}
+
+func (h *harness) claim(from LinkID, epoch uint64) {
+	h.core.Received(from, &msg.OwnerClaim{Epoch: epoch})
+	h.collect()
+}
+
+func (h *harness) acceptInventory(from LinkID, epoch uint64) {
+	h.core.Received(from, &msg.InventoryAccepted{Epoch: epoch, ClockMS: h.clockMS()})
+	h.collect()
+}
+
+func runID(index int) workload.RunID {
+	return workload.RunID{Task: workload.TaskID{Job: "j", Index: index}, Number: 1}
+}
+
+func (h *harness) start(from LinkID, epoch uint64, index int, cpu int64) {
+	h.core.Received(from, &msg.StartRuns{Epoch: epoch, Instance: "i", StartedAtMS: h.core.Host().StartedAtMS, Starts: []msg.RunStart{{
+		Size: msg.RunSize{Run: runID(index), Charge: workload.Resources{MilliCPU: cpu}},
+	}}})
+	h.collect()
+}
+
+func (h *harness) startCalls() int {
+	n := 0
+	for _, c := range h.calls {
+		if c.Start != nil {
+			n++
+		}
+	}
+	return n
+}
+
+func (h *harness) answer(c Call, clockMS int64, err error) {
+	h.core.Answered(Answer{Call: c, ClockMS: clockMS, Err: err})
+	h.collect()
+}
+
+func (h *harness) lastCall() Call { return h.calls[len(h.calls)-1] }
+
+// refused returns the runs that were reported to the owner as refused.
+func (h *harness) refused() []workload.RunID {
+	var list []workload.RunID
+	for _, m := range h.sends {
+		if c, ok := m.(*msg.RunsChanged); ok {
+			list = append(list, c.Refused...)
+		}
+	}
+	return list
+}
+
+// Guards against starts beyond the host's capacity by an owner whose view of
+// the host is wrong, and against starts of an owner that was replaced.
+func TestStartBeyondCapacityOrFromReplacedOwnerIsRefused(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.start(ownerLink, 1, 0, 1500)
+	h.start(ownerLink, 1, 1, 1000)
+	require.Equal(t, 1, h.startCalls())
+	require.Equal(t, []workload.RunID{runID(1)}, h.refused())
+
+	const nextLink LinkID = 2
+	h.claim(nextLink, 2)
+	h.start(ownerLink, 1, 2, 100)
+	require.Equal(t, 1, h.startCalls(), "the owner of epoch 1 was replaced")
+	h.start(nextLink, 2, 2, 100)
+	require.Equal(t, 1, h.startCalls(), "the new owner has not accepted the inventory")
+	h.acceptInventory(nextLink, 2)
+	h.start(nextLink, 2, 3, 100)
+	require.Equal(t, 2, h.startCalls())
+}
+
+// Guards against a second run of a task on another host while an unanswered
+// start may still take effect. The run counts as running until the backend
+// server has answered a call with a higher token.
+func TestUnconfirmedStartIsSettledByALaterToken(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.start(ownerLink, 1, 0, 1500)
+	first := h.lastCall()
+	h.answer(first, 0, runner.ErrOutcomeUnknown)
+	poll := h.lastCall()
+	require.NotNil(t, poll.Poll)
+	require.Greater(t, poll.Target.Token, first.Target.Token)
+
+	// The answer to a poll with the old token does not settle the outcome.
+	h.core.PollAnswered(first.Target, 1, runner.PollResponse{ClockMS: h.clockMS() + 1, StartedAtMS: 1}, nil)
+	h.collect()
+	require.Empty(t, h.refused())
+	h.core.Answered(Answer{Call: poll, ClockMS: h.clockMS() + 2, Response: runner.PollResponse{ClockMS: h.clockMS() + 2, StartedAtMS: 1}})
+	h.collect()
+	require.Equal(t, []workload.RunID{runID(0)}, h.refused())
+}
+
+// Guards against a lost run: the start took effect, but its answer was lost.
+func TestUnconfirmedStartThatRunsIsReported(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.start(ownerLink, 1, 0, 1500)
+	h.answer(h.lastCall(), 0, runner.ErrOutcomeUnknown)
+	h.answerPoll([]msg.RunStatus{{Run: runID(0)}})
+	changed := h.sends[len(h.sends)-1].(*msg.RunsChanged)
+	require.Equal(t, []workload.RunID{runID(0)}, changed.Started)
+}
+
+// Guards against polls in a busy loop: the backend server answers at once while
+// it has unacknowledged ends. In trouble-2 of nilegate-permits this used 450 s
+// of processor time.
+func TestPollsAreSpacedWhileEndsAreUnacknowledged(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	require.Zero(t, h.core.NextPoll().Pause)
+	h.answerPoll(nil, msg.RunEnd{Number: 1, Run: runID(7)})
+	require.Equal(t, unacknowledgedPause, h.core.NextPoll().Pause)
+	h.core.Received(ownerLink, &msg.EndsAcknowledged{Epoch: 1, Instance: "i", StartedAtMS: 1, LastNumber: 1})
+	require.Zero(t, h.core.NextPoll().Pause)
+	require.EqualValues(t, 1, h.core.NextPoll().Request.Acknowledged)
+}
+
+// Guards against runs that continue after the owner's lease has expired:
+// without a new grant no call extends the lease beyond the last one.
+func TestLeaseEndsWithTheOwnersGrant(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	granted := h.clockMS() + 6000
+	h.advance(3 * time.Second)
+	require.LessOrEqual(t, h.core.NextPoll().Request.LeaseMS, granted)
+	h.core.Received(ownerLink, &msg.LeaseGrant{Epoch: 1, StartedAtMS: 1, ClockMS: h.clockMS()})
+	require.Greater(t, h.core.NextPoll().Request.LeaseMS, granted)
+	h.core.Unlinked(ownerLink)
+	h.advance(8 * time.Second)
+	require.Zero(t, h.core.NextPoll().Request.LeaseMS, "the owner's lease has expired")
+}
+
+// Guards against tasks of a dead backend server that are never reported as
+// ended, and against reporting them before their leases have expired.
+func TestSilentBackendServerIsUnavailableWhenItsLeasesExpire(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.core.NextPoll() // carries a lease of 5 s
+	h.advance(4900 * time.Millisecond)
+	require.Equal(t, workload.HostReady, h.core.Host().State)
+	h.advance(500 * time.Millisecond)
+	require.Equal(t, workload.HostUnavailable, h.core.Host().State)
+	inventory := h.sends[len(h.sends)-1].(*msg.HostInventory)
+	require.Empty(t, inventory.Runs)
+}
+
+// Guards against announcements that arrive late, of a former incarnation or of
+// a former state.
+func TestLateAnnouncementOfAFormerIncarnationIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.announce(2, workload.HostReady, 1)
+	h.announce(1, workload.HostReady, 9)
+	require.EqualValues(t, 2, h.core.Host().StartedAtMS)
+	h.announce(2, workload.HostDraining, 3)
+	h.announce(2, workload.HostReady, 2)
+	require.Equal(t, workload.HostDraining, h.core.Host().State)
+}
+
+// Guards against starts on a draining backend server.
+func TestNothingStartsOnADrainingBackendServer(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.announce(1, workload.HostDraining, 2)
+	h.start(ownerLink, 1, 0, 100)
+	require.Zero(t, h.startCalls())
+	require.Equal(t, []workload.RunID{runID(0)}, h.refused())
+}
+
+// Guards against a stop that reaches the backend server before the start of the
+// same run.
+func TestStopIsSentAfterTheStartIsAnswered(t *testing.T) {
+	h := newHarness(t)
+	h.prepare()
+	h.start(ownerLink, 1, 0, 100)
+	start := h.lastCall()
+	h.core.Received(ownerLink, &msg.StopRuns{Epoch: 1, Runs: []workload.RunID{runID(0)}})
+	h.collect()
+	require.Nil(t, h.lastCall().Stop)
+	h.answer(start, h.clockMS(), nil)
+	require.NotNil(t, h.lastCall().Stop)
+}
+
+// Guards against best-effort runs that stay paused for ever: an agent that has
+// just started does not know the CPU limit that its former process set, and a
+// throttle call that failed set none. In scale-1 of wwb-braidline runs stayed at
+// 0 % that the agent assumed to be at 100 %.
+func TestUnknownCPULimitIsSetAgain(t *testing.T) {
+	h := newHarness(t)
+	h.announce(1, workload.HostReady, 1)
+	h.claim(ownerLink, 1)
+	listed := []msg.RunStatus{{Run: runID(0)}}
+	h.answerPoll(listed)
+	h.core.Received(ownerLink, &msg.InventoryAccepted{Epoch: 1, ClockMS: h.clockMS(), Sizes: []msg.RunSize{{Run: runID(0), BestEffort: true, Image: "m"}}})
+	h.advance(time.Second)
+	h.answerPoll(listed)
+	call := h.lastCall()
+	require.NotNil(t, call.Throttle)
+	require.Equal(t, unlimitedPercent, call.Throttle.Percent)
+	calls := len(h.calls)
+	h.answer(call, 0, runner.ErrOutcomeUnknown)
+	h.answerPoll(listed)
+	require.Len(t, h.calls, calls+1, "a failed call is repeated")
+	h.answer(h.lastCall(), h.clockMS(), nil)
+	h.answerPoll(listed)
+	require.Len(t, h.calls, calls+1)
+}
--- a/internal/hostagent/owner.go
+++ b/internal/hostagent/owner.go
@@ -8,14 +8,14 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Received takes a message from an entry.
+// Received applies a message from an entry.
 func (c *Core) Received(from LinkID, m msg.Control) {
 	switch m := m.(type) {
 	case *msg.OwnerClaim:
 		c.claimed(from, m)
 	case *msg.InventoryAccepted:
 		if c.owns(from, m.Epoch) {
-			c.inventoryTaken(m)
+			c.applyInventoryAccepted(m)
 		}
 	case *msg.StartRuns:
 		c.startRuns(from, m)
@@ -25,121 +25,130 @@
 		}
 	case *msg.LeaseGrant:
 		if c.owns(from, m.Epoch) && m.StartedAtMS == c.host.StartedAtMS {
-			c.grant(m.ClockMS)
-			c.pacer.learned(m.Interference)
+			c.extendLease(m.ClockMS)
+			c.throttler.setCoefficients(m.Interference)
 		}
 	case *msg.EndsAcknowledged:
 		if m.Instance == c.host.Instance && m.StartedAtMS == c.host.StartedAtMS {
-			c.endsTaken(m.LastNumber)
+			c.endsAcknowledged(m.LastNumber)
 		}
 	}
 }
 
-// grant extends the owner's lease from a clock that this guard sent.
-func (c *Core) grant(clockMS int64) {
-	c.leaseEnd = max(c.leaseEnd, clockMS+c.cfg.OwnerLease.Milliseconds())
+// extendLease extends the owner's lease to OwnerLease after clockMS, a time of
+// the backend server's clock that this agent sent.
+func (c *Core) extendLease(clockMS int64) {
+	c.leaseEndMS = max(c.leaseEndMS, clockMS+c.cfg.OwnerLease.Milliseconds())
 }
 
-// Met takes the epoch that an entry names in its hello.
-func (c *Core) Met(epoch uint64) {
+// EpochObserved applies the epoch in an entry's hello or claim. A higher epoch
+// replaces the present owner.
+func (c *Core) EpochObserved(epoch uint64) {
 	if epoch > c.epoch {
 		c.epoch = epoch
-		c.owner, c.told, c.taken = 0, false, false
+		c.owner, c.inventorySent, c.inventoryAccepted = 0, false, false
 	}
 }
 
-// Unlinked says that a link has ended.
+// Unlinked records that a link has ended.
 func (c *Core) Unlinked(link LinkID) {
 	if link == c.owner {
-		c.owner, c.told, c.taken = 0, false, false
+		c.owner, c.inventorySent, c.inventoryAccepted = 0, false, false
 	}
 }
 
+// owns reports whether a message comes from the present owner, and logs it if
+// not.
 func (c *Core) owns(from LinkID, epoch uint64) bool {
 	if epoch == c.epoch && from == c.owner {
 		return true
 	}
-	c.note(Decision{Kind: OwnerRefused})
+	c.addDecision(Decision{Kind: OwnerRefused})
 	return false
 }
 
 func (c *Core) claimed(from LinkID, m *msg.OwnerClaim) {
 	if m.Owner != "" {
-		c.Met(m.Epoch) // another entry tells of the owner
+		c.EpochObserved(m.Epoch) // sent by an entry that is not the owner itself
 		return
 	}
 	if m.Epoch < c.epoch {
-		c.note(Decision{Kind: OwnerRefused})
+		c.addDecision(Decision{Kind: OwnerRefused})
 		return
 	}
-	c.Met(m.Epoch)
-	c.owner, c.told, c.taken = from, false, false
-	c.note(Decision{Kind: OwnerAdopted})
-	c.tell()
+	c.EpochObserved(m.Epoch)
+	c.owner, c.inventorySent, c.inventoryAccepted = from, false, false
+	c.addDecision(Decision{Kind: OwnerAdopted})
+	c.sendInventory()
 }
 
-// tell sends the inventory as soon as it is known.
-func (c *Core) tell() {
-	known := c.host.Instance != "" && (c.listed || c.host.State == workload.HostUnavailable)
-	if c.owner == 0 || c.told || !known {
+// sendInventory sends the inventory to the owner, once the backend server was
+// polled or is known to be unavailable.
+func (c *Core) sendInventory() {
+	known := c.host.Instance != "" && (c.polled || c.host.State == workload.HostUnavailable)
+	if c.owner == 0 || c.inventorySent || !known {
 		return
 	}
-	c.told = true
+	c.inventorySent = true
 	c.changed = msg.RunsChanged{}
-	m := &msg.HostInventory{Epoch: c.epoch, Host: c.host, ClockMS: c.clock.least(c.now), Ended: append([]msg.RunEnd(nil), c.ends...)}
+	m := &msg.HostInventory{Epoch: c.epoch, Host: c.host, ClockMS: c.clock.lowerBound(c.now), Ended: append([]msg.RunEnd(nil), c.unacknowledged...)}
 	for _, r := range c.sorted() {
 		m.Runs = append(m.Runs, r.status())
 	}
 	c.sends = append(c.sends, Send{c.owner, m})
 }
 
-func (c *Core) inventoryTaken(m *msg.InventoryAccepted) {
+// applyInventoryAccepted sets the sizes of runs that a former process of the
+// agent started, and allows starts.
+func (c *Core) applyInventoryAccepted(m *msg.InventoryAccepted) {
 	for _, s := range m.Sizes {
 		if r, ok := c.runs[s.Run]; ok {
 			c.used = c.used.Sub(r.size.Charge).Add(s.Charge)
 			r.size = s
 		}
 	}
-	c.taken = c.told
-	c.grant(m.ClockMS)
+	c.inventoryAccepted = c.inventorySent
+	c.extendLease(m.ClockMS)
 }
 
 func (c *Core) startRuns(from LinkID, m *msg.StartRuns) {
 	for _, s := range m.Starts {
-		if why := c.against(from, m, &s); why != "" {
-			c.note(Decision{Kind: RunRefused, Run: s.Size.Run, Detail: why})
+		if reason := c.refusalReason(from, m, &s); reason != "" {
+			c.addDecision(Decision{Kind: RunRefused, Run: s.Size.Run, Detail: reason})
 			if from == c.owner {
 				c.changed.Refused = append(c.changed.Refused, s.Size.Run)
 			}
 			continue
 		}
-		r := c.hold(s.Size)
-		c.call(Call{Start: &runner.StartRequest{Run: r.id, Specification: s.Specification, Checkpoint: s.Checkpoint, LeaseMS: c.leaseMS()}})
+		r := c.addRun(s.Size)
+		c.addCall(Call{Start: &runner.StartRequest{Run: r.id, Specification: s.Specification, Checkpoint: s.Checkpoint, LeaseMS: c.leaseMS()}})
 	}
 }
 
-// against returns why a start is refused, or nothing.
-func (c *Core) against(from LinkID, m *msg.StartRuns, s *msg.RunStart) string {
-	_, twice := c.runs[s.Size.Run]
+// refusalReason returns the reason to refuse a start, or "".
+func (c *Core) refusalReason(from LinkID, m *msg.StartRuns, s *msg.RunStart) string {
+	_, known := c.runs[s.Size.Run]
 	switch {
 	case !c.owns(from, m.Epoch):
 		return "owner has been replaced"
-	case !c.taken:
-		return "inventory is under way"
+	case !c.inventoryAccepted:
+		return "owner has not accepted the inventory yet"
 	case m.Instance != c.host.Instance || m.StartedAtMS != c.host.StartedAtMS:
-		return "meant for another life of the backend server"
+		return "start is for another incarnation of the backend server"
 	case c.host.State != workload.HostReady:
 		return "backend server is " + c.host.State.String()
-	case twice:
-		return "run is known"
+	case known:
+		return "run is already on the host"
 	case c.leaseMS() == 0:
-		return "no lease is granted"
+		return "lease of the owner has expired"
 	case !s.Size.Charge.Fits(c.host.Capacity.Sub(c.used)):
-		return "no room"
+		return "charge exceeds the free resources of the host"
 	}
 	return ""
 }
 
+// stopRuns stops runs. It reports runs as refused that are not on the host and
+// have no unacknowledged end.
 func (c *Core) stopRuns(m *msg.StopRuns) {
 	for _, id := range m.Runs {
 		if r, ok := c.runs[id]; ok {
@@ -153,7 +162,7 @@
 }
 
 func (c *Core) hasEnd(id workload.RunID) bool {
-	for _, e := range c.ends {
+	for _, e := range c.unacknowledged {
 		if e.Run == id {
 			return true
 		}
@@ -161,18 +170,18 @@
 	return false
 }
 
-func (c *Core) endsTaken(upto uint64) {
-	c.cursor = max(c.cursor, upto)
-	keep := c.ends[:0]
-	for _, e := range c.ends {
-		if e.Number > c.cursor {
+func (c *Core) endsAcknowledged(lastNumber uint64) {
+	c.acknowledged = max(c.acknowledged, lastNumber)
+	keep := c.unacknowledged[:0]
+	for _, e := range c.unacknowledged {
+		if e.Number > c.acknowledged {
 			keep = append(keep, e)
 		}
 	}
-	c.ends = keep
+	c.unacknowledged = keep
 }
 
-// Answered takes the answer to a call.
+// Answered applies the answer to a call that Calls returned.
 func (c *Core) Answered(a Answer) {
 	c.answered(a.Call.startedAtMS, a.ClockMS, a.Err)
 	if a.Call.startedAtMS != c.host.StartedAtMS || c.ended {
@@ -181,10 +190,10 @@
 	switch {
 	case a.Call.Start != nil:
 		c.startAnswered(a)
-	case a.Call.Pace != nil:
-		c.paceAnswered(a)
-	case a.Call.Look != nil && a.Err == nil:
-		c.list(a.Call.Target, a.Listing)
+	case a.Call.Throttle != nil:
+		c.throttleAnswered(a)
+	case a.Call.Poll != nil && a.Err == nil:
+		c.applyPoll(a.Call.Target, a.Response)
 	}
 }
 
@@ -193,16 +202,16 @@
 	if !ok {
 		return
 	}
-	r.acceptMS = a.ClockMS
+	r.startAnswerMS = a.ClockMS
 	switch {
 	case a.Err == nil:
 		r.step(evAccepted)
 	case errors.Is(a.Err, runner.ErrOutcomeUnknown):
 		r.step(evUnanswered)
 	case errors.Is(a.Err, runner.ErrFenced):
-		r.step(evUnanswered) // the token was raised; look whether it runs
+		r.step(evUnanswered) // answered raised the token; a poll shows whether the run is running
 	default:
-		c.note(Decision{Kind: RunRefused, Run: r.id, Detail: a.Err.Error()})
+		c.addDecision(Decision{Kind: RunRefused, Run: r.id, Detail: a.Err.Error()})
 		r.step(evRejected)
 	}
 }
--- a/internal/jobdaemon/agent.go
+++ b/internal/jobdaemon/agent.go
@@ -42,7 +42,7 @@
 	entries map[linkID]*msg.PeerHello
 	known   map[string]msg.Member
 	calls   actor.Address[hostagent.Call]
-	holds   actor.Address[hostagent.Watch]
+	holds   actor.Address[hostagent.Poll]
 	holding bool
 
 	published *published
@@ -73,11 +73,11 @@
 	}
 	callAnswered struct{ answer hostagent.Answer }
 	holdAnswered struct {
-		order   hostagent.Watch
+		order   hostagent.Poll
 		listing runner.PollResponse
 		err     error
 	}
-	lastRenewal struct{ taken actor.Reply[hostagent.Watch] }
+	lastRenewal struct{ taken actor.Reply[hostagent.Poll] }
 )
 
 // Agent is a running agent.
@@ -96,7 +96,7 @@
 	a.calls = actor.Spawn(g, actor.Spec[hostagent.Call]{Name: "callers", Mailbox: callMailbox, Run: func(ctx context.Context, in <-chan hostagent.Call) error {
 		return a.runCallers(ctx, cfg.Runner, in)
 	}})
-	a.holds = actor.Spawn(g, actor.Spec[hostagent.Watch]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostagent.Watch) error {
+	a.holds = actor.Spawn(g, actor.Spec[hostagent.Poll]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostagent.Poll) error {
 		return a.runHolds(ctx, cfg.Runner, in)
 	}})
 	a.address = actor.Spawn(g, actor.Spec[any]{Name: "guard", Mailbox: agentMailbox, Run: a.run})
@@ -170,18 +170,18 @@
 		a.guard.Announced(m.announcement)
 		m.taken.Put(true)
 	case *left:
-		a.guard.Left(m.instance)
+		a.guard.Deregistered(m.instance)
 		m.taken.Put(true)
 	case *callAnswered:
 		a.guard.Answered(m.answer)
 	case *holdAnswered:
 		a.holding = false
-		a.guard.HoldAnswered(m.order.Target, m.order.StartedAtMS, m.listing, m.err)
+		a.guard.PollAnswered(m.order.Target, m.order.StartedAtMS, m.listing, m.err)
 		if m.err != nil {
 			a.nextHold(holdRetry)
 		}
 	case *lastRenewal:
-		m.taken.Put(a.guard.Watch())
+		m.taken.Put(a.guard.NextPoll())
 	}
 }
 
@@ -209,10 +209,10 @@
 
 // nextHold keeps one call open that watches the backend server.
 func (a *agent) nextHold(pause time.Duration) {
-	if a.holding || !a.guard.Live() {
+	if a.holding || !a.guard.CanCall() {
 		return
 	}
-	w := a.guard.Watch()
+	w := a.guard.NextPoll()
 	w.Pause = max(w.Pause, pause)
 	a.holding = a.holds.TrySend(w)
 }
@@ -220,7 +220,7 @@
 func (a *agent) linkUp(m *linkUp) {
 	a.links[m.id], a.entries[m.id] = m.out, m.hello
 	event.Log(a.log, event.PeerLinked, log.Fields{"peer": m.hello.Member.Name, "epoch": m.hello.Epoch})
-	a.guard.Met(m.hello.Epoch)
+	a.guard.EpochObserved(m.hello.Epoch)
 	a.meet([]msg.Member{m.hello.Member})
 	a.setLinked()
 	m.out.TrySend(&msg.HostAnnounced{Host: a.guard.Host()})
@@ -288,10 +288,10 @@
 func (a *Agent) Drain(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostagent.Watch]) any { return &lastRenewal{r} })
+	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostagent.Poll]) any { return &lastRenewal{r} })
 	if err == nil && o.Target.Instance != "" {
-		o.Hold.Wait = 0
-		_, err = a.runner.Poll(limited, o.Target, o.Hold)
+		o.Request.Wait = 0
+		_, err = a.runner.Poll(limited, o.Target, o.Request)
 	}
 	event.Log(a.log, event.NodeStopping, log.Fields{"role": "agent", "renewed": err == nil})
 }
--- a/internal/jobdaemon/agent_calls.go
+++ b/internal/jobdaemon/agent_calls.go
@@ -37,24 +37,24 @@
 		ans.ClockMS, ans.Err = r.Start(limited, c.Target, *c.Start)
 	case c.Stop != nil:
 		ans.ClockMS, ans.Err = r.Stop(limited, c.Target, *c.Stop)
-	case c.Pace != nil:
-		ans.ClockMS, ans.Err = r.Throttle(limited, c.Target, c.Pace.Run, c.Pace.Percent)
-	case c.Look != nil:
-		ans.Listing, ans.Err = r.Poll(limited, c.Target, *c.Look)
-		ans.ClockMS = ans.Listing.ClockMS
+	case c.Throttle != nil:
+		ans.ClockMS, ans.Err = r.Throttle(limited, c.Target, c.Throttle.Run, c.Throttle.Percent)
+	case c.Poll != nil:
+		ans.Response, ans.Err = r.Poll(limited, c.Target, *c.Poll)
+		ans.ClockMS = ans.Response.ClockMS
 	}
 	return ans
 }
 
-func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostagent.Watch) error {
+func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostagent.Poll) error {
 	for {
 		select {
 		case o := <-in:
 			if o.Pause > 0 && !actor.Sleep(ctx, o.Pause) {
 				return nil
 			}
-			limited, cancel := context.WithTimeout(ctx, o.Hold.Wait+holdMargin)
-			l, err := r.Poll(limited, o.Target, o.Hold)
+			limited, cancel := context.WithTimeout(ctx, o.Request.Wait+holdMargin)
+			l, err := r.Poll(limited, o.Target, o.Request)
 			cancel()
 			_ = a.address.Send(ctx, &holdAnswered{o, l, err}) // an error means that the process ends
 		case <-ctx.Done():
--- a/internal/jobdaemon/decisions.go
+++ b/internal/jobdaemon/decisions.go
@@ -32,8 +32,8 @@
 
 var guardEvents = map[hostagent.DecisionKind]event.Event{
 	hostagent.OwnerAdopted: event.AgentOwnerAdopted, hostagent.OwnerRefused: event.AgentOwnerRefused, hostagent.RunRefused: event.AgentRunRefused,
-	hostagent.RunDoubtful: event.AgentRunUnconfirmed, hostagent.LifeBegan: event.AgentIncarnationStarted, hostagent.LifeEnded: event.AgentIncarnationEnded,
-	hostagent.RunPaced: event.AgentRunThrottled,
+	hostagent.RunUnconfirmed: event.AgentRunUnconfirmed, hostagent.IncarnationStarted: event.AgentIncarnationStarted, hostagent.IncarnationEnded: event.AgentIncarnationEnded,
+	hostagent.RunThrottled: event.AgentRunThrottled,
 }
 
 // logDecision writes the line of a decision of the guard.
