--- a/cmd/bamboojobd/main.go
+++ b/cmd/bamboojobd/main.go
@@ -34,31 +34,32 @@
 
 const (
 	metricsPort = "9464"
-	// callTimeout bounds calls without a deadline of their own.
+	// callTimeout bounds calls whose context has no deadline.
 	callTimeout = 4 * time.Second
-	// runLease outlives a restart of the agent and is short enough that the
-	// tasks of a dead backend server start again soon.
+	// runLease is longer than a restart of the agent takes, and short enough
+	// that the tasks of a dead backend server soon start elsewhere.
 	runLease = 5 * time.Second
-	// gcPercent trades processor time for memory.
+	// gcPercent is below Go's default of 100: less memory for more processor
+	// time.
 	gcPercent = 50
 )
 
 func main() {
 	debug.SetGCPercent(gcPercent)
 	root := &cobra.Command{Use: "bamboojobd", Short: "daemon of the job scheduler", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(roleCommand("entry", "serve submitters and schedule jobs", startEntry), roleCommand("agent", "guard the host of a backend server", startAgent))
+	root.AddCommand(roleCommand("entry", "serve callers and schedule jobs", startEntry), roleCommand("agent", "start and stop runs at the backend server of a host", startAgent))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// drainer stops a role in order.
+// drainer prepares the end of a role.
 type drainer interface{ Drain(context.Context) }
 
-type start func(g *actor.Group, n *settings.JobNode) (drainer, error)
+type startFunc func(g *actor.Group, n *settings.JobNode) (drainer, error)
 
-func roleCommand(role, short string, begin start) *cobra.Command {
+func roleCommand(role, short string, begin startFunc) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{Use: role, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return run(role, file, begin)
@@ -67,7 +68,7 @@
 	return cmd
 }
 
-func run(role, file string, begin start) error {
+func run(role, file string, begin startFunc) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	n, err := settings.LoadJobNode(file, role)
@@ -91,8 +92,8 @@
 		}
 		event.Log(log.Log, event.NodeReloaded, log.Fields{"role": role})
 	}
-	// The end of the process ends its actors. Waiting for them first kept an
-	// entry from ending within its grace time in a played day (issue 10).
+	// The actors end with the process. Waiting for them kept an entry from
+	// ending within its grace time in a simulated day (issue 10).
 	d.Drain(g.Context())
 	return nil
 }
@@ -100,7 +101,7 @@
 func startEntry(g *actor.Group, n *settings.JobNode) (drainer, error) {
 	return jobdaemon.StartEntry(g, jobdaemon.EntryConfig{
 		Name: n.Name, DataCentre: workload.DataCentre(n.DataCentre), Links: n.LinkAddress(), Callers: n.Callers, Readiness: n.Readiness,
-		Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(), Boot: newBoot(), Store: platform.NewStore(n.Store, callTimeout),
+		Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(), Boot: newBootID(), Store: platform.NewStore(n.Store, callTimeout),
 		Config:        jobdaemon.ConfigSource{Key: platform.ConfigKey, Prefix: platform.ConfigPrefix, Decode: platform.DecodeConfig},
 		CallerHandler: platform.CallerHandler, ReadinessHandler: platform.ReadinessHandler, Log: log.Log,
 	})
@@ -115,14 +116,14 @@
 			Name: workload.HostName(n.Name), DataCentre: workload.DataCentre(n.DataCentre), OwnerLease: n.MaxLease, RunLease: runLease,
 			Token: hostagent.FirstToken(time.Now().UnixMilli()),
 		},
-		Boot: newBoot(), Registry: n.Registry, Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(),
+		Boot: newBootID(), Registry: n.Registry, Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(),
 		Runner: platform.NewRunner(n.Backend, callTimeout), Store: platform.NewStore(n.Store, callTimeout),
 		RegistryHandler: func(r runner.Registry) http.Handler { return platform.RegistryHandler(r, refused) }, Log: log.Log,
 	})
 }
 
-// newBoot draws the number of this life of the process.
-func newBoot() uint64 {
+// newBootID returns a random number that identifies this process.
+func newBootID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return binary.BigEndian.Uint64(b[:])
--- a/internal/jobdaemon/agent.go
+++ b/internal/jobdaemon/agent.go
@@ -18,32 +18,32 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// AgentConfig holds what an agent is started with.
+// AgentConfig holds the settings and dependencies of an agent.
 type AgentConfig struct {
 	Core     hostagent.Config
-	Boot     uint64
-	Registry string // address at which the backend server announces itself
-	Metrics  string
-	Seeds    []string // addresses of links of entries
+	Boot     uint64   // random number of this process
+	Registry string   // listen address for announcements of the backend server
+	Metrics  string   // listen address; empty: no metrics
+	Seeds    []string // link addresses of entries to dial first
 	Runner   runner.Runner
 	Store    Store // for the list of entries
-	// RegistryHandler translates the backend server's protocol.
+	// RegistryHandler decodes the backend server's announcements.
 	RegistryHandler func(runner.Registry) http.Handler
 	Log             log.Interface
 }
 
-// agent is the actor that owns the guard of a host.
+// agent is the actor that owns the hostagent.Core of a host.
 type agent struct {
-	guard   *hostagent.Core
-	log     log.Interface
-	address actor.Address[any]
-	began   time.Time
-	links   map[linkID]peer.Out
-	entries map[linkID]*msg.PeerHello
-	known   map[string]msg.Member
-	calls   actor.Address[hostagent.Call]
-	holds   actor.Address[hostagent.Poll]
-	holding bool
+	core      *hostagent.Core
+	log       log.Interface
+	address   actor.Address[any]
+	startedAt time.Time
+	links     map[linkID]peer.Out
+	hellos    map[linkID]*msg.PeerHello // of the linked entries
+	members   map[string]msg.Member     // known entries by name
+	calls     actor.Address[hostagent.Call]
+	polls     actor.Address[hostagent.Poll]
+	polling   bool // a poll is in flight
 
 	published *published
 }
@@ -51,36 +51,38 @@
 const (
 	agentMailbox = 512
 	callMailbox  = 1024
-	// callers is how many calls to the backend server may be under way beside
-	// the one that watches it.
-	callers = 2
-	// orderTimeout bounds a call that the backend server answers at once.
-	orderTimeout = 500 * time.Millisecond
-	holdMargin   = 600 * time.Millisecond
-	holdRetry    = 100 * time.Millisecond
-	agentTick    = 100 * time.Millisecond
+	// maxCalls is how many calls to the backend server may be in flight beside
+	// the poll.
+	maxCalls = 2
+	// callTimeout bounds a call that the backend server answers at once.
+	callTimeout = 500 * time.Millisecond
+	// pollMargin is the time for a poll beyond the time that the backend server
+	// may delay its answer.
+	pollMargin        = 600 * time.Millisecond
+	pollRetryInterval = 100 * time.Millisecond
+	agentTick         = 100 * time.Millisecond
 )
 
-// Messages of the agent's helpers.
+// Messages of other goroutines to the agent.
 type (
 	announced struct {
 		announcement runner.Announcement
-		taken        actor.Reply[bool]
+		applied      actor.Reply[bool]
 	}
-	left struct {
+	deregistered struct {
 		instance workload.Instance
-		taken    actor.Reply[bool]
+		applied  actor.Reply[bool]
 	}
 	callAnswered struct{ answer hostagent.Answer }
-	holdAnswered struct {
-		order   hostagent.Poll
-		listing runner.PollResponse
-		err     error
+	pollAnswered struct {
+		poll     hostagent.Poll
+		response runner.PollResponse
+		err      error
 	}
-	lastRenewal struct{ taken actor.Reply[hostagent.Poll] }
+	finalPoll struct{ reply actor.Reply[hostagent.Poll] }
 )
 
-// Agent is a running agent.
+// Agent is a running agent. Its methods may be called by any goroutine.
 type Agent struct {
 	agent  *agent
 	runner runner.Runner
@@ -90,14 +92,14 @@
 // StartAgent starts an agent. It ends with g.
 func StartAgent(g *actor.Group, cfg AgentConfig) (*Agent, error) {
 	a := &agent{
-		guard: hostagent.New(cfg.Core), log: cfg.Log, began: time.Now(), links: map[linkID]peer.Out{},
-		entries: map[linkID]*msg.PeerHello{}, known: map[string]msg.Member{}, published: &published{},
+		core: hostagent.New(cfg.Core), log: cfg.Log, startedAt: time.Now(), links: map[linkID]peer.Out{},
+		hellos: map[linkID]*msg.PeerHello{}, members: map[string]msg.Member{}, published: &published{},
 	}
 	a.calls = actor.Spawn(g, actor.Spec[hostagent.Call]{Name: "callers", Mailbox: callMailbox, Run: func(ctx context.Context, in <-chan hostagent.Call) error {
-		return a.runCallers(ctx, cfg.Runner, in)
+		return a.runCalls(ctx, cfg.Runner, in)
 	}})
-	a.holds = actor.Spawn(g, actor.Spec[hostagent.Poll]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostagent.Poll) error {
-		return a.runHolds(ctx, cfg.Runner, in)
+	a.polls = actor.Spawn(g, actor.Spec[hostagent.Poll]{Name: "holder", Mailbox: 1, Run: func(ctx context.Context, in <-chan hostagent.Poll) error {
+		return a.runPolls(ctx, cfg.Runner, in)
 	}})
 	a.address = actor.Spawn(g, actor.Spec[any]{Name: "guard", Mailbox: agentMailbox, Run: a.run})
 	a.startLinks(g, cfg)
@@ -125,21 +127,23 @@
 		return linked != nil && (*linked)[address]
 	}
 	d.start(cfg.Seeds)
-	actor.Go(g, "dialer starter", func(ctx context.Context) error { return d.follow(ctx, &a.published.members) })
+	actor.Go(g, "dialer starter", func(ctx context.Context) error { return d.followMembers(ctx, &a.published.members) })
 	actor.Go(g, "entry finder", func(ctx context.Context) error { return a.findEntries(ctx, cfg) })
 }
 
-// alone is how long an agent may be without a link before it reads the list
-// of entries from the table service.
-const alone = 1500 * time.Millisecond
+// unlinkedInterval is the interval at which an agent without links reads the
+// list of entries from the table service.
+const unlinkedInterval = 1500 * time.Millisecond
 
+// findEntries reads the entries from the table service while the agent has no
+// link.
 func (a *agent) findEntries(ctx context.Context, cfg AgentConfig) error {
-	g := &gateway{store: cfg.Store, log: cfg.Log}
-	for actor.Sleep(ctx, alone) {
+	p := &storeProxy{store: cfg.Store, log: cfg.Log}
+	for actor.Sleep(ctx, unlinkedInterval) {
 		if linked := a.published.linked.Get(); linked != nil && len(*linked) > 0 {
 			continue
 		}
-		if entries, err := readMembers(ctx, g); err == nil {
+		if entries, err := readMembers(ctx, p); err == nil {
 			_ = a.address.Send(ctx, &membersRead{entries}) // an error means that the process ends
 		}
 	}
@@ -147,16 +151,16 @@
 }
 
 func (a *agent) run(ctx context.Context, in <-chan any) error {
-	return actor.BatchLoop[any]{Limit: drainLimit, Interval: agentTick, Apply: a.apply, Tick: a.tick, Flush: a.flush}.Run(ctx, in)
+	return actor.BatchLoop[any]{Limit: maxBatch, Interval: agentTick, Apply: a.apply, Tick: a.tick, Flush: a.flush}.Run(ctx, in)
 }
 
 func (a *agent) tick() {
-	a.guard.Advance(time.Since(a.began))
-	a.guard.Tick()
+	a.core.Advance(time.Since(a.startedAt))
+	a.core.Tick()
 }
 
 func (a *agent) apply(m any) {
-	a.guard.Advance(time.Since(a.began))
+	a.core.Advance(time.Since(a.startedAt))
 	switch m := m.(type) {
 	case *linkUp:
 		a.linkUp(m)
@@ -165,32 +169,33 @@
 	case *linkDown:
 		a.linkDown(m)
 	case *membersRead:
-		a.meet(m.entries)
+		a.addMembers(m.entries)
 	case *announced:
-		a.guard.Announced(m.announcement)
-		m.taken.Put(true)
-	case *left:
-		a.guard.Deregistered(m.instance)
-		m.taken.Put(true)
+		a.core.Announced(m.announcement)
+		m.applied.Put(true)
+	case *deregistered:
+		a.core.Deregistered(m.instance)
+		m.applied.Put(true)
 	case *callAnswered:
-		a.guard.Answered(m.answer)
-	case *holdAnswered:
-		a.holding = false
-		a.guard.PollAnswered(m.order.Target, m.order.StartedAtMS, m.listing, m.err)
+		a.core.Answered(m.answer)
+	case *pollAnswered:
+		a.polling = false
+		a.core.PollAnswered(m.poll.Target, m.poll.StartedAtMS, m.response, m.err)
 		if m.err != nil {
-			a.nextHold(holdRetry)
+			a.startPoll(pollRetryInterval)
 		}
-	case *lastRenewal:
-		m.taken.Put(a.guard.NextPoll())
+	case *finalPoll:
+		m.reply.Put(a.core.NextPoll())
 	}
 }
 
-// flush sends what the guard decided.
+// flush applies the decisions of the core: it sends its messages, makes its
+// calls, and logs.
 func (a *agent) flush() {
-	for _, c := range a.guard.Calls() {
-		a.calls.TrySend(c) // a full queue delays: the timeouts of the runs repeat the call
+	for _, c := range a.core.Calls() {
+		a.calls.TrySend(c) // if the queue is full, the timeouts of the runs repeat the call
 	}
-	for _, s := range a.guard.Sends() {
+	for _, s := range a.core.Sends() {
 		if s.Link != 0 {
 			a.links[linkID(s.Link)].TrySend(s.Message)
 			continue
@@ -199,48 +204,48 @@
 			out.TrySend(s.Message)
 		}
 	}
-	for _, d := range a.guard.Decisions() {
+	for _, d := range a.core.Decisions() {
 		a.logDecision(d)
 	}
-	epoch := a.guard.Epoch()
+	epoch := a.core.Epoch()
 	a.published.epoch.Set(&epoch)
-	a.nextHold(0)
+	a.startPoll(0)
 }
 
-// nextHold keeps one call open that watches the backend server.
-func (a *agent) nextHold(pause time.Duration) {
-	if a.holding || !a.guard.CanCall() {
+// startPoll starts the next poll of the backend server unless one is in flight.
+func (a *agent) startPoll(pause time.Duration) {
+	if a.polling || !a.core.CanCall() {
 		return
 	}
-	w := a.guard.NextPoll()
-	w.Pause = max(w.Pause, pause)
-	a.holding = a.holds.TrySend(w)
+	poll := a.core.NextPoll()
+	poll.Pause = max(poll.Pause, pause)
+	a.polling = a.polls.TrySend(poll)
 }
 
 func (a *agent) linkUp(m *linkUp) {
-	a.links[m.id], a.entries[m.id] = m.out, m.hello
+	a.links[m.id], a.hellos[m.id] = m.out, m.hello
 	event.Log(a.log, event.PeerLinked, log.Fields{"peer": m.hello.Member.Name, "epoch": m.hello.Epoch})
-	a.guard.EpochObserved(m.hello.Epoch)
-	a.meet([]msg.Member{m.hello.Member})
+	a.core.EpochObserved(m.hello.Epoch)
+	a.addMembers([]msg.Member{m.hello.Member})
 	a.setLinked()
-	m.out.TrySend(&msg.HostAnnounced{Host: a.guard.Host()})
+	m.out.TrySend(&msg.HostAnnounced{Host: a.core.Host()})
 }
 
 func (a *agent) linkDown(m *linkDown) {
-	hello := a.entries[m.id]
+	hello := a.hellos[m.id]
 	if hello == nil {
 		return
 	}
 	delete(a.links, m.id)
-	delete(a.entries, m.id)
+	delete(a.hellos, m.id)
 	logLinkDown(a.log, hello.Member.Name, m.err)
-	a.guard.Unlinked(hostagent.LinkID(m.id))
+	a.core.Unlinked(hostagent.LinkID(m.id))
 	a.setLinked()
 }
 
 func (a *agent) setLinked() {
 	linked := map[string]bool{}
-	for _, h := range a.entries {
+	for _, h := range a.hellos {
 		linked[h.Member.Address] = true
 	}
 	a.published.linked.Set(&linked)
@@ -251,47 +256,48 @@
 		return
 	}
 	if members, ok := m.message.(*msg.Members); ok {
-		a.meet(members.Entries)
+		a.addMembers(members.Entries)
 		return
 	}
-	a.guard.Received(hostagent.LinkID(m.id), m.message)
+	a.core.Received(hostagent.LinkID(m.id), m.message)
 }
 
-func (a *agent) meet(entries []msg.Member) {
+// addMembers records the addresses of entries and publishes them for the dialers.
+func (a *agent) addMembers(entries []msg.Member) {
 	for _, e := range entries {
 		if e.Address != "" {
-			a.known[e.Name] = e
+			a.members[e.Name] = e
 		}
 	}
-	list := make([]msg.Member, 0, len(a.known))
-	for _, e := range a.known {
+	list := make([]msg.Member, 0, len(a.members))
+	for _, e := range a.members {
 		list = append(list, e)
 	}
 	a.published.members.Set(&list)
 }
 
-// registry passes announcements to the agent.
+// registry implements runner.Registry: it passes announcements to the agent.
 type registry struct{ agent *agent }
 
-func (r *registry) Announce(ctx context.Context, an runner.Announcement) error {
-	_, err := actor.Ask(ctx, r.agent.address, func(rep actor.Reply[bool]) any { return &announced{an, rep} })
+func (r *registry) Announce(ctx context.Context, announcement runner.Announcement) error {
+	_, err := actor.Ask(ctx, r.agent.address, func(rep actor.Reply[bool]) any { return &announced{announcement, rep} })
 	return err
 }
 
 func (r *registry) Leave(ctx context.Context, id workload.Instance) error {
-	_, err := actor.Ask(ctx, r.agent.address, func(rep actor.Reply[bool]) any { return &left{id, rep} })
+	_, err := actor.Ask(ctx, r.agent.address, func(rep actor.Reply[bool]) any { return &deregistered{id, rep} })
 	return err
 }
 
-// Drain ends the agent in order: what runs gets its longest lease, so that it
-// outlives a restart of the agent.
+// Drain prepares the end of the agent: a last poll extends the lease of the runs
+// as far as allowed, so that they outlive a restart of the agent.
 func (a *Agent) Drain(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, orderTimeout)
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostagent.Poll]) any { return &lastRenewal{r} })
-	if err == nil && o.Target.Instance != "" {
-		o.Request.Wait = 0
-		_, err = a.runner.Poll(limited, o.Target, o.Request)
+	poll, err := actor.Ask(limited, a.agent.address, func(r actor.Reply[hostagent.Poll]) any { return &finalPoll{r} })
+	if err == nil && poll.Target.Instance != "" {
+		poll.Request.Wait = 0
+		_, err = a.runner.Poll(limited, poll.Target, poll.Request)
 	}
 	event.Log(a.log, event.NodeStopping, log.Fields{"role": "agent", "renewed": err == nil})
 }
--- a/internal/jobdaemon/agent_calls.go
+++ b/internal/jobdaemon/agent_calls.go
@@ -8,11 +8,12 @@
 	"github.com/bambooscale/bambooscale/internal/runner"
 )
 
-// runCallers performs calls, a few at a time, in the order given.
-func (a *agent) runCallers(ctx context.Context, r runner.Runner, in <-chan hostagent.Call) error {
+// runCalls performs calls in the order of their arrival, up to maxCalls at a
+// time.
+func (a *agent) runCalls(ctx context.Context, r runner.Runner, in <-chan hostagent.Call) error {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
-	for range callers {
+	for range maxCalls {
 		actor.Go(g, "caller", func(ctx context.Context) error {
 			for {
 				select {
@@ -28,35 +29,37 @@
 	return nil
 }
 
+// perform makes a call to the backend server.
 func perform(ctx context.Context, r runner.Runner, c hostagent.Call) hostagent.Answer {
-	limited, cancel := context.WithTimeout(ctx, orderTimeout)
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans := hostagent.Answer{Call: c}
+	answer := hostagent.Answer{Call: c}
 	switch {
 	case c.Start != nil:
-		ans.ClockMS, ans.Err = r.Start(limited, c.Target, *c.Start)
+		answer.ClockMS, answer.Err = r.Start(limited, c.Target, *c.Start)
 	case c.Stop != nil:
-		ans.ClockMS, ans.Err = r.Stop(limited, c.Target, *c.Stop)
+		answer.ClockMS, answer.Err = r.Stop(limited, c.Target, *c.Stop)
 	case c.Throttle != nil:
-		ans.ClockMS, ans.Err = r.Throttle(limited, c.Target, c.Throttle.Run, c.Throttle.Percent)
+		answer.ClockMS, answer.Err = r.Throttle(limited, c.Target, c.Throttle.Run, c.Throttle.Percent)
 	case c.Poll != nil:
-		ans.Response, ans.Err = r.Poll(limited, c.Target, *c.Poll)
-		ans.ClockMS = ans.Response.ClockMS
+		answer.Response, answer.Err = r.Poll(limited, c.Target, *c.Poll)
+		answer.ClockMS = answer.Response.ClockMS
 	}
-	return ans
+	return answer
 }
 
-func (a *agent) runHolds(ctx context.Context, r runner.Runner, in <-chan hostagent.Poll) error {
+// runPolls performs the polls of the backend server one after another.
+func (a *agent) runPolls(ctx context.Context, r runner.Runner, in <-chan hostagent.Poll) error {
 	for {
 		select {
-		case o := <-in:
-			if o.Pause > 0 && !actor.Sleep(ctx, o.Pause) {
+		case poll := <-in:
+			if poll.Pause > 0 && !actor.Sleep(ctx, poll.Pause) {
 				return nil
 			}
-			limited, cancel := context.WithTimeout(ctx, o.Request.Wait+holdMargin)
-			l, err := r.Poll(limited, o.Target, o.Request)
+			limited, cancel := context.WithTimeout(ctx, poll.Request.Wait+pollMargin)
+			response, err := r.Poll(limited, poll.Target, poll.Request)
 			cancel()
-			_ = a.address.Send(ctx, &holdAnswered{o, l, err}) // an error means that the process ends
+			_ = a.address.Send(ctx, &pollAnswered{poll, response, err}) // an error means that the process ends
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/jobdaemon/config_test.go
+++ b/internal/jobdaemon/config_test.go
@@ -13,45 +13,45 @@
 	"github.com/bambooscale/bambooscale/internal/table"
 )
 
-// shortHistory is a table service that has forgotten how its only row came
-// about, and answers after a while as a real one does.
-type shortHistory struct {
+// compactedTable is a table service whose history no longer contains the change
+// of its only row. It answers after answerDelay.
+type compactedTable struct {
 	Store
 	newest table.Revision
 	calls  int
 }
 
 const (
-	answerTime = 4 * time.Millisecond
-	oldRow     = table.Revision(3)
+	answerDelay = 4 * time.Millisecond
+	rowVersion  = table.Revision(3)
 )
 
-func (s *shortHistory) Scan(ctx context.Context, prefix string, _ table.Revision) ([]table.Row, table.Revision, error) {
+func (s *compactedTable) Scan(ctx context.Context, prefix string, _ table.Revision) ([]table.Row, table.Revision, error) {
 	s.calls++
-	time.Sleep(answerTime)
-	return []table.Row{{Key: "op//config", Version: oldRow}}, s.newest, nil
+	time.Sleep(answerDelay)
+	return []table.Row{{Key: "op//config", Version: rowVersion}}, s.newest, nil
 }
 
-func (s *shortHistory) Watch(ctx context.Context, prefix string, after table.Revision, wait time.Duration) ([]table.Row, table.Revision, error) {
+func (s *compactedTable) Watch(ctx context.Context, prefix string, after table.Revision, wait time.Duration) ([]table.Row, table.Revision, error) {
 	s.calls++
 	if after < s.newest {
-		time.Sleep(answerTime)
+		time.Sleep(answerDelay)
 		return nil, 0, storage.ErrCompacted
 	}
 	actor.Sleep(ctx, wait)
 	return nil, s.newest, nil
 }
 
-// Guards against an entry that asks the table service without a pause because
-// the configuration is older than the service's history.
-func TestAnOldConfigurationIsWatchedWithoutABusyLoop(t *testing.T) {
+// Guards against requests to the table service in a busy loop: a watch from the
+// version of a configuration that is older than the history fails at once.
+func TestConfigurationOlderThanTheHistoryIsWatchedWithoutBusyLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &shortHistory{newest: 900}
+		store := &compactedTable{newest: 900}
 		ctx, cancel := context.WithCancel(t.Context())
 		g := actor.NewGroup(ctx, nil)
 		c := &controller{
-			config:  &configState{source: ConfigSource{Key: "op//config", Prefix: "op//"}},
-			gateway: &gateway{store: store},
+			config:     &configState{source: ConfigSource{Key: "op//config", Prefix: "op//"}},
+			storeProxy: &storeProxy{store: store},
 			address: actor.Spawn(g, actor.Spec[any]{Name: "sink", Mailbox: 1, Run: func(ctx context.Context, in <-chan any) error {
 				for {
 					select {
@@ -64,13 +64,13 @@
 		}
 		done := make(chan error, 1)
 		go func() { done <- c.watchConfig(ctx) }()
-		const played = 20 * time.Second
-		time.Sleep(played)
+		const duration = 20 * time.Second
+		time.Sleep(duration)
 		cancel()
 		require.NoError(t, <-done)
 		g.Stop()
-		// A watch ends after configWait at least, a row is read again after
-		// configReread at least.
-		require.LessOrEqual(t, store.calls, int(played/configWait+played/configReread)+4)
+		// A watch takes at least configWait, and the row is read again after at
+		// least configRereadInterval.
+		require.LessOrEqual(t, store.calls, int(duration/configWait+duration/configRereadInterval)+4)
 	})
 }
--- a/internal/jobdaemon/controller.go
+++ b/internal/jobdaemon/controller.go
@@ -17,46 +17,46 @@
 const (
 	controllerMailbox = 1024
 	controllerTick    = 50 * time.Millisecond
-	// drainLimit bounds how many messages are applied before their effects
-	// are sent.
-	drainLimit = 128
-	pruneEvery = 10 * time.Second
+	// maxBatch bounds the number of messages that are applied before their
+	// effects are sent.
+	maxBatch      = 128
+	pruneInterval = 10 * time.Second
 )
 
-// controller is the actor that owns an entry's state: its links, its view of
-// the jobs and, while it owns them, the jobs themselves.
+// controller is the actor that owns the state of an entry: its links, its cache
+// of the jobs' phases and, while the entry is the owner, the jobs themselves.
 type controller struct {
-	self    msg.Member
-	log     log.Interface
-	group   *actor.Group
-	gateway *gateway
-	address actor.Address[any]
-	began   time.Time
-	metrics *entryMetrics
-
-	links   map[linkID]*entryLink
-	agents  map[workload.HostName]*agentView
-	members map[string]msg.Member // entries by name
-	config  *configState
-	mirror  *mirror
-	owner   *ownership.Core
-	jobs    *jobs.Core // nil unless this entry owns the jobs
-	loading bool       // the stored jobs are being read
-	early   []any      // messages for the owner that came while loading
-	writer  writer
-	relays  relays
-	feed    *actor.Group // of the watch of the jobs table
-	pruned  time.Duration
+	self       msg.Member
+	log        log.Interface
+	group      *actor.Group
+	storeProxy *storeProxy
+	address    actor.Address[any]
+	startedAt  time.Time
+	metrics    *entryMetrics
+
+	links       map[linkID]*entryLink
+	agents      map[workload.HostName]*agentView
+	members     map[string]msg.Member // entries by name
+	config      *configState
+	phases      *phaseCache
+	owner       *ownership.Core
+	jobs        *jobs.Core // nil unless this entry owns the jobs
+	loading     bool       // this entry owns the jobs but has not read them yet
+	deferred    []any      // messages for the owner that arrived while loading
+	writer      writer
+	peerCommits peerCommits
+	ownerGroup  *actor.Group // actors that end with the ownership: they load and watch the jobs
+	prunedAt    time.Duration
 
 	published *published
 }
 
-// published is what other goroutines of the entry may read.
+// published holds the values that other goroutines of the process may read.
 type published struct {
 	epoch    actor.Value[uint64]
 	linked   actor.Value[map[string]bool] // addresses of linked entries
 	members  actor.Value[[]msg.Member]
-	retiring actor.Value[bool]
+	retiring actor.Value[bool] // the entry is draining
 }
 
 // entryLink is a link with an agent or another entry.
@@ -66,17 +66,17 @@
 	out   peer.Out
 }
 
-// agentView is what an entry knows of an agent.
+// agentView is the state of an agent as an entry knows it.
 type agentView struct {
-	link *entryLink // nil: not linked
+	link *entryLink // nil: unlinked
 	host workload.Host
 }
 
-func (c *controller) now() time.Duration { return time.Since(c.began) }
+func (c *controller) now() time.Duration { return time.Since(c.startedAt) }
 
-// run applies messages in batches and sends what they led to.
+// run applies messages in batches and sends their effects after each batch.
 func (c *controller) run(ctx context.Context, in <-chan any) error {
-	return actor.BatchLoop[any]{Limit: drainLimit, Interval: controllerTick, Apply: c.apply, Tick: c.tick, Flush: c.flush}.Run(ctx, in)
+	return actor.BatchLoop[any]{Limit: maxBatch, Interval: controllerTick, Apply: c.apply, Tick: c.tick, Flush: c.flush}.Run(ctx, in)
 }
 
 func (c *controller) tick() {
@@ -86,10 +86,10 @@
 		c.jobs.Advance(now, time.Now().UnixMilli())
 		c.jobs.Tick()
 	}
-	c.relays.expire(now)
-	if now-c.pruned > pruneEvery {
-		c.pruned = now
-		c.mirror.prune(now)
+	c.peerCommits.expire(now)
+	if now-c.prunedAt > pruneInterval {
+		c.prunedAt = now
+		c.phases.prune(now)
 	}
 }
 
@@ -122,20 +122,20 @@
 		c.cancelStored(m)
 	case *phaseQuery:
 		c.phaseQuery(m)
-	case *waitingQuery:
-		m.reply.Put(c.mirror.waiting[m.queue])
+	case *queueLengthQuery:
+		m.reply.Put(c.phases.queued[m.queue])
 	case *configRead:
 		c.configRead(m)
 	case *membersRead:
-		c.meet(m.entries)
-	case *relayRequest:
-		c.relayRequest(m)
-	case *retire:
+		c.addMembers(m.entries)
+	case *peerCommitRequest:
+		c.requestPeerCommit(m)
+	case *retireRequest:
 		c.retire(m)
 	}
 }
 
-// flush sends what the cores decided.
+// flush applies the decisions of the ownership and of the jobs.
 func (c *controller) flush() {
 	c.ownershipEffects()
 	if c.jobs == nil || c.loading {
@@ -143,38 +143,39 @@
 	}
 	c.jobs.Plan()
 	for _, s := range c.jobs.Messages() {
-		c.toHost(s)
+		c.sendToHost(s)
 	}
 	c.publish(c.jobs.Phases())
 	for _, d := range c.jobs.Decisions() {
 		c.logDecision(d)
 	}
-	c.store()
+	c.storePending()
 }
 
-func (c *controller) toHost(s jobs.HostMessage) {
+func (c *controller) sendToHost(s jobs.HostMessage) {
 	a := c.agents[s.Host]
 	if a == nil || a.link == nil {
-		return // the host is silent; its runs are settled when it returns
+		return // the host sends its inventory when it is linked again
 	}
 	c.send(a.link, s.Message)
 }
 
-// send hands a message to a link. A link whose queue is full ends itself.
+// send queues a message for a link. The link ends if its queue is full.
 func (c *controller) send(l *entryLink, m msg.Control) { l.out.TrySend(m) }
 
-// publish records phases and tells the other entries.
+// publish records phases in the cache and sends them to the other entries.
 func (c *controller) publish(phases []msg.JobPhase) {
 	if len(phases) == 0 {
 		return
 	}
 	for _, p := range phases {
-		c.mirror.take(p, c.now())
+		c.phases.update(p, c.now())
 	}
-	c.toEntries(&msg.JobPhases{Epoch: c.jobs.Epoch(), Jobs: phases})
+	c.sendToEntries(&msg.JobPhases{Epoch: c.jobs.Epoch(), Jobs: phases})
 }
 
-func (c *controller) toEntries(m msg.Control) {
+// sendToEntries sends a message once to each linked entry.
+func (c *controller) sendToEntries(m msg.Control) {
 	sent := map[string]bool{}
 	for _, l := range c.links {
 		if name := l.hello.Member.Name; !l.hello.Agent && !sent[name] {
--- a/internal/jobdaemon/controller_links.go
+++ b/internal/jobdaemon/controller_links.go
@@ -8,6 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
+// entryLink returns a link to the named entry, or nil.
 func (c *controller) entryLink(name string) *entryLink {
 	for _, l := range c.links {
 		if !l.hello.Agent && l.hello.Member.Name == name {
@@ -26,11 +27,11 @@
 		c.owner.EpochObserved(m.hello.Epoch, c.now())
 	}
 	if m.hello.Agent {
-		c.agentUp(l)
+		c.agentLinkUp(l)
 		return
 	}
 	c.owner.PeerUp(name)
-	c.meet([]msg.Member{m.hello.Member})
+	c.addMembers([]msg.Member{m.hello.Member})
 	c.setLinked()
 	if c.config.current != nil {
 		c.send(l, &msg.ConfigAnnounced{Version: c.config.current.Version, Raw: c.config.raw})
@@ -41,7 +42,7 @@
 	}
 }
 
-func (c *controller) agentUp(l *entryLink) {
+func (c *controller) agentLinkUp(l *entryLink) {
 	name := workload.HostName(l.hello.Member.Name)
 	a := c.agents[name]
 	if a == nil {
@@ -72,7 +73,7 @@
 		}
 		return
 	}
-	c.relays.lost(name)
+	c.peerCommits.linkDown(name)
 	if c.entryLink(name) == nil {
 		c.owner.PeerDown(name, c.now())
 	}
@@ -93,25 +94,26 @@
 	switch m := m.(type) {
 	case *msg.Heartbeat:
 	case *msg.Members:
-		c.meet(m.Entries)
+		c.addMembers(m.Entries)
 	case *msg.HostAnnounced:
-		c.announced(l, m.Host)
+		c.hostAnnounced(l, m.Host)
 	case *msg.OwnerClaim:
 		c.owner.OwnerObserved(m.Owner, m.Epoch, c.now())
 	case *msg.ConfigAnnounced:
 		c.configAnnounced(m)
 	case *msg.StoreCall:
-		c.storeCall(l, m)
+		c.commitForPeer(l, m)
 	case *msg.StoreResult:
-		c.relays.answered(m)
+		c.peerCommits.answered(m)
 	case *msg.JobPhases:
-		c.phasesHeard(m)
+		c.phasesReceived(m)
 	case *msg.JobSubmitted, *msg.JobCancelled, *msg.HostInventory, *msg.RunsChanged, *msg.RunsProgress:
-		c.forOwner(l, m)
+		c.applyToOwner(l, m)
 	}
 }
 
-func (c *controller) announced(l *entryLink, h workload.Host) {
+// hostAnnounced records the state of a host from the present link of its agent.
+func (c *controller) hostAnnounced(l *entryLink, h workload.Host) {
 	a := c.agents[workload.HostName(l.hello.Member.Name)]
 	if a == nil || a.link != l {
 		return
@@ -122,16 +124,18 @@
 	}
 }
 
-// forOwner applies a message that concerns the owner of the jobs.
-func (c *controller) forOwner(l *entryLink, m msg.Control) {
+// applyToOwner applies a message to the jobs if this entry owns them.
+// Submissions and inventories that arrive while the stored jobs are loaded are
+// deferred.
+func (c *controller) applyToOwner(l *entryLink, m msg.Control) {
 	if c.jobs == nil {
-		return // the sender repeats it to the next owner
+		return // the next owner reads the table and claims the hosts, so nothing is lost
 	}
 	name := workload.HostName(l.hello.Member.Name)
 	switch m := m.(type) {
 	case *msg.JobSubmitted:
 		if c.loading {
-			c.early = append(c.early, m)
+			c.deferred = append(c.deferred, m)
 			return
 		}
 		c.jobs.Submit(m.Job)
@@ -139,7 +143,7 @@
 		c.jobs.Cancel(m.ID)
 	case *msg.HostInventory:
 		if c.loading {
-			c.early = append(c.early, m)
+			c.deferred = append(c.deferred, m)
 			return
 		}
 		c.jobs.Inventory(m)
@@ -150,17 +154,18 @@
 	}
 }
 
-func (c *controller) phasesHeard(m *msg.JobPhases) {
+func (c *controller) phasesReceived(m *msg.JobPhases) {
 	if m.Epoch < c.owner.Epoch() {
 		return
 	}
 	for _, p := range m.Jobs {
-		c.mirror.take(p, c.now())
+		c.phases.update(p, c.now())
 	}
 }
 
-// meet takes entries that were heard of.
-func (c *controller) meet(entries []msg.Member) {
+// addMembers records entries that were received from a peer or read from the
+// table service, and sends the list to all peers if it changed.
+func (c *controller) addMembers(entries []msg.Member) {
 	changed := false
 	for _, e := range entries {
 		if e.Name == c.self.Name || e.Address == "" || c.members[e.Name] == e {
--- a/internal/jobdaemon/decisions.go
+++ b/internal/jobdaemon/decisions.go
@@ -14,9 +14,9 @@
 	jobs.RunStopped: event.RunStopped, jobs.HostChanged: event.TaskHostChanged, jobs.TaskUnplaced: event.TaskUnplaced,
 }
 
-// logDecision writes the line of a decision of the owner.
+// logDecision counts and logs a decision of the owner.
 func (c *controller) logDecision(d jobs.Decision) {
-	c.metrics.decided(d)
+	c.metrics.countDecision(d)
 	fields := log.Fields{"epoch": c.jobs.Epoch(), "detail": d.Detail, "age-ms": d.Age.Milliseconds()}
 	if d.Job != "" {
 		fields["job"] = string(d.Job)
@@ -30,17 +30,17 @@
 	event.Log(c.log, ownerEvents[d.Kind], fields)
 }
 
-var guardEvents = map[hostagent.DecisionKind]event.Event{
+var agentEvents = map[hostagent.DecisionKind]event.Event{
 	hostagent.OwnerAdopted: event.AgentOwnerAdopted, hostagent.OwnerRefused: event.AgentOwnerRefused, hostagent.RunRefused: event.AgentRunRefused,
 	hostagent.RunUnconfirmed: event.AgentRunUnconfirmed, hostagent.IncarnationStarted: event.AgentIncarnationStarted, hostagent.IncarnationEnded: event.AgentIncarnationEnded,
 	hostagent.RunThrottled: event.AgentRunThrottled,
 }
 
-// logDecision writes the line of a decision of the guard.
+// logDecision logs a decision of the agent.
 func (a *agent) logDecision(d hostagent.Decision) {
 	fields := log.Fields{"epoch": d.Epoch, "detail": d.Detail}
 	if (d.Run != workload.RunID{}) {
 		fields["run"] = d.Run.String()
 	}
-	event.Log(a.log, guardEvents[d.Kind], fields)
+	event.Log(a.log, agentEvents[d.Kind], fields)
 }
--- a/internal/jobdaemon/entry.go
+++ b/internal/jobdaemon/entry.go
@@ -19,58 +19,60 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// EntryConfig holds what an entry is started with.
+// EntryConfig holds the settings and dependencies of an entry.
 type EntryConfig struct {
 	Name       string
 	DataCentre workload.DataCentre
-	Links      string // address of the links
-	Callers    string
-	Readiness  string
-	Metrics    string
-	Seeds      []string // addresses of links of other entries
-	Boot       uint64
-	Store      Store
-	Config     ConfigSource
-	// The handlers translate the callers' protocol.
+	// Listen addresses. Links is also the address that other processes dial.
+	// Without Metrics no metrics are served.
+	Links     string
+	Callers   string
+	Readiness string
+	Metrics   string
+	Seeds     []string // link addresses of other entries to dial first
+	Boot      uint64   // random number of this process
+	Store     Store
+	Config    ConfigSource
+	// The handlers decode requests and encode answers.
 	CallerHandler    func(jobapi.Handler) http.Handler
 	ReadinessHandler func(jobapi.Handler) http.Handler
 	Log              log.Interface
 }
 
-// Entry is a running entry.
+// Entry is a running entry. Its methods may be called by any goroutine.
 type Entry struct {
-	controller *controller
-	callers    func(context.Context) error
-	log        log.Interface
+	controller      *controller
+	shutdownCallers func(context.Context) error
+	log             log.Interface
 }
 
 // StartEntry starts an entry. It ends with g.
 func StartEntry(g *actor.Group, cfg EntryConfig) (*Entry, error) {
 	registry := metrics.Start(g)
 	c := &controller{
-		self: msg.Member{Name: cfg.Name, Address: cfg.Links}, log: cfg.Log, group: g, began: time.Now(),
+		self: msg.Member{Name: cfg.Name, Address: cfg.Links}, log: cfg.Log, group: g, startedAt: time.Now(),
 		metrics: newEntryMetrics(registry),
 		links:   map[linkID]*entryLink{}, agents: map[workload.HostName]*agentView{}, members: map[string]msg.Member{},
-		mirror: newMirror(), owner: ownership.New(cfg.Name, cfg.Boot, 0), published: &published{},
-		relays: relays{pending: map[uint64]*relayed{}},
+		phases: newPhaseCache(), owner: ownership.New(cfg.Name, cfg.Boot, 0), published: &published{},
+		peerCommits: peerCommits{pending: map[uint64]*pendingCommit{}},
 	}
-	force := &actor.Value[workload.Config]{}
-	c.config = &configState{source: cfg.Config, force: force}
-	c.gateway = &gateway{store: cfg.Store, relay: c.viaPeer, log: cfg.Log}
+	configInUse := &actor.Value[workload.Config]{}
+	c.config = &configState{source: cfg.Config, inUse: configInUse}
+	c.storeProxy = &storeProxy{store: cfg.Store, commitViaPeer: c.commitViaPeer, log: cfg.Log}
 	c.address = actor.Spawn(g, actor.Spec[any]{Name: "controller", Mailbox: controllerMailbox, Run: c.run})
 	if err := c.startLinks(cfg); err != nil {
 		return nil, err
 	}
 	actor.Go(g, "config watcher", c.watchConfig)
-	actor.Go(g, "member keeper", c.keepMembers)
+	actor.Go(g, "member keeper", c.maintainMembers)
 
-	d := &desk{controller: c, config: force, log: cfg.Log, metrics: c.metrics}
+	handler := &jobHandler{controller: c, config: configInUse, log: cfg.Log, metrics: c.metrics}
 	e := &Entry{controller: c, log: cfg.Log}
 	var err error
-	if e.callers, err = serve(g, "callers", cfg.Callers, cfg.CallerHandler(d)); err != nil {
+	if e.shutdownCallers, err = serve(g, "callers", cfg.Callers, cfg.CallerHandler(handler)); err != nil {
 		return nil, err
 	}
-	if _, err = serve(g, "readiness", cfg.Readiness, cfg.ReadinessHandler(d)); err != nil {
+	if _, err = serve(g, "readiness", cfg.Readiness, cfg.ReadinessHandler(handler)); err != nil {
 		return nil, err
 	}
 	if _, err = serveMetrics(g, cfg.Metrics, registry); err != nil {
@@ -100,18 +102,19 @@
 	}
 	dialers.start(cfg.Seeds)
 	actor.Go(c.group, "dialer starter", func(ctx context.Context) error {
-		return dialers.follow(ctx, &c.published.members)
+		return dialers.followMembers(ctx, &c.published.members)
 	})
 	return nil
 }
 
-// dialers starts one dialer for each address.
+// dialers starts one dialer for each address. It must be used by one goroutine
+// at a time.
 type dialers struct {
 	links   *links
 	dial    link.Dialer
-	self    string
-	linked  func(string) bool
-	started map[string]bool
+	self    string            // address that is not dialled
+	linked  func(string) bool // reports whether a link with the process at the address is up
+	started map[string]bool   // by address
 }
 
 func (d *dialers) start(addresses []string) {
@@ -120,16 +123,18 @@
 			continue
 		}
 		d.started[a] = true
-		one := &dialer{links: d.links, dial: d.dial, address: a, linked: d.linked}
-		actor.Go(d.links.group, "dialer", one.run)
+		newDialer := &dialer{links: d.links, dial: d.dial, address: a, linked: d.linked}
+		actor.Go(d.links.group, "dialer", newDialer.run)
 	}
 }
 
-// followInterval is how often new members are looked for.
-const followInterval = 200 * time.Millisecond
+// memberPollInterval is the interval at which the published members are checked
+// for new addresses.
+const memberPollInterval = 200 * time.Millisecond
 
-func (d *dialers) follow(ctx context.Context, members *actor.Value[[]msg.Member]) error {
-	for actor.Sleep(ctx, followInterval) {
+// followMembers starts dialers for new members until ctx ends.
+func (d *dialers) followMembers(ctx context.Context, members *actor.Value[[]msg.Member]) error {
+	for actor.Sleep(ctx, memberPollInterval) {
 		if list := members.Get(); list != nil {
 			for _, m := range *list {
 				d.start([]string{m.Address})
@@ -139,29 +144,30 @@
 	return nil
 }
 
-// membersRead are the entries that the table service lists.
+// membersRead carries the entries that were read from the table service.
 type membersRead struct{ entries []msg.Member }
 
 const (
-	memberRetry  = 300 * time.Millisecond
-	memberReread = 5 * time.Second
+	memberRetryInterval  = 300 * time.Millisecond
+	memberRereadInterval = 5 * time.Second
 )
 
-// keepMembers lists this entry in the table service and reads the others.
-func (c *controller) keepMembers(ctx context.Context) error {
-	listed := false
+// maintainMembers registers this entry in the table service and reads the list
+// of entries periodically.
+func (c *controller) maintainMembers(ctx context.Context) error {
+	registered := false
 	for {
-		if !listed {
+		if !registered {
 			put := table.Put{Key: membersPrefix + c.self.Name, Value: []byte(c.self.Address)}
-			listed = c.gateway.commit(ctx, table.Txn{Puts: []table.Put{put}}).outcome == table.Committed
+			registered = c.storeProxy.commit(ctx, table.Txn{Puts: []table.Put{put}}).outcome == table.Committed
 		}
-		entries, err := readMembers(ctx, c.gateway)
+		entries, err := readMembers(ctx, c.storeProxy)
 		if err == nil {
-			c.tell(ctx, &membersRead{entries})
+			c.post(ctx, &membersRead{entries})
 		}
-		pause := memberReread
-		if !listed || err != nil {
-			pause = memberRetry
+		pause := memberRereadInterval
+		if !registered || err != nil {
+			pause = memberRetryInterval
 		}
 		if !actor.Sleep(ctx, pause) {
 			return nil
@@ -169,8 +175,8 @@
 	}
 }
 
-func readMembers(ctx context.Context, g *gateway) ([]msg.Member, error) {
-	rows, _, err := g.scan(ctx, membersPrefix)
+func readMembers(ctx context.Context, p *storeProxy) ([]msg.Member, error) {
+	rows, _, err := p.scan(ctx, membersPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -182,27 +188,28 @@
 }
 
 const (
-	// balancerNotice covers two missed checks of a balancer that asks every
-	// second.
-	balancerNotice = 2300 * time.Millisecond
-	shutdownTime   = 2500 * time.Millisecond
-	giveUpTime     = 1500 * time.Millisecond
+	// balancerDelay covers two failed readiness checks of a balancer that checks
+	// every second.
+	balancerDelay   = 2300 * time.Millisecond
+	shutdownTimeout = 2500 * time.Millisecond
+	releaseTimeout  = 1500 * time.Millisecond
 )
 
-// Drain stops the entry in order: the jobs go to another entry, the balancer
-// sends no new callers, and requests in flight are answered.
+// Drain prepares the end of the entry: it releases the jobs to another entry,
+// waits until the balancer sends no new callers, and answers the requests in
+// flight.
 func (e *Entry) Drain(ctx context.Context) {
 	retiring := true
 	e.controller.published.retiring.Set(&retiring)
-	limited, cancel := context.WithTimeout(ctx, giveUpTime)
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_, err := actor.Ask(limited, e.controller.address, func(r actor.Reply[bool]) any { return &retire{r} })
-	given := err == nil
-	actor.Sleep(ctx, balancerNotice)
-	down, cancelDown := context.WithTimeout(ctx, shutdownTime)
+	_, err := actor.Ask(limited, e.controller.address, func(r actor.Reply[bool]) any { return &retireRequest{r} })
+	released := err == nil
+	actor.Sleep(ctx, balancerDelay)
+	down, cancelDown := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancelDown()
-	err = e.callers(down)
-	event.Log(e.log, event.NodeStopping, log.Fields{"role": "entry", "jobs-given": given, "answered": err == nil})
+	err = e.shutdownCallers(down)
+	event.Log(e.log, event.NodeStopping, log.Fields{"role": "entry", "jobs-given": released, "answered": err == nil})
 }
 
 const (
@@ -211,7 +218,8 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// serve starts an HTTP server. The returned function stops it in order.
+// serve starts an HTTP server. The returned function stops it after the
+// requests in flight have been answered.
 func serve(g *actor.Group, name, address string, h http.Handler) (func(context.Context) error, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -232,6 +240,7 @@
 	}, nil
 }
 
+// serveMetrics serves /metrics unless address is empty.
 func serveMetrics(g *actor.Group, address string, r *metrics.Registry) (func(context.Context) error, error) {
 	if address == "" {
 		return nil, nil
--- /dev/null
+++ b/internal/jobdaemon/jobhandler.go
@@ -0,0 +1,294 @@
+package jobdaemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/bambooscale/bambooscale/internal/actor"
+	"github.com/bambooscale/bambooscale/internal/event"
+	"github.com/bambooscale/bambooscale/internal/jobapi"
+	"github.com/bambooscale/bambooscale/internal/msg"
+	"github.com/bambooscale/bambooscale/internal/storage"
+	"github.com/bambooscale/bambooscale/internal/table"
+	"github.com/bambooscale/bambooscale/internal/wire"
+	"github.com/bambooscale/bambooscale/internal/workload"
+)
+
+const (
+	// submitTimeout bounds the attempts to store a job, so that the caller has
+	// time left to ask another entry.
+	submitTimeout = 500 * time.Millisecond
+	// knownOutage is the duration of an outage of the table service from which
+	// on a caller is refused after one attempt.
+	knownOutage         = 300 * time.Millisecond
+	submitRetryInterval = 50 * time.Millisecond
+	// answerMargin is the time before the caller's deadline that is reserved
+	// for the answer.
+	answerMargin  = 150 * time.Millisecond
+	minRetryAfter = time.Second
+	maxRetryAfter = 4 * time.Second
+)
+
+// jobHandler implements jobapi.Handler for the callers of one entry. Any
+// goroutine may use it.
+type jobHandler struct {
+	controller *controller
+	config     *actor.Value[workload.Config]
+	log        log.Interface
+	metrics    *entryMetrics
+}
+
+var _ jobapi.Handler = (*jobHandler)(nil)
+
+// RetryAfter implements jobapi.Handler. The result grows with the outage of the
+// table service, so that callers do not use up their retries during the outage.
+func (h *jobHandler) RetryAfter() time.Duration {
+	return min(maxRetryAfter, max(minRetryAfter, h.controller.storeProxy.outageDuration()))
+}
+
+// Ready implements jobapi.Handler.
+func (h *jobHandler) Ready() bool {
+	retiring := h.controller.published.retiring.Get()
+	return h.config.Get() != nil && (retiring == nil || !*retiring)
+}
+
+// Queue implements jobapi.Handler.
+func (h *jobHandler) Queue(host, path string) (workload.Queue, error) {
+	c := h.config.Get()
+	if c == nil {
+		return workload.Queue{}, jobapi.ErrNotReady
+	}
+	q, ok := c.Match(host, path)
+	if !ok {
+		return workload.Queue{}, jobapi.ErrNoQueue
+	}
+	return *q, nil
+}
+
+// Messages of a jobHandler to the controller.
+type (
+	jobStored struct {
+		job     workload.Job
+		applied actor.Reply[bool]
+	}
+	cancelStored struct {
+		id      workload.JobID
+		queue   workload.QueueName
+		applied actor.Reply[bool]
+	}
+	phaseQuery struct {
+		id    workload.JobID
+		reply actor.Reply[phaseAnswer]
+	}
+	queueLengthQuery struct {
+		queue workload.QueueName
+		reply actor.Reply[int]
+	}
+	phaseAnswer struct {
+		phase workload.Phase
+		known bool // the job is in the cache
+	}
+)
+
+// Submit implements jobapi.Handler.
+func (h *jobHandler) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
+	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
+	j.TargetSlowdown, j.TargetLatency = q.TargetSlowdown, q.TargetLatency
+	err := h.submit(ctx, j)
+	h.metrics.countSubmission(string(q.Name), err)
+	if err != nil {
+		event.Log(h.log, event.JobRefused, log.Fields{"job": string(j.ID), "queue": string(q.Name), "reason": err.Error()})
+	}
+	return err
+}
+
+func (h *jobHandler) submit(ctx context.Context, j workload.Job) error {
+	if err := j.Validate(); err != nil {
+		if errors.Is(err, workload.ErrUnsupported) {
+			return fmt.Errorf("%w: %w", jobapi.ErrNotAccepted, err)
+		}
+		return fmt.Errorf("%w: %w", jobapi.ErrInvalid, err)
+	}
+	if answer, err := h.queryPhase(ctx, j.ID); err == nil && answer.known {
+		return nil // submitted before
+	}
+	value, err := wire.EncodeJob(&j)
+	if err != nil {
+		return fmt.Errorf("%w: %w", jobapi.ErrInvalid, err)
+	}
+	key := jobKey(j.ID)
+	txn := table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: value}}}
+	if err := h.persist(ctx, txn); err != nil {
+		return err
+	}
+	event.Log(h.log, event.JobAccepted, log.Fields{"job": string(j.ID), "queue": string(j.Queue), "steps": len(j.Steps)})
+	h.notifyController(ctx, func(r actor.Reply[bool]) any { return &jobStored{j, r} })
+	return nil
+}
+
+// notifyController passes a stored change to the controller. If that fails, the
+// owner receives the change through its watch of the table service.
+func (h *jobHandler) notifyController(ctx context.Context, build func(actor.Reply[bool]) any) {
+	_, _ = actor.Ask(ctx, h.controller.address, build)
+}
+
+// persist commits a transaction that creates rows, and repeats it until the
+// outcome is known or the time is up. ErrNotAccepted means that no attempt took
+// effect or will take effect; ErrOutcomeUnknown that one may have.
+func (h *jobHandler) persist(ctx context.Context, txn table.Txn) error {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		deadline = time.Now().Add(submitTimeout)
+	}
+	retryUntil := time.Now().Add(min(submitTimeout, time.Until(deadline)-answerMargin))
+	if h.controller.storeProxy.outageDuration() > knownOutage {
+		retryUntil = time.Now() // one attempt
+	}
+	unknown := false
+	for {
+		r := h.controller.storeProxy.commit(ctx, txn)
+		switch r.outcome {
+		case table.Committed, table.Conflict:
+			return nil // a row with this key contains the same change
+		case table.Refused:
+			return fmt.Errorf("%w: the table service refused the transaction", jobapi.ErrNotAccepted)
+		case table.Unknown:
+			unknown = true
+		}
+		switch {
+		case !unknown && !time.Now().Before(retryUntil):
+			return fmt.Errorf("%w: the table service is unavailable", jobapi.ErrNotAccepted)
+		case unknown && time.Until(deadline) < answerMargin, !actor.Sleep(ctx, submitRetryInterval):
+			return fmt.Errorf("%w: the table service did not answer", jobapi.ErrOutcomeUnknown)
+		}
+	}
+}
+
+// queryPhase asks the controller for the cached phase of a job.
+func (h *jobHandler) queryPhase(ctx context.Context, id workload.JobID) (phaseAnswer, error) {
+	return actor.Ask(ctx, h.controller.address, func(r actor.Reply[phaseAnswer]) any { return &phaseQuery{id, r} })
+}
+
+// Phase implements jobapi.Handler.
+func (h *jobHandler) Phase(ctx context.Context, _ workload.Queue, id workload.JobID) (workload.Phase, error) {
+	answer, err := h.queryPhase(ctx, id)
+	if err != nil {
+		return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
+	}
+	if answer.known {
+		return answer.phase, nil
+	}
+	return h.storedPhase(ctx, id)
+}
+
+// storedPhase reads the phase of a job that is not in the cache from the table
+// service. It repeats failed reads until ctx ends.
+func (h *jobHandler) storedPhase(ctx context.Context, id workload.JobID) (workload.Phase, error) {
+	if id == "" {
+		return 0, jobapi.ErrNoJob
+	}
+	for {
+		phase, err := h.readPhase(ctx, id)
+		if err == nil || errors.Is(err, jobapi.ErrNoJob) {
+			return phase, err
+		}
+		if !actor.Sleep(ctx, submitRetryInterval) {
+			return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
+		}
+	}
+}
+
+// readPhase derives the phase of a job from its rows.
+func (h *jobHandler) readPhase(ctx context.Context, id workload.JobID) (workload.Phase, error) {
+	store := h.controller.storeProxy
+	_, err := store.read(ctx, jobKey(id))
+	switch {
+	case errors.Is(err, storage.ErrNotFound):
+		return 0, jobapi.ErrNoJob
+	case err != nil:
+		return 0, err
+	}
+	_, err = store.read(ctx, cancelKey(id))
+	cancelled := err == nil
+	if err != nil && !errors.Is(err, storage.ErrNotFound) {
+		return 0, err
+	}
+	row, err := store.read(ctx, progressKey(id))
+	switch {
+	case errors.Is(err, storage.ErrNotFound) && cancelled:
+		return workload.Cancelled, nil
+	case errors.Is(err, storage.ErrNotFound):
+		return workload.Queued, nil
+	case err != nil:
+		return 0, err
+	}
+	p, err := wire.DecodeProgress(row.Value)
+	if cancelled && !p.Phase.Final() {
+		p.Phase = workload.Cancelled
+	}
+	return p.Phase, err
+}
+
+// Cancel implements jobapi.Handler.
+func (h *jobHandler) Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error {
+	phase, err := h.Phase(ctx, q, id)
+	if err != nil {
+		return err
+	}
+	if phase.Final() {
+		return nil
+	}
+	key := cancelKey(id)
+	if err := h.persist(ctx, table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: []byte{1}}}}); err != nil {
+		if errors.Is(err, jobapi.ErrNotAccepted) {
+			return fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
+		}
+		return err
+	}
+	event.Log(h.log, event.JobCancelStored, log.Fields{"job": string(id)})
+	h.notifyController(ctx, func(r actor.Reply[bool]) any { return &cancelStored{id, q.Name, r} })
+	return nil
+}
+
+// QueueLength implements jobapi.Handler.
+func (h *jobHandler) QueueLength(ctx context.Context, q workload.Queue) (int, error) {
+	n, err := actor.Ask(ctx, h.controller.address, func(r actor.Reply[int]) any { return &queueLengthQuery{q.Name, r} })
+	if err != nil {
+		return 0, fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
+	}
+	return n, nil
+}
+
+func (c *controller) phaseQuery(m *phaseQuery) {
+	p, known := c.phases.phase(m.id)
+	m.reply.Put(phaseAnswer{p, known})
+}
+
+// jobStored caches a job that a caller of this entry submitted, and passes it to
+// the owner.
+func (c *controller) jobStored(m *jobStored) {
+	c.phases.update(msg.JobPhase{ID: m.job.ID, Queue: m.job.Queue}, c.now())
+	c.sendToOwner(&msg.JobSubmitted{Job: m.job})
+	m.applied.Put(true)
+}
+
+func (c *controller) cancelStored(m *cancelStored) {
+	c.sendToOwner(&msg.JobCancelled{ID: m.id})
+	m.applied.Put(true)
+}
+
+// sendToOwner passes a stored change to the owner if it is known. Otherwise the
+// owner receives the change through its watch of the table service.
+func (c *controller) sendToOwner(m msg.Control) {
+	if c.jobs != nil {
+		c.applyToOwner(&entryLink{hello: &msg.PeerHello{Member: c.self}}, m)
+		return
+	}
+	if l := c.entryLink(c.owner.Owner()); l != nil {
+		c.send(l, m)
+	}
+}
--- a/internal/jobdaemon/keys.go
+++ b/internal/jobdaemon/keys.go
@@ -1,6 +1,7 @@
 // Package jobdaemon assembles the processes of the job scheduler: the entry,
-// which serves submitters and may own the jobs, and the agent, which guards a
-// host. Decisions are made in jobs, hostagent, ownership and policy/hostselect.
+// which serves callers and may own the jobs, and the agent, which starts and
+// stops runs on a host. Packages jobs, hostagent, ownership and
+// policy/hostselect make the decisions.
 package jobdaemon
 
 import (
@@ -9,19 +10,21 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Keys of rows have the form table/part/key. A transaction stays within a part.
+// Keys of rows have the form table/part/key. All rows of a transaction must be
+// in the same part.
 const (
-	ownerKey       = "owner/main/owner"
-	progressPrefix = "progress/main/"
-	hostsPrefix    = "hosts/main/"
-	hostsKey       = hostsPrefix + "known"
-	harmsKey       = hostsPrefix + "harms"
-	membersPrefix  = "members//"
-	cancelSuffix   = ".cancel"
+	ownerKey        = "owner/main/owner"
+	progressPrefix  = "progress/main/"
+	hostsPrefix     = "hosts/main/"
+	hostsKey        = hostsPrefix + "known"
+	interferenceKey = hostsPrefix + "harms"
+	membersPrefix   = "members//"
+	cancelSuffix    = ".cancel"
 )
 
-// jobParts spreads the jobs over parts, whose transactions run one after
-// another. A part is the last hexadecimal digit of the job's id, halved.
+// jobParts are the parts of the jobs table. The table service runs the
+// transactions of one part one after another, so the jobs are spread over
+// several. Two values of the last hexadecimal digit of a job's id share a part.
 const jobParts = "02468ace"
 
 func jobPart(id workload.JobID) string {
@@ -40,9 +43,9 @@
 func cancelKey(id workload.JobID) string   { return jobKey(id) + cancelSuffix }
 func progressKey(id workload.JobID) string { return progressPrefix + string(id) }
 
-// idOfKey returns the job of a row of the jobs table, and whether the row is
-// its cancellation.
-func idOfKey(key string) (id workload.JobID, cancel bool) {
+// parseJobKey returns the job of a row of the jobs table, and whether the row
+// is the job's cancellation.
+func parseJobKey(key string) (id workload.JobID, cancel bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
 	name, cancel = strings.CutSuffix(name, cancelSuffix)
 	return workload.JobID(name), cancel
--- a/internal/jobdaemon/links.go
+++ b/internal/jobdaemon/links.go
@@ -13,20 +13,20 @@
 	"github.com/bambooscale/bambooscale/internal/peer"
 )
 
-// linkTiming notices a silent process in a fraction of the owner's lease.
+// linkTiming detects a silent process within a fraction of the owner's lease.
 var linkTiming = peer.Timing{Heartbeat: 300 * time.Millisecond, Silence: 1200 * time.Millisecond}
 
 const (
-	dialTimeout = 800 * time.Millisecond
-	minRedial   = 50 * time.Millisecond
-	maxRedial   = 250 * time.Millisecond
+	dialTimeout       = 800 * time.Millisecond
+	minRedialInterval = 50 * time.Millisecond
+	maxRedialInterval = 250 * time.Millisecond
 )
 
-// linkID names a link within a process.
+// linkID identifies a link within a process.
 type linkID uint64
 
-// linkUp, linkMessage and linkDown are what the owner of a process's state
-// hears of its links.
+// linkUp, linkMessage and linkDown report the events of a link to the actor that
+// owns the state of the process.
 type (
 	linkUp struct {
 		id    linkID
@@ -43,29 +43,29 @@
 	}
 )
 
-// linkSink delivers what happens on one link to an actor.
-type linkSink struct {
+// linkHandler implements peer.Handler: it sends the events of a link to an actor.
+type linkHandler struct {
 	ctx  context.Context
 	id   linkID
 	send func(context.Context, any) error
 }
 
-func (s *linkSink) Up(hello msg.Control, out peer.Out) error {
-	h, ok := hello.(*msg.PeerHello)
+func (h *linkHandler) Up(hello msg.Control, out peer.Out) error {
+	peerHello, ok := hello.(*msg.PeerHello)
 	if !ok {
 		return peer.ErrProtocol
 	}
-	return s.send(s.ctx, &linkUp{s.id, h, out})
+	return h.send(h.ctx, &linkUp{h.id, peerHello, out})
 }
 
-func (s *linkSink) Receive(m msg.Control) {
-	// An error means that the process ends.
-	_ = s.send(s.ctx, &linkMessage{s.id, m})
+func (h *linkHandler) Receive(m msg.Control) {
+	// Send fails only when the process ends.
+	_ = h.send(h.ctx, &linkMessage{h.id, m})
 }
 
-func (s *linkSink) Down(err error) { _ = s.send(context.WithoutCancel(s.ctx), &linkDown{s.id, err}) }
+func (h *linkHandler) Down(err error) { _ = h.send(context.WithoutCancel(h.ctx), &linkDown{h.id, err}) }
 
-// links numbers and runs the links of a process.
+// links serves the links of a process and assigns their numbers.
 type links struct {
 	group *actor.Group
 	next  actor.Counter
@@ -74,8 +74,8 @@
 }
 
 func (l *links) run(ctx context.Context, conn link.Conn) error {
-	sink := &linkSink{ctx: ctx, id: linkID(l.next.Next()), send: l.send}
-	err := peer.RunWithTiming(ctx, conn, l.hello(), sink, linkTiming)
+	handler := &linkHandler{ctx: ctx, id: linkID(l.next.Next()), send: l.send}
+	err := peer.RunWithTiming(ctx, conn, l.hello(), handler, linkTiming)
 	return err
 }
 
@@ -87,51 +87,51 @@
 			return err
 		}
 		actor.Go(l.group, "accepted link", func(ctx context.Context) error {
-			_ = l.run(ctx, conn) // linkDown tells the reason
+			_ = l.run(ctx, conn) // linkDown carries the reason
 			return nil
 		})
 	}
 }
 
-// dialer keeps a link to one address.
+// dialer maintains a link to one address.
 type dialer struct {
 	links   *links
 	dial    link.Dialer
 	address string
-	linked  func(address string) bool // another link with the process is up
+	linked  func(address string) bool // reports whether a link with the process is up
 }
 
 func (d *dialer) run(ctx context.Context) error {
-	pause := minRedial
+	pause := minRedialInterval
 	for {
-		began := time.Now()
+		started := time.Now()
 		if !d.linked(d.address) {
-			d.once(ctx)
+			d.dialOnce(ctx)
 		}
-		if time.Since(began) > maxRedial {
-			pause = minRedial
+		if time.Since(started) > maxRedialInterval {
+			pause = minRedialInterval
 		}
 		if !actor.Sleep(ctx, pause) {
 			return nil
 		}
-		pause = min(2*pause, maxRedial)
+		pause = min(2*pause, maxRedialInterval)
 	}
 }
 
-func (d *dialer) once(ctx context.Context) {
+func (d *dialer) dialOnce(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, err := d.dial.Dial(limited, d.address)
 	cancel()
 	if err != nil {
-		return // the process is away; the pause grows
+		return // the process is unavailable; run dials again
 	}
-	_ = d.links.run(ctx, conn) // linkDown tells the reason
+	_ = d.links.run(ctx, conn) // linkDown carries the reason
 }
 
 func logLinkDown(l log.Interface, name string, err error) {
-	why := "closed"
+	reason := "closed"
 	if err != nil {
-		why = err.Error()
+		reason = err.Error()
 	}
-	event.Log(l, event.PeerLost, log.Fields{"peer": name, "reason": why})
+	event.Log(l, event.PeerLost, log.Fields{"peer": name, "reason": reason})
 }
--- a/internal/jobdaemon/load.go
+++ b/internal/jobdaemon/load.go
@@ -18,57 +18,59 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// loaded is what a new owner reads.
-type loaded struct {
-	jobs      []workload.Job
-	cancelled []workload.JobID
-	progress  map[workload.JobID]*workload.Progress
-	hosts     []workload.HostName
-	harms     []msg.Interference
-	revision  table.Revision // of the oldest read
+// storedState is the state that a new owner reads from the table service.
+type storedState struct {
+	jobs         []workload.Job
+	cancelled    []workload.JobID
+	progress     map[workload.JobID]*workload.Progress
+	hosts        []workload.HostName
+	interference []msg.Interference
+	revision     table.Revision // of the oldest scan; a watch from it misses no change
 }
 
-const loadRetry = 100 * time.Millisecond
+const loadRetryInterval = 100 * time.Millisecond
 
-// load reads the jobs until it succeeds, and then watches for new ones.
+// load repeats reading the stored jobs until it succeeds, and then watches for
+// changes.
 func (c *controller) load(ctx context.Context, epoch uint64) error {
 	for {
-		l, err := c.loadOnce(ctx)
+		state, err := c.loadOnce(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err == nil {
-			c.tell(ctx, &jobsLoaded{epoch: epoch, load: l})
-			return c.watchJobs(ctx, epoch, l.revision)
+			c.post(ctx, &jobsLoaded{epoch: epoch, state: state})
+			return c.watchJobs(ctx, epoch, state.revision)
 		}
-		c.tell(ctx, &jobsLoaded{epoch: epoch, err: err})
-		if !actor.Sleep(ctx, loadRetry) {
+		c.post(ctx, &jobsLoaded{epoch: epoch, err: err})
+		if !actor.Sleep(ctx, loadRetryInterval) {
 			return nil
 		}
 	}
 }
 
-type scanned struct {
+type scanResult struct {
 	rows     []table.Row
 	revision table.Revision
 	err      error
 }
 
-func (c *controller) loadOnce(ctx context.Context) (*loaded, error) {
+// loadOnce scans all prefixes at the same time.
+func (c *controller) loadOnce(ctx context.Context) (*storedState, error) {
 	prefixes := []string{progressPrefix, hostsPrefix}
 	for _, p := range jobParts {
 		prefixes = append(prefixes, "jobs/"+string(p)+"/")
 	}
-	replies := make([]actor.Reply[scanned], len(prefixes))
+	replies := make([]actor.Reply[scanResult], len(prefixes))
 	for i, p := range prefixes {
-		replies[i] = actor.NewReply[scanned]()
-		actor.Go(c.feed, "scan", func(ctx context.Context) error {
-			rows, revision, err := c.gateway.scan(ctx, p)
-			replies[i].Put(scanned{rows, revision, err})
+		replies[i] = actor.NewReply[scanResult]()
+		actor.Go(c.ownerGroup, "scan", func(ctx context.Context) error {
+			rows, revision, err := c.storeProxy.scan(ctx, p)
+			replies[i].Put(scanResult{rows, revision, err})
 			return nil
 		})
 	}
-	l := &loaded{progress: map[workload.JobID]*workload.Progress{}}
+	state := &storedState{progress: map[workload.JobID]*workload.Progress{}}
 	for _, r := range replies {
 		s, err := r.Get(ctx)
 		if err == nil {
@@ -77,40 +79,41 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.revision == 0 || s.revision < l.revision {
-			l.revision = s.revision
+		if state.revision == 0 || s.revision < state.revision {
+			state.revision = s.revision
 		}
 		for _, row := range s.rows {
-			if err := l.take(row); err != nil {
+			if err := state.addRow(row); err != nil {
 				event.Log(c.log, event.RowUnreadable, log.Fields{"key": row.Key, "error": err.Error()})
 			}
 		}
 	}
-	return l, nil
+	return state, nil
 }
 
-func (l *loaded) take(row table.Row) error {
+// addRow decodes a row and adds it to the state.
+func (s *storedState) addRow(row table.Row) error {
 	switch {
 	case strings.HasPrefix(row.Key, progressPrefix):
 		p, err := wire.DecodeProgress(row.Value)
 		if err != nil {
 			return err
 		}
-		l.progress[workload.JobID(strings.TrimPrefix(row.Key, progressPrefix))] = &p
+		s.progress[workload.JobID(strings.TrimPrefix(row.Key, progressPrefix))] = &p
 	case row.Key == hostsKey:
 		for _, name := range strings.Fields(string(row.Value)) {
-			l.hosts = append(l.hosts, workload.HostName(name))
+			s.hosts = append(s.hosts, workload.HostName(name))
 		}
-	case row.Key == harmsKey:
-		harms, err := wire.DecodeInterference(row.Value)
+	case row.Key == interferenceKey:
+		interference, err := wire.DecodeInterference(row.Value)
 		if err != nil {
 			return err
 		}
-		l.harms = harms
+		s.interference = interference
 	default:
-		id, cancel := idOfKey(row.Key)
+		id, cancel := parseJobKey(row.Key)
 		if cancel {
-			l.cancelled = append(l.cancelled, id)
+			s.cancelled = append(s.cancelled, id)
 			return nil
 		}
 		j, err := wire.DecodeJob(row.Value)
@@ -118,13 +121,14 @@
 			return err
 		}
 		if j.ID != id {
-			return fmt.Errorf("row of job %q holds job %q", id, j.ID)
+			return fmt.Errorf("row of job %q contains job %q", id, j.ID)
 		}
-		l.jobs = append(l.jobs, j)
+		s.jobs = append(s.jobs, j)
 	}
 	return nil
 }
 
+// jobsLoaded restores the stored state, and then applies the deferred messages.
 func (c *controller) jobsLoaded(m *jobsLoaded) {
 	if c.jobs == nil || c.jobs.Epoch() != m.epoch {
 		return
@@ -134,25 +138,25 @@
 		return
 	}
 	c.loading = false
-	for _, id := range m.load.cancelled {
+	for _, id := range m.state.cancelled {
 		c.jobs.Cancel(id)
 	}
-	for _, j := range m.load.jobs {
-		c.jobs.Restore(j, m.load.progress[j.ID])
+	for _, j := range m.state.jobs {
+		c.jobs.Restore(j, m.state.progress[j.ID])
 	}
-	c.jobs.RestoreInterference(m.load.harms)
+	c.jobs.RestoreInterference(m.state.interference)
 	for _, a := range c.agents {
 		if a.link != nil {
 			c.jobs.Linked(a.host)
 		}
 	}
-	for _, name := range m.load.hosts {
+	for _, name := range m.state.hosts {
 		c.jobs.ExpectHost(name)
 	}
 	c.jobs.Recover()
-	early := c.early
-	c.early = nil
-	for _, e := range early {
+	deferred := c.deferred
+	c.deferred = nil
+	for _, e := range deferred {
 		switch e := e.(type) {
 		case *msg.JobSubmitted:
 			c.jobs.Submit(e.Job)
@@ -160,15 +164,16 @@
 			c.jobs.Inventory(e)
 		}
 	}
-	c.toEntries(&msg.JobPhases{Epoch: m.epoch, Full: true, Jobs: c.jobs.AllPhases()})
+	c.sendToEntries(&msg.JobPhases{Epoch: m.epoch, Full: true, Jobs: c.jobs.AllPhases()})
 }
 
 const (
 	watchWait  = 2 * time.Second
-	watchPause = 200 * time.Millisecond // lets rows of one moment share a call
+	watchPause = 200 * time.Millisecond // collects several rows for one answer
 )
 
-// watchJobs passes on rows that other entries stored.
+// watchJobs passes changed rows of the jobs table to the controller. It loads
+// the jobs again if the history after the revision is no longer available.
 func (c *controller) watchJobs(ctx context.Context, epoch uint64, after table.Revision) error {
 	for actor.Sleep(ctx, watchPause) {
 		rows, revision, err := c.watchOnce(ctx, after)
@@ -182,7 +187,7 @@
 		}
 		after = revision
 		if len(rows) > 0 {
-			c.tell(ctx, &jobsWatched{epoch, rows})
+			c.post(ctx, &jobsWatched{epoch, rows})
 		}
 	}
 	return nil
@@ -191,7 +196,7 @@
 func (c *controller) watchOnce(ctx context.Context, after table.Revision) ([]table.Row, table.Revision, error) {
 	limited, cancel := context.WithTimeout(ctx, watchWait+directTimeout)
 	defer cancel()
-	return c.gateway.store.Watch(limited, "jobs/", after, watchWait)
+	return c.storeProxy.store.Watch(limited, "jobs/", after, watchWait)
 }
 
 func (c *controller) jobsWatched(m *jobsWatched) {
@@ -199,7 +204,7 @@
 		return
 	}
 	for _, row := range m.rows {
-		id, cancel := idOfKey(row.Key)
+		id, cancel := parseJobKey(row.Key)
 		switch {
 		case row.Deleted:
 		case cancel:
--- a/internal/jobdaemon/metrics.go
+++ b/internal/jobdaemon/metrics.go
@@ -11,12 +11,12 @@
 	"github.com/bambooscale/bambooscale/internal/metrics"
 )
 
-// entryMetrics counts what an entry does. The labels are queues and outcomes.
+// entryMetrics counts the submissions of an entry and the decisions of an owner.
 type entryMetrics struct{ scope tally.Scope }
 
 func newEntryMetrics(r *metrics.Registry) *entryMetrics { return &entryMetrics{r.Scope("jobs")} }
 
-func (m *entryMetrics) submitted(queue string, err error) {
+func (m *entryMetrics) countSubmission(queue string, err error) {
 	outcome := "accepted"
 	switch {
 	case errors.Is(err, jobapi.ErrOutcomeUnknown):
@@ -29,19 +29,19 @@
 	m.scope.Tagged(map[string]string{"queue": queue, "outcome": outcome}).Counter("submitted_total").Inc(1)
 }
 
-// decided counts a decision of the owner.
-func (m *entryMetrics) decided(d jobs.Decision) {
+// countDecision counts a decision of the owner.
+func (m *entryMetrics) countDecision(d jobs.Decision) {
 	switch d.Kind {
 	case jobs.RunOrdered:
-		m.latency("run_wait_seconds", d.Age)
+		m.recordDuration("run_wait_seconds", d.Age)
 	case jobs.RunEnded:
 		m.scope.Tagged(map[string]string{"end": d.Detail}).Counter("runs_over_total").Inc(1)
 	case jobs.JobEnded:
 		m.scope.Tagged(map[string]string{"phase": d.Detail}).Counter("jobs_over_total").Inc(1)
-		m.latency("job_seconds", d.Age)
+		m.recordDuration("job_seconds", d.Age)
 	}
 }
 
-func (m *entryMetrics) latency(name string, d time.Duration) {
+func (m *entryMetrics) recordDuration(name string, d time.Duration) {
 	m.scope.Histogram(name, metrics.LatencyBuckets).RecordDuration(d)
 }
--- a/internal/jobdaemon/owner.go
+++ b/internal/jobdaemon/owner.go
@@ -18,7 +18,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Messages of the helpers that call the table service for the owner.
+// Messages of the goroutines that call the table service for the owner.
 type (
 	ownerRead struct {
 		owner   workload.Owner
@@ -26,11 +26,11 @@
 	}
 	ownerClaimed struct {
 		owner  workload.Owner
-		result result
+		result commitResult
 	}
 	jobsLoaded struct {
 		epoch uint64
-		load  *loaded
+		state *storedState
 		err   error
 	}
 	jobsWatched struct {
@@ -39,22 +39,24 @@
 	}
 )
 
-// tell delivers a message to the controller from a helper.
-func (c *controller) tell(ctx context.Context, m any) {
+// post sends a message to the controller. It waits while the mailbox is full, so
+// the controller itself must not call it.
+func (c *controller) post(ctx context.Context, m any) {
 	_ = c.address.Send(ctx, m) // an error means that the process ends
 }
 
+// ownershipEffects applies the decisions of the ownership.
 func (c *controller) ownershipEffects() {
 	for _, e := range c.owner.Effects() {
 		switch e {
 		case ownership.ReadRow:
 			actor.Go(c.group, "owner reader", c.readOwner)
 		case ownership.ClaimRow:
-			c.claim()
+			c.claimOwnership()
 		case ownership.Begin:
-			c.begin()
+			c.startOwnership()
 		case ownership.End:
-			c.end("another entry owns the jobs")
+			c.endOwnership("another entry owns the jobs")
 		case ownership.Release:
 			c.releaseJobs()
 		}
@@ -64,9 +66,9 @@
 }
 
 func (c *controller) readOwner(ctx context.Context) error {
-	row, err := c.gateway.read(ctx, ownerKey)
+	row, err := c.storeProxy.read(ctx, ownerKey)
 	if err != nil && !errors.Is(err, storage.ErrNotFound) {
-		return nil // the ownership asks again
+		return nil // the ownership repeats ReadRow
 	}
 	m := &ownerRead{version: row.Version}
 	if row.Version != 0 {
@@ -75,11 +77,11 @@
 			return nil
 		}
 	}
-	c.tell(ctx, m)
+	c.post(ctx, m)
 	return nil
 }
 
-func (c *controller) claim() {
+func (c *controller) claimOwnership() {
 	owner, version := c.owner.Claim()
 	value, err := wire.EncodeOwner(owner)
 	if err != nil {
@@ -88,7 +90,7 @@
 	}
 	txn := table.Txn{Checks: []table.Check{{Key: ownerKey, Version: version}}, Puts: []table.Put{{Key: ownerKey, Value: value}}}
 	actor.Go(c.group, "owner claimer", func(ctx context.Context) error {
-		c.tell(ctx, &ownerClaimed{owner, c.gateway.commit(ctx, txn)})
+		c.post(ctx, &ownerClaimed{owner, c.storeProxy.commit(ctx, txn)})
 		return nil
 	})
 }
@@ -97,7 +99,7 @@
 	r := m.result
 	if r.outcome == table.Conflict {
 		for _, row := range r.rows {
-			// An earlier try that got no answer may have won.
+			// An earlier attempt without an answer may have taken effect.
 			if o, err := wire.DecodeOwner(row.Value); err == nil && o == m.owner {
 				r.outcome, r.revision = table.Committed, row.Version
 			}
@@ -109,43 +111,45 @@
 	}
 }
 
-// begin takes the jobs over: it reads them and claims every host.
-func (c *controller) begin() {
+// startOwnership takes over the jobs: it claims every host and loads the jobs.
+func (c *controller) startOwnership() {
 	epoch := c.owner.Epoch()
 	event.Log(c.log, event.OwnershipStarted, log.Fields{"epoch": epoch})
 	c.jobs = jobs.New(epoch, c.now())
 	c.jobs.Advance(c.now(), time.Now().UnixMilli())
-	c.loading, c.early = true, nil
-	c.toEntries(&msg.OwnerClaim{Epoch: epoch, Owner: c.self.Name})
-	c.feed = c.group.Sub()
-	actor.Go(c.feed, "job loader", func(ctx context.Context) error { return c.load(ctx, epoch) })
+	c.loading, c.deferred = true, nil
+	c.sendToEntries(&msg.OwnerClaim{Epoch: epoch, Owner: c.self.Name})
+	c.ownerGroup = c.group.Sub()
+	actor.Go(c.ownerGroup, "job loader", func(ctx context.Context) error { return c.load(ctx, epoch) })
 }
 
-func (c *controller) end(why string) {
+func (c *controller) endOwnership(reason string) {
 	if c.jobs == nil {
 		return
 	}
-	event.Log(c.log, event.OwnershipEnded, log.Fields{"epoch": c.jobs.Epoch(), "reason": why})
-	c.jobs, c.loading, c.early = nil, false, nil
-	c.feed.Cancel()
+	event.Log(c.log, event.OwnershipEnded, log.Fields{"epoch": c.jobs.Epoch(), "reason": reason})
+	c.jobs, c.loading, c.deferred = nil, false, nil
+	c.ownerGroup.Cancel()
 }
 
-// retire asks the entry to give up the jobs; done is answered afterwards.
-type retire struct{ done actor.Reply[bool] }
+// retireRequest asks the controller to release the jobs. The reply is sent when
+// that is done.
+type retireRequest struct{ done actor.Reply[bool] }
 
-func (c *controller) retire(m *retire) {
+func (c *controller) retire(m *retireRequest) {
 	c.owner.Retire(c.now())
-	c.writer.retired = m.done
+	c.writer.retireReply = m.done
 	if c.jobs == nil {
 		m.done.Put(true)
 	}
 }
 
-// releaseJobs stores what is pending and gives the jobs up in one transaction.
+// releaseJobs lets the writer store the pending changes and release the jobs in
+// one transaction.
 func (c *controller) releaseJobs() {
 	if c.jobs == nil || c.loading {
-		c.writer.retired.Put(true)
-		c.end("the process stops")
+		c.writer.retireReply.Put(true)
+		c.endOwnership("the process stops")
 		return
 	}
 	c.writer.releasing = true
--- a/internal/jobdaemon/writer.go
+++ b/internal/jobdaemon/writer.go
@@ -17,40 +17,42 @@
 )
 
 const (
-	// batchDelay lets ends of one moment share a transaction when no caller
-	// waits for them.
+	// batchDelay is how long changes that are not urgent are collected for one
+	// transaction.
 	batchDelay = 150 * time.Millisecond
-	// The pause after a batch was not stored doubles from storeRetry.
-	storeRetry     = 100 * time.Millisecond
-	mostStoreRetry = 400 * time.Millisecond
+	// The pause before a failed transaction is repeated doubles from
+	// minStoreRetryInterval to maxStoreRetryInterval.
+	minStoreRetryInterval = 100 * time.Millisecond
+	maxStoreRetryInterval = 400 * time.Millisecond
 )
 
 // writer stores the owner's batches one after another. Each transaction checks
-// and rewrites the owner's row, so that one that takes effect late fails, and
-// so does every write of an owner that was replaced.
+// the version of the owner's row and rewrites the row. So a transaction that
+// arrives late fails, and so does every write of an owner that was replaced.
 type writer struct {
 	owner   workload.Owner
 	version table.Revision // of the owner's row
 
-	busy      bool
-	pause     time.Duration // before the next try of a batch
-	pendingAt time.Duration // when something to store was first seen; 0: nothing
-	releasing bool
-	retired   actor.Reply[bool]
+	committing   bool          // a transaction is in flight or will be repeated
+	retryPause   time.Duration // before the transaction is repeated
+	pendingSince time.Duration // when the first pending change was observed; 0: no change is pending
+	releasing    bool          // the next transaction releases the jobs
+	retireReply  actor.Reply[bool]
 }
 
-// batchStored is the outcome of a transaction of the writer.
+// batchStored reports the outcome of a transaction of the writer.
 type batchStored struct {
 	epoch  uint64
-	owner  workload.Owner // as written
-	result result
+	owner  workload.Owner // as written in the owner's row
+	result commitResult
 	txn    table.Txn
 }
 
-// store starts the next transaction if there is something to store.
-func (c *controller) store() {
+// storePending starts the next transaction if changes are pending and none is in
+// flight.
+func (c *controller) storePending() {
 	w := &c.writer
-	if w.busy {
+	if w.committing {
 		return
 	}
 	if w.releasing {
@@ -61,18 +63,20 @@
 	now := c.now()
 	switch {
 	case !pending:
-		w.pendingAt = 0
+		w.pendingSince = 0
 		return
-	case w.pendingAt == 0:
-		w.pendingAt = now
+	case w.pendingSince == 0:
+		w.pendingSince = now
 	}
-	if urgent || now-w.pendingAt >= batchDelay {
+	if urgent || now-w.pendingSince >= batchDelay {
 		next := w.owner
 		next.Sequence++
 		c.storeBatch(next)
 	}
 }
 
+// storeBatch stores the next batch of changes and the owner's row. An owner
+// without a name releases the jobs.
 func (c *controller) storeBatch(owner workload.Owner) {
 	w := &c.writer
 	batch := c.jobs.NextBatch()
@@ -82,24 +86,26 @@
 		c.jobs.BatchFailed()
 		return
 	}
-	w.busy, w.pendingAt = true, 0
+	w.committing, w.pendingSince = true, 0
 	c.commitBatch(owner, txn, 0)
 	if len(batch.Removed) > 0 {
 		c.removeJobs(batch.Removed)
 	}
 }
 
+// commitBatch commits a transaction of the writer after a pause.
 func (c *controller) commitBatch(owner workload.Owner, txn table.Txn, pause time.Duration) {
 	epoch := c.writer.owner.Epoch
 	actor.Go(c.group, "batch writer", func(ctx context.Context) error {
 		if pause > 0 && !actor.Sleep(ctx, pause) {
 			return nil
 		}
-		c.tell(ctx, &batchStored{epoch, owner, c.gateway.commit(ctx, txn), txn})
+		c.post(ctx, &batchStored{epoch, owner, c.storeProxy.commit(ctx, txn), txn})
 		return nil
 	})
 }
 
+// batchTxn builds the transaction that stores a batch and the owner's row.
 func (c *controller) batchTxn(owner workload.Owner, b *jobs.Batch) (table.Txn, error) {
 	value, err := wire.EncodeOwner(owner)
 	txn := table.Txn{
@@ -124,7 +130,7 @@
 		if err != nil {
 			return txn, err
 		}
-		txn.Puts = append(txn.Puts, table.Put{Key: harmsKey, Value: value})
+		txn.Puts = append(txn.Puts, table.Put{Key: interferenceKey, Value: value})
 	}
 	if b.Hosts != nil {
 		names := make([]string, len(b.Hosts))
@@ -136,8 +142,8 @@
 	return txn, nil
 }
 
-// removeJobs drops the rows of jobs that nobody asks for any more. A row that
-// stays because of an error is found over by the next owner and dropped again.
+// removeJobs deletes the rows of jobs whose retention has ended. If a deletion
+// fails, the next owner finds that the job has ended and deletes its rows again.
 func (c *controller) removeJobs(ids []workload.JobID) {
 	byPart := map[string][]string{}
 	for _, id := range ids {
@@ -145,7 +151,7 @@
 	}
 	for _, keys := range byPart {
 		actor.Go(c.group, "row remover", func(ctx context.Context) error {
-			c.gateway.commit(ctx, table.Txn{Deletes: keys})
+			c.storeProxy.commit(ctx, table.Txn{Deletes: keys})
 			return nil
 		})
 	}
@@ -158,27 +164,27 @@
 	}
 	r := m.result
 	if r.outcome == table.Conflict {
-		r = c.conflict(m, r)
+		r = c.resolveConflict(m, r)
 	}
 	switch r.outcome {
 	case table.Committed:
 		c.batchCommitted(m, r.revision)
 	case table.Conflict:
-		w.busy = false
+		w.committing = false
 		c.jobs.BatchFailed()
-		w.retired.Put(true)
+		w.retireReply.Put(true)
 		c.owner.Superseded(c.now())
 	default:
 		event.Log(c.log, event.OwnerStoreFailed, log.Fields{"epoch": m.epoch, "outcome": r.outcome.String()})
 		m.txn.Checks[0].Version = w.version
-		w.pause = min(mostStoreRetry, max(storeRetry, 2*w.pause))
-		c.commitBatch(m.owner, m.txn, w.pause)
+		w.retryPause = min(maxStoreRetryInterval, max(minStoreRetryInterval, 2*w.retryPause))
+		c.commitBatch(m.owner, m.txn, w.retryPause)
 	}
 }
 
-// conflict finds out whether the row is still this owner's. A former try of
-// the same batch that got no answer may have taken effect.
-func (c *controller) conflict(m *batchStored, r result) result {
+// resolveConflict checks whether the owner's row still belongs to this owner. An
+// earlier attempt of the same batch without an answer may have taken effect.
+func (c *controller) resolveConflict(m *batchStored, r commitResult) commitResult {
 	for _, row := range r.rows {
 		if row.Key != ownerKey {
 			continue
@@ -188,10 +194,10 @@
 		case err != nil:
 			event.Log(c.log, event.RowUnreadable, log.Fields{"key": ownerKey, "error": err.Error()})
 		case o == m.owner:
-			return result{outcome: table.Committed, revision: row.Version}
+			return commitResult{outcome: table.Committed, revision: row.Version}
 		case o.Name == c.writer.owner.Name && o.Boot == c.writer.owner.Boot && o.Epoch == m.epoch:
 			c.writer.version = row.Version
-			return result{outcome: table.Unknown}
+			return commitResult{outcome: table.Unknown}
 		}
 	}
 	return r
@@ -199,21 +205,22 @@
 
 func (c *controller) batchCommitted(m *batchStored, version table.Revision) {
 	w := &c.writer
-	w.busy, w.pause, w.version, w.owner.Sequence = false, 0, version, m.owner.Sequence
+	w.committing, w.retryPause, w.version, w.owner.Sequence = false, 0, version, m.owner.Sequence
 	c.jobs.BatchCommitted()
 	if m.owner.Name != "" {
 		return
 	}
-	c.flushLast()
-	c.toEntries(&msg.OwnerClaim{Epoch: m.epoch})
-	c.end("the process stops")
-	w.retired.Put(true)
+	c.sendFinalEffects()
+	c.sendToEntries(&msg.OwnerClaim{Epoch: m.epoch})
+	c.endOwnership("the process stops")
+	w.retireReply.Put(true)
 }
 
-// flushLast sends what the last batch released.
-func (c *controller) flushLast() {
+// sendFinalEffects sends the messages and phases that were held back until the
+// last batch was stored.
+func (c *controller) sendFinalEffects() {
 	for _, s := range c.jobs.Messages() {
-		c.toHost(s)
+		c.sendToHost(s)
 	}
 	c.publish(c.jobs.Phases())
 }
