--- a/internal/hostagent/throttle.go
+++ b/internal/hostagent/throttle.go
@@ -15,8 +15,8 @@
 	// unknownPercent is the CPU limit of a run that a former process of the
 	// agent started, or whose last throttle call failed.
 	unknownPercent = -1
-	// CPU limits are multiples of percentStep. A change by less than
-	// percentDeadband is not sent to the backend server.
+	// CPU limits are multiples of percentStep. A limit is not changed by less
+	// than percentDeadband, except to or from 0 and to unlimitedPercent.
 	percentStep     = 5
 	percentDeadband = 15
 	// maxMissTime is how long a serving task may miss its latency target
--- a/internal/jobdaemon/controller.go
+++ b/internal/jobdaemon/controller.go
@@ -34,7 +34,7 @@
 	startedAt  time.Time
 	metrics    *entryMetrics
 
-	links       map[linkID]*entryLink
+	links       map[linkID]*peerLink
 	agents      map[workload.HostName]*agentView
 	members     map[string]msg.Member // entries by name
 	config      *configState
@@ -59,8 +59,8 @@
 	retiring actor.Value[bool] // the entry is draining
 }
 
-// entryLink is a link with an agent or another entry.
-type entryLink struct {
+// peerLink is a link to an agent or to another entry.
+type peerLink struct {
 	id    linkID
 	hello *msg.PeerHello
 	out   peer.Out
@@ -68,7 +68,7 @@
 
 // agentView is the state of an agent as an entry knows it.
 type agentView struct {
-	link *entryLink // nil: unlinked
+	link *peerLink // nil: unlinked
 	host workload.Host
 }
 
@@ -161,7 +161,7 @@
 }
 
 // send queues a message for a link. The link ends if its queue is full.
-func (c *controller) send(l *entryLink, m msg.Control) { l.out.TrySend(m) }
+func (c *controller) send(l *peerLink, m msg.Control) { l.out.TrySend(m) }
 
 // publish records phases in the cache and sends them to the other entries.
 func (c *controller) publish(phases []msg.JobPhase) {
--- a/internal/jobdaemon/controller_links.go
+++ b/internal/jobdaemon/controller_links.go
@@ -9,7 +9,7 @@
 )
 
 // entryLink returns a link to the named entry, or nil.
-func (c *controller) entryLink(name string) *entryLink {
+func (c *controller) entryLink(name string) *peerLink {
 	for _, l := range c.links {
 		if !l.hello.Agent && l.hello.Member.Name == name {
 			return l
@@ -19,7 +19,7 @@
 }
 
 func (c *controller) linkUp(m *linkUp) {
-	l := &entryLink{m.id, m.hello, m.out}
+	l := &peerLink{m.id, m.hello, m.out}
 	c.links[m.id] = l
 	name := m.hello.Member.Name
 	event.Log(c.log, event.PeerLinked, log.Fields{"peer": name, "agent": m.hello.Agent, "epoch": m.hello.Epoch})
@@ -42,7 +42,7 @@
 	}
 }
 
-func (c *controller) agentLinkUp(l *entryLink) {
+func (c *controller) agentLinkUp(l *peerLink) {
 	name := workload.HostName(l.hello.Member.Name)
 	a := c.agents[name]
 	if a == nil {
@@ -90,7 +90,7 @@
 	c.published.linked.Set(&linked)
 }
 
-func (c *controller) received(l *entryLink, m msg.Control) {
+func (c *controller) received(l *peerLink, m msg.Control) {
 	switch m := m.(type) {
 	case *msg.Heartbeat:
 	case *msg.Members:
@@ -108,12 +108,12 @@
 	case *msg.JobPhases:
 		c.phasesReceived(m)
 	case *msg.JobSubmitted, *msg.JobCancelled, *msg.HostInventory, *msg.RunsChanged, *msg.RunsProgress:
-		c.applyToOwner(l, m)
+		c.applyToJobs(l, m)
 	}
 }
 
 // hostAnnounced records the state of a host from the present link of its agent.
-func (c *controller) hostAnnounced(l *entryLink, h workload.Host) {
+func (c *controller) hostAnnounced(l *peerLink, h workload.Host) {
 	a := c.agents[workload.HostName(l.hello.Member.Name)]
 	if a == nil || a.link != l {
 		return
@@ -124,10 +124,10 @@
 	}
 }
 
-// applyToOwner applies a message to the jobs if this entry owns them.
+// applyToJobs applies a message to the jobs if this entry owns them.
 // Submissions and inventories that arrive while the stored jobs are loaded are
 // deferred.
-func (c *controller) applyToOwner(l *entryLink, m msg.Control) {
+func (c *controller) applyToJobs(l *peerLink, m msg.Control) {
 	if c.jobs == nil {
 		return // the next owner reads the table and claims the hosts, so nothing is lost
 	}
--- a/internal/jobdaemon/entry.go
+++ b/internal/jobdaemon/entry.go
@@ -52,7 +52,7 @@
 	c := &controller{
 		self: msg.Member{Name: cfg.Name, Address: cfg.Links}, log: cfg.Log, group: g, startedAt: time.Now(),
 		metrics: newEntryMetrics(registry),
-		links:   map[linkID]*entryLink{}, agents: map[workload.HostName]*agentView{}, members: map[string]msg.Member{},
+		links:   map[linkID]*peerLink{}, agents: map[workload.HostName]*agentView{}, members: map[string]msg.Member{},
 		phases: newPhaseCache(), owner: ownership.New(cfg.Name, cfg.Boot, 0), published: &published{},
 		peerCommits: peerCommits{pending: map[uint64]*pendingCommit{}},
 	}
--- a/internal/jobdaemon/jobhandler.go
+++ b/internal/jobdaemon/jobhandler.go
@@ -285,7 +285,7 @@
 // owner receives the change through its watch of the table service.
 func (c *controller) sendToOwner(m msg.Control) {
 	if c.jobs != nil {
-		c.applyToOwner(&entryLink{hello: &msg.PeerHello{Member: c.self}}, m)
+		c.applyToJobs(&peerLink{hello: &msg.PeerHello{Member: c.self}}, m)
 		return
 	}
 	if l := c.entryLink(c.owner.Owner()); l != nil {
--- a/internal/jobdaemon/metrics.go
+++ b/internal/jobdaemon/metrics.go
@@ -12,6 +12,7 @@
 )
 
 // entryMetrics counts the submissions of an entry and the decisions of an owner.
+// The labels are the queue, the outcome, how a run ended, and the final phase.
 type entryMetrics struct{ scope tally.Scope }
 
 func newEntryMetrics(r *metrics.Registry) *entryMetrics { return &entryMetrics{r.Scope("jobs")} }
--- a/internal/jobdaemon/peercommit.go
+++ b/internal/jobdaemon/peercommit.go
@@ -44,14 +44,14 @@
 }
 
 // entryLinks returns one link to each linked entry.
-func (c *controller) entryLinks() []*entryLink {
-	byName := map[string]*entryLink{}
+func (c *controller) entryLinks() []*peerLink {
+	byName := map[string]*peerLink{}
 	for _, l := range c.links {
 		if !l.hello.Agent {
 			byName[l.hello.Member.Name] = l
 		}
 	}
-	list := make([]*entryLink, 0, len(byName))
+	list := make([]*peerLink, 0, len(byName))
 	for _, m := range c.memberList() {
 		if l := byName[m.Name]; l != nil {
 			list = append(list, l)
@@ -88,7 +88,7 @@
 }
 
 // commitForPeer commits a transaction for a peer and sends it the result.
-func (c *controller) commitForPeer(l *entryLink, m *msg.StoreCall) {
+func (c *controller) commitForPeer(l *peerLink, m *msg.StoreCall) {
 	actor.Go(c.group, "relayed call", func(ctx context.Context) error {
 		r := c.storeProxy.direct(ctx, m.Txn)
 		l.out.TrySend(&msg.StoreResult{ID: m.ID, Outcome: r.outcome, Revision: r.revision, Rows: r.rows})
