--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // benchPair returns the ends of a TCP link on loopback.
-func benchPair(b *testing.B) (agent, entry Conn) {
+func newBenchLink(b *testing.B) (agent, entry Conn) {
 	b.Helper()
 	g := actor.NewGroup(b.Context(), nil)
 	l, err := Listen(g, "127.0.0.1:0", Config{})
@@ -31,7 +31,7 @@
 }
 
 func benchmarkBody(b *testing.B, size int) {
-	agent, entry := benchPair(b)
+	agent, entry := newBenchLink(b)
 	out, err := entry.OpenStream(b.Context())
 	if err != nil {
 		b.Fatal(err)
@@ -61,7 +61,7 @@
 
 // Guards against a higher cost of a short request and its response.
 func BenchmarkExchange(b *testing.B) {
-	agent, entry := benchPair(b)
+	agent, entry := newBenchLink(b)
 	go func() {
 		for {
 			s, err := agent.AcceptStream(b.Context())
@@ -103,7 +103,7 @@
 
 // Guards against a higher cost of a control message.
 func BenchmarkControl(b *testing.B) {
-	agent, entry := benchPair(b)
+	agent, entry := newBenchLink(b)
 	go func() {
 		m := &msg.CreditGrant{Backend: "permit-desk-1", Generation: 7, Count: 1}
 		for agent.Send(m) == nil {
--- a/internal/link/contract_test.go
+++ b/internal/link/contract_test.go
@@ -14,19 +14,19 @@
 )
 
 // pair is an agent's end, which dialled, and an entry's end of one link.
-type pair struct{ agent, entry Conn }
+type linkPair struct{ agent, entry Conn }
 
-func connect(t *testing.T, d Dialer, l Listener) pair {
+func connect(t *testing.T, d Dialer, l Listener) linkPair {
 	t.Helper()
 	agent, err := d.Dial(t.Context(), l.Addr())
 	require.NoError(t, err)
 	entry, err := l.Accept(t.Context())
 	require.NoError(t, err)
-	return pair{agent, entry}
+	return linkPair{agent, entry}
 }
 
 // tcpEnds returns the two sides of TCP links on loopback.
-func tcpEnds(t *testing.T, cfg Config) (Dialer, Listener) {
+func tcpDialerAndListener(t *testing.T, cfg Config) (Dialer, Listener) {
 	t.Helper()
 	g := actor.NewGroup(context.Background(), nil)
 	l, err := Listen(g, "127.0.0.1:0", cfg)
@@ -39,9 +39,9 @@
 }
 
 // onEach runs a test of the Conn contract on both implementations.
-func onEach(t *testing.T, test func(t *testing.T, d Dialer, l Listener)) {
+func forEachTransport(t *testing.T, test func(t *testing.T, d Dialer, l Listener)) {
 	t.Run("tcp", func(t *testing.T) {
-		d, l := tcpEnds(t, Config{})
+		d, l := tcpDialerAndListener(t, Config{})
 		test(t, d, l)
 	})
 	t.Run("memory", func(t *testing.T) {
@@ -53,7 +53,7 @@
 	})
 }
 
-func openStream(t *testing.T, p pair) (entry, agent Stream) {
+func openStream(t *testing.T, p linkPair) (entry, agent Stream) {
 	t.Helper()
 	entry, err := p.entry.OpenStream(t.Context())
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 // Guards against control messages that are lost, reordered or mixed up
 // between the directions.
 func TestControlMessagesArriveInOrder(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		for i := range 100 {
 			require.NoError(t, p.agent.Send(&msg.CreditGrant{Backend: "b", Count: i}))
@@ -92,8 +92,8 @@
 
 // Guards against an exchange whose frames arrive on another stream, or an end
 // that is seen before what was sent.
-func TestExchangesOnTwoStreams(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+func TestExchangesKeepTheirStreams(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		for _, text := range []string{"first", strings.Repeat("second", 40_000)} {
 			entry, agent := openStream(t, p)
@@ -119,7 +119,7 @@
 // Guards against a receiver that waits forever on a stream that its own
 // process closed.
 func TestCloseWakesTheReceiver(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		entry, _ := openStream(t, connect(t, d, l))
 		got := make(chan error, 1)
 		go func() {
@@ -135,7 +135,7 @@
 // Guards against a sender that waits forever for the window of a stream that
 // its own process closed.
 func TestCloseWakesTheSender(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		entry, _ := openStream(t, connect(t, d, l))
 		got := make(chan error, 1)
 		chunk := &msg.BodyChunk{Data: make([]byte, 32<<10)}
@@ -153,7 +153,7 @@
 
 // Guards against a lost link that looks like the orderly end of a response.
 func TestLostLinkIsNotAnOrderlyEnd(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		entry, agent := openStream(t, p)
 		require.NoError(t, agent.Send(&msg.ResponseHead{Status: 200}))
@@ -174,7 +174,7 @@
 
 // Guards against a large message that ends the link of the process sending it.
 func TestTooLargeMessageIsNotSent(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		entry, agent := openStream(t, p)
 		require.ErrorIs(t, entry.Send(&msg.BodyChunk{Data: make([]byte, 2<<20)}), ErrTooLarge)
@@ -190,7 +190,7 @@
 
 // Guards against a listener whose end takes the accepted links with it.
 func TestLinksOutliveTheListener(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		require.NoError(t, l.Close())
 		_, err := l.Accept(t.Context())
@@ -205,7 +205,7 @@
 
 // Guards against a wait that outlasts its context.
 func TestWaitsEndWithTheContext(t *testing.T) {
-	onEach(t, func(t *testing.T, d Dialer, l Listener) {
+	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/internal/link/envelope.go
+++ b/internal/link/envelope.go
@@ -11,34 +11,34 @@
 // keepControl is the size in bytes up to which a control stream keeps its
 // buffers. The whole configuration is sent once to a new link, and its size
 // stayed with every link of an entry.
-const keepControl = 8 << 10
+const maxControlBuffer = 8 << 10
 
 // reader reads envelopes from one stream into a buffer that it reuses.
-type reader struct {
-	src    io.Reader
-	limit  int // bytes of payload
-	keep   int // bytes up to which the buffer is kept; 0: any size
-	header [wire.HeaderSize]byte
-	buf    []byte
+type envelopeReader struct {
+	src        io.Reader
+	maxPayload int // bytes of payload
+	maxBuffer  int // bytes up to which the buffer is kept; 0: any size
+	header     [wire.HeaderSize]byte
+	buf        []byte
 }
 
 // next returns the next payload, which is valid until the next call. It
 // returns io.EOF between envelopes and io.ErrUnexpectedEOF within one.
-func (r *reader) next() ([]byte, error) {
-	if r.keep > 0 && cap(r.buf) > r.keep {
+func (r *envelopeReader) next() ([]byte, error) {
+	if r.maxBuffer > 0 && cap(r.buf) > r.maxBuffer {
 		r.buf = nil
 	}
 	if _, err := io.ReadFull(r.src, r.header[:]); err != nil {
 		return nil, err
 	}
-	n, err := wire.PayloadSize(r.header[:], r.limit)
+	size, err := wire.PayloadSize(r.header[:], r.maxPayload)
 	if err != nil {
 		return nil, err
 	}
-	if cap(r.buf) < n {
-		r.buf = make([]byte, n)
+	if cap(r.buf) < size {
+		r.buf = make([]byte, size)
 	}
-	r.buf = r.buf[:n]
+	r.buf = r.buf[:size]
 	if _, err := io.ReadFull(r.src, r.buf); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -49,7 +49,7 @@
 }
 
 // writer writes envelopes to one stream from a buffer that it reuses.
-type writer struct {
+type envelopeWriter struct {
 	dst io.Writer
 	buf []byte
 }
@@ -58,15 +58,15 @@
 // precedes it. A second write on a yamux stream costs system calls and
 // goroutine switches. BenchmarkBodyChunk on loopback, one write against two:
 // 13 and 20 us for 32 KiB, 92 and 82 us for 256 KiB.
-const joinLimit = 64 << 10
+const maxJoinedBody = 64 << 10
 
-func (w *writer) frame(f msg.Frame) error {
+func (w *envelopeWriter) writeFrame(f msg.Frame) error {
 	head, body, err := wire.AppendFrame(w.buf[:0], f)
 	w.buf = head
 	if err != nil {
 		return err
 	}
-	if len(body) <= joinLimit {
+	if len(body) <= maxJoinedBody {
 		w.buf = append(head, body...)
 		body = nil
 	}
@@ -79,9 +79,9 @@
 	return err
 }
 
-func (w *writer) control(m msg.Control) error {
+func (w *envelopeWriter) writeControl(m msg.Control) error {
 	b, err := wire.AppendControl(w.buf[:0], m)
-	if w.buf = b; cap(b) > keepControl {
+	if w.buf = b; cap(b) > maxControlBuffer {
 		w.buf = nil
 	}
 	if err != nil {
--- a/internal/link/envelope_test.go
+++ b/internal/link/envelope_test.go
@@ -19,17 +19,17 @@
 		large.Changes = append(large.Changes, model.ConfigChange{Version: 1, Key: model.ConfigKey{Kind: model.KindWorker, Name: "w"}})
 	}
 	var stream bytes.Buffer
-	w, r := writer{dst: &stream}, reader{src: &stream, limit: wire.MaxControl, keep: keepControl}
+	w, r := envelopeWriter{dst: &stream}, envelopeReader{src: &stream, maxPayload: wire.MaxControl, maxBuffer: maxControlBuffer}
 	for _, m := range []msg.Control{large, &msg.Heartbeat{}, large, &msg.Heartbeat{}} {
-		require.NoError(t, w.control(m))
+		require.NoError(t, w.writeControl(m))
 		payload, err := r.next()
 		require.NoError(t, err)
 		got, err := wire.DecodeControl(payload)
 		require.NoError(t, err)
 		require.Equal(t, m, got)
-		require.LessOrEqual(t, cap(w.buf), keepControl)
+		require.LessOrEqual(t, cap(w.buf), maxControlBuffer)
 		if m != msg.Control(large) {
-			require.LessOrEqual(t, cap(r.buf), keepControl)
+			require.LessOrEqual(t, cap(r.buf), maxControlBuffer)
 		}
 	}
 }
--- a/internal/link/fuzz_test.go
+++ b/internal/link/fuzz_test.go
@@ -16,16 +16,16 @@
 // not typed, or frames that are read differently from what was written.
 func FuzzStream(f *testing.F) {
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		in := reader{src: bytes.NewReader(stream), limit: wire.MaxFrame}
-		var again bytes.Buffer
-		out := writer{dst: &again}
+		in := envelopeReader{src: bytes.NewReader(stream), maxPayload: wire.MaxFrame}
+		var reencoded bytes.Buffer
+		out := envelopeWriter{dst: &reencoded}
 		var frames int
 		for {
 			payload, err := in.next()
 			if err == nil {
 				var frame msg.Frame
 				if frame, err = wire.DecodeFrame(payload); err == nil {
-					require.NoError(t, out.frame(frame))
+					require.NoError(t, out.writeFrame(frame))
 					frames++
 					continue
 				}
@@ -33,7 +33,7 @@
 			require.True(t, errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, ErrMalformed, ErrVersion), "%v", err)
 			break
 		}
-		in = reader{src: &again, limit: wire.MaxFrame}
+		in = envelopeReader{src: &reencoded, maxPayload: wire.MaxFrame}
 		for range frames {
 			payload, err := in.next()
 			require.NoError(t, err)
--- a/internal/link/joinwriter.go
+++ b/internal/link/joinedconn.go
@@ -7,10 +7,10 @@
 
 // yamux frame header: version, type, flags, stream, length (see its spec.md).
 const (
-	muxHeaderSize = 12
-	muxTypeAt     = 1
-	muxLengthAt   = 8
-	muxTypeData   = 0
+	muxHeaderSize   = 12
+	muxTypeOffset   = 1
+	muxLengthOffset = 8
+	muxTypeData     = 0
 )
 
 // joinedConn writes the header of a yamux data frame together with its body.
@@ -18,7 +18,7 @@
 // a system call more, and with TLS a record more, for each frame.
 type joinedConn struct {
 	net.Conn
-	held []byte // header of a data frame, without its body
+	header []byte // header of a data frame, without its body
 }
 
 // Write closes the socket after an error, because yamux would shut its session
@@ -33,23 +33,23 @@
 
 func (c *joinedConn) join(b []byte) (int, error) {
 	switch {
-	case len(c.held) == 0 && bodyFollows(b):
-		c.held = append(c.held, b...)
+	case len(c.header) == 0 && isDataHeader(b):
+		c.header = append(c.header, b...)
 		return len(b), nil
-	case len(c.held) == 0:
+	case len(c.header) == 0:
 		return c.Conn.Write(b)
-	case len(b) > joinLimit:
-		held := net.Buffers{c.held, b}
-		c.held = c.held[:0]
-		n, err := held.WriteTo(c.Conn)
+	case len(b) > maxJoinedBody:
+		buffers := net.Buffers{c.header, b}
+		c.header = c.header[:0]
+		n, err := buffers.WriteTo(c.Conn)
 		return max(int(n)-muxHeaderSize, 0), err
 	}
-	frame := append(c.held, b...)
-	c.held = frame[:0]
+	frame := append(c.header, b...)
+	c.header = frame[:0]
 	n, err := c.Conn.Write(frame)
 	return max(n-muxHeaderSize, 0), err
 }
 
-func bodyFollows(b []byte) bool {
-	return len(b) == muxHeaderSize && b[muxTypeAt] == muxTypeData && binary.BigEndian.Uint32(b[muxLengthAt:]) > 0
+func isDataHeader(b []byte) bool {
+	return len(b) == muxHeaderSize && b[muxTypeOffset] == muxTypeData && binary.BigEndian.Uint32(b[muxLengthOffset:]) > 0
 }
--- a/internal/link/joinwriter_test.go
+++ b/internal/link/joinedconn_test.go
@@ -24,8 +24,8 @@
 
 func muxHeader(kind byte, length int) []byte {
 	h := make([]byte, muxHeaderSize)
-	h[muxTypeAt] = kind
-	binary.BigEndian.PutUint32(h[muxLengthAt:], uint32(length))
+	h[muxTypeOffset] = kind
+	binary.BigEndian.PutUint32(h[muxLengthOffset:], uint32(length))
 	return h
 }
 
@@ -34,7 +34,7 @@
 func TestJoinedConnWritesTheSameBytes(t *testing.T) {
 	const ping, window = 2, 1
 	body := muxHeader(muxTypeData, 9) // looks like a header
-	long := bytes.Repeat([]byte("x"), joinLimit+1)
+	long := bytes.Repeat([]byte("x"), maxJoinedBody+1)
 	calls := [][]byte{
 		muxHeader(ping, 7), muxHeader(window, 4096), muxHeader(muxTypeData, 0),
 		muxHeader(muxTypeData, len(body)), body, muxHeader(muxTypeData, len(long)), long, muxHeader(ping, 8),
@@ -55,18 +55,18 @@
 // failingConn takes only some bytes of each write.
 type failingConn struct {
 	net.Conn
-	takes int
+	accepts int
 }
 
 func (failingConn) Close() error { return nil }
 
-func (c failingConn) Write([]byte) (int, error) { return c.takes, io.ErrClosedPipe }
+func (c failingConn) Write([]byte) (int, error) { return c.accepts, io.ErrClosedPipe }
 
 // Guards against a failed write that reports success, or bytes of the body
 // that did not leave.
 func TestJoinedConnReportsFailure(t *testing.T) {
-	for takes, want := range map[int]int{0: 0, 5: 0, muxHeaderSize + 2: 2} {
-		c := &joinedConn{Conn: failingConn{takes: takes}}
+	for accepts, want := range map[int]int{0: 0, 5: 0, muxHeaderSize + 2: 2} {
+		c := &joinedConn{Conn: failingConn{accepts: accepts}}
 		_, err := c.Write(muxHeader(muxTypeData, 4))
 		require.NoError(t, err)
 		n, err := c.Write([]byte("body"))
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -30,45 +30,45 @@
 	}
 	l := &tcpListener{
 		links: g, group: g.Sub(), cfg: cfg, sock: sock,
-		accepted: make(chan Conn), room: make(chan struct{}, maxHandshakes),
+		accepted: make(chan Conn), handshakeSlots: make(chan struct{}, maxHandshakes),
 	}
 	actor.Go(l.group, "link-closer", func(ctx context.Context) error {
 		<-ctx.Done()
 		_ = sock.Close()
 		return nil
 	})
-	actor.Go(l.group, "link-acceptor", l.run)
+	actor.Go(l.group, "link-acceptor", l.acceptSockets)
 	return l, nil
 }
 
 // tcpListener's acceptor owns the listening socket; each accepted socket has
 // an actor of its own for its handshake.
 type tcpListener struct {
-	links    *actor.Group // parent of the links, which outlive the listener
-	group    *actor.Group
-	cfg      Config
-	sock     net.Listener
-	accepted chan Conn
-	room     chan struct{}
+	links          *actor.Group // parent of the links, which outlive the listener
+	group          *actor.Group
+	cfg            Config
+	sock           net.Listener
+	accepted       chan Conn
+	handshakeSlots chan struct{}
 }
 
-func (l *tcpListener) run(ctx context.Context) error {
+func (l *tcpListener) acceptSockets(ctx context.Context) error {
 	for {
 		select {
-		case l.room <- struct{}{}:
+		case l.handshakeSlots <- struct{}{}:
 		case <-ctx.Done():
 			return nil
 		}
 		sock, err := l.sock.Accept()
 		if err != nil {
-			<-l.room
+			<-l.handshakeSlots
 			if ctx.Err() != nil || !actor.Sleep(ctx, acceptRetry) {
 				return nil
 			}
 			continue
 		}
 		actor.Go(l.group, "link-handshake", func(ctx context.Context) error {
-			defer func() { <-l.room }()
+			defer func() { <-l.handshakeSlots }()
 			l.handshake(ctx, sock)
 			return nil
 		})
@@ -76,9 +76,9 @@
 }
 
 func (l *tcpListener) handshake(ctx context.Context, sock net.Conn) {
-	limited, cancel := context.WithTimeout(ctx, handshakeTimeout)
+	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	c, err := l.link(limited, sock)
+	c, err := l.newLink(handshakeCtx, sock)
 	if err != nil {
 		remote := sock.RemoteAddr().String()
 		c = failedConn{remote: remote, err: fmt.Errorf("link from %s: %w", remote, err)}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (l *tcpListener) link(ctx context.Context, sock net.Conn) (Conn, error) {
+func (l *tcpListener) newLink(ctx context.Context, sock net.Conn) (Conn, error) {
 	sock, err := l.cfg.secure(ctx, sock, tls.Server)
 	if err != nil {
 		return nil, err
--- a/internal/link/memconn.go
+++ b/internal/link/memconn.go
@@ -34,10 +34,10 @@
 		return nil, err
 	}
 	select {
-	case <-c.up:
+	case <-c.established:
 		return c, nil
 	case <-c.ctx.Done():
-		return nil, c.ended()
+		return nil, c.endError()
 	case <-ctx.Done():
 		_ = c.Close()
 		return nil, ctx.Err()
@@ -56,7 +56,7 @@
 	if l.ctx.Err() == nil {
 		select {
 		case l.accepted <- c:
-			_ = c.put(packet{kind: packetEstablished})
+			_ = c.enqueue(packet{kind: packetEstablished})
 			return
 		default:
 		}
@@ -92,39 +92,39 @@
 // memConn is one end of a link in memory. Messages are encoded, so that two
 // processes in one test share no memory.
 type memConn struct {
-	local, remote string
-	ctx           context.Context
-	cancel        context.CancelCauseFunc
-	up            chan struct{} // closed when the dial has succeeded
-	out           actor.Address[pipeMessage]
-	peer          *memConn
-	in, sent      *half // control messages
-	accept        chan *memStream
-	acceptRoom    chan struct{}
+	local, remote      string
+	ctx                context.Context
+	cancel             context.CancelCauseFunc
+	established        chan struct{} // closed when the dial has succeeded
+	pipe               actor.Address[pipeMessage]
+	peer               *memConn
+	incoming, outgoing *direction // control messages
+	accept             chan *memStream
+	acceptWindow       chan struct{}
 }
 
 func newMemPair(ctx context.Context, a, b string) (*memConn, *memConn) {
-	ab, ba := newHalf(memControlWindow), newHalf(memControlWindow)
-	x, y := newMemConn(ctx, a, b, ba, ab), newMemConn(ctx, b, a, ab, ba)
-	x.peer, y.peer = y, x
-	return x, y
+	ab, ba := newDirection(memControlWindow), newDirection(memControlWindow)
+	connA, connB := newMemConn(ctx, a, b, ba, ab), newMemConn(ctx, b, a, ab, ba)
+	connA.peer, connB.peer = connB, connA
+	return connA, connB
 }
 
-func newMemConn(ctx context.Context, local, remote string, in, sent *half) *memConn {
+func newMemConn(ctx context.Context, local, remote string, incoming, outgoing *direction) *memConn {
 	c := &memConn{
-		local: local, remote: remote, up: make(chan struct{}), in: in, sent: sent,
-		accept: make(chan *memStream, memBacklog), acceptRoom: make(chan struct{}, memBacklog),
+		local: local, remote: remote, established: make(chan struct{}), incoming: incoming, outgoing: outgoing,
+		accept: make(chan *memStream, memBacklog), acceptWindow: make(chan struct{}, memBacklog),
 	}
 	c.ctx, c.cancel = context.WithCancelCause(ctx)
 	return c
 }
 
-func (c *memConn) end(why string) {
-	c.cancel(fmt.Errorf("link with %s: %w: %s", c.remote, ErrClosed, why))
+func (c *memConn) end(reason string) {
+	c.cancel(fmt.Errorf("link with %s: %w: %s", c.remote, ErrClosed, reason))
 }
 
-func (c *memConn) ended() error {
-	if err := context.Cause(c.ctx); isProtocol(err) || isClosed(err) {
+func (c *memConn) endError() error {
+	if err := context.Cause(c.ctx); isProtocolError(err) || isClosedError(err) {
 		return err
 	}
 	return fmt.Errorf("link with %s: %w", c.remote, ErrClosed)
@@ -132,55 +132,55 @@
 
 // put hands a packet to the pipe. A pipe whose far end has closed takes none;
 // the sender learns of that when the hang-up arrives.
-func (c *memConn) put(k packet) error {
+func (c *memConn) enqueue(next packet) error {
 	if c.ctx.Err() != nil {
-		return c.ended()
+		return c.endError()
 	}
-	if err := c.out.Send(c.ctx, pipeMessage{packet: k}); err != nil && c.ctx.Err() != nil {
-		return c.ended()
+	if err := c.pipe.Send(c.ctx, pipeMessage{packet: next}); err != nil && c.ctx.Err() != nil {
+		return c.endError()
 	}
 	return nil
 }
 
 // send waits for room in h; done ends the wait.
-func (c *memConn) send(h *half, done <-chan struct{}, data []byte) error {
+func (c *memConn) send(direction *direction, done <-chan struct{}, data []byte) error {
 	select {
-	case h.window <- struct{}{}:
-		return c.put(packet{kind: packetData, half: h, data: data})
+	case direction.window <- struct{}{}:
+		return c.enqueue(packet{kind: packetData, direction: direction, data: data})
 	case <-done:
 		return ErrClosed
 	case <-c.ctx.Done():
-		return c.ended()
+		return c.endError()
 	}
 }
 
 // receive returns what arrived before the link ended first.
-func (c *memConn) receive(h *half, done <-chan struct{}) ([]byte, error) {
+func (c *memConn) receive(direction *direction, done <-chan struct{}) ([]byte, error) {
 	select {
-	case data, ok := <-h.inbox:
-		return h.take(data, ok)
+	case data, ok := <-direction.inbox:
+		return direction.consume(data, ok)
 	default:
 	}
 	select {
-	case data, ok := <-h.inbox:
-		return h.take(data, ok)
+	case data, ok := <-direction.inbox:
+		return direction.consume(data, ok)
 	case <-done:
 		return nil, ErrClosed
 	case <-c.ctx.Done():
 		select { // the pipe delivers before it ends the link
-		case data, ok := <-h.inbox:
-			return h.take(data, ok)
+		case data, ok := <-direction.inbox:
+			return direction.consume(data, ok)
 		default:
-			return nil, c.ended()
+			return nil, c.endError()
 		}
 	}
 }
 
-func (h *half) take(data []byte, ok bool) ([]byte, error) {
+func (d *direction) consume(data []byte, ok bool) ([]byte, error) {
 	if !ok {
 		return nil, io.EOF
 	}
-	<-h.window
+	<-d.window
 	return data[wire.HeaderSize:], nil
 }
 
@@ -189,11 +189,11 @@
 	if err != nil {
 		return err
 	}
-	return c.send(c.sent, nil, data)
+	return c.send(c.outgoing, nil, data)
 }
 
 func (c *memConn) Receive() (msg.Control, error) {
-	payload, err := c.receive(c.in, nil)
+	payload, err := c.receive(c.incoming, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -202,33 +202,33 @@
 
 func (c *memConn) OpenStream(ctx context.Context) (Stream, error) {
 	select {
-	case c.peer.acceptRoom <- struct{}{}:
+	case c.peer.acceptWindow <- struct{}{}:
 	case <-c.ctx.Done():
-		return nil, c.ended()
+		return nil, c.endError()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	there, back := newHalf(memWindow), newHalf(memWindow)
-	if err := c.put(packet{kind: packetOpen, stream: newMemStream(c.peer, there, back)}); err != nil {
+	toPeer, fromPeer := newDirection(memWindow), newDirection(memWindow)
+	if err := c.enqueue(packet{kind: packetOpen, stream: newMemStream(c.peer, toPeer, fromPeer)}); err != nil {
 		return nil, err
 	}
-	return newMemStream(c, back, there), nil
+	return newMemStream(c, fromPeer, toPeer), nil
 }
 
 func (c *memConn) AcceptStream(ctx context.Context) (Stream, error) {
 	select {
 	case s := <-c.accept:
-		<-c.acceptRoom
+		<-c.acceptWindow
 		return s, nil
 	case <-c.ctx.Done():
-		return nil, c.ended()
+		return nil, c.endError()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
 func (c *memConn) Close() error {
-	_ = c.put(packet{kind: packetHangup})
+	_ = c.enqueue(packet{kind: packetHangup})
 	c.end("closed by this process")
 	return nil
 }
@@ -237,14 +237,14 @@
 
 // memStream is one end of a stream in memory.
 type memStream struct {
-	conn     *memConn
-	in, sent *half
-	ctx      context.Context
-	cancel   context.CancelFunc
+	conn               *memConn
+	incoming, outgoing *direction
+	ctx                context.Context
+	cancel             context.CancelFunc
 }
 
-func newMemStream(c *memConn, in, sent *half) *memStream {
-	s := &memStream{conn: c, in: in, sent: sent}
+func newMemStream(c *memConn, incoming, outgoing *direction) *memStream {
+	s := &memStream{conn: c, incoming: incoming, outgoing: outgoing}
 	s.ctx, s.cancel = context.WithCancel(c.ctx)
 	return s
 }
@@ -255,35 +255,35 @@
 		return err
 	}
 	if s.ctx.Err() != nil {
-		return s.ended()
+		return s.endError()
 	}
-	if err := s.conn.send(s.sent, s.ctx.Done(), append(head, body...)); err != nil {
-		return s.ended()
+	if err := s.conn.send(s.outgoing, s.ctx.Done(), append(head, body...)); err != nil {
+		return s.endError()
 	}
 	return nil
 }
 
 func (s *memStream) Receive() (msg.Frame, error) {
-	payload, err := s.conn.receive(s.in, s.ctx.Done())
+	payload, err := s.conn.receive(s.incoming, s.ctx.Done())
 	switch {
 	case err == io.EOF:
 		return nil, err
 	case err != nil:
-		return nil, s.ended()
+		return nil, s.endError()
 	}
 	return wire.DecodeFrame(payload)
 }
 
 // ended returns why the stream can no longer be used.
-func (s *memStream) ended() error {
+func (s *memStream) endError() error {
 	if s.conn.ctx.Err() != nil {
-		return s.conn.ended()
+		return s.conn.endError()
 	}
 	return ErrClosed
 }
 
 func (s *memStream) Close() error {
-	_ = s.conn.put(packet{kind: packetEnd, half: s.sent})
+	_ = s.conn.enqueue(packet{kind: packetEnd, direction: s.outgoing})
 	s.cancel()
 	return nil
 }
--- a/internal/link/memory.go
+++ b/internal/link/memory.go
@@ -35,7 +35,7 @@
 	g := actor.NewGroup(ctx, nil)
 	n := &network{
 		group: g, seed: seed, listeners: map[string]*memListener{}, delays: map[path]delay{}, cuts: map[path]bool{},
-		dials: map[path]uint64{},
+		dialCounts: map[path]uint64{},
 	}
 	return &Memory{group: g, net: actor.Spawn(g, actor.Spec[netMessage]{Name: "memory-network", Mailbox: 16, Run: n.run})}
 }
@@ -59,8 +59,8 @@
 // SetDelay sets the one-way delay from one process to another, one of which
 // or both may be Any. Jitter is added, evenly distributed from 0 to jitter;
 // the order on a link is kept.
-func (m *Memory) SetDelay(from, to string, d, jitter time.Duration) {
-	_ = m.ask(setDelay{path{from, to}, delay{d, jitter}})
+func (m *Memory) SetDelay(from, to string, fixed, jitter time.Duration) {
+	_ = m.ask(setDelay{path{from, to}, delay{fixed, jitter}})
 }
 
 // Cut stops delivery from one process to another. When it returns, nothing
@@ -134,20 +134,20 @@
 type delay struct{ fixed, jitter time.Duration }
 
 // quality is what a pipe knows of its path.
-type quality struct {
+type pathState struct {
 	delay
 	cut bool
 }
 
 // network is the state of the network's actor.
 type network struct {
-	group     *actor.Group
-	seed      uint64
-	listeners map[string]*memListener
-	delays    map[path]delay
-	cuts      map[path]bool
-	dials     map[path]uint64 // number of links made, for their seeds
-	links     []memLink
+	group      *actor.Group
+	seed       uint64
+	listeners  map[string]*memListener
+	delays     map[path]delay
+	cuts       map[path]bool
+	dialCounts map[path]uint64 // number of links made, for their seeds
+	links      []memLink
 }
 
 // memLink is the network's record of a link: its two ends, each with the pipe
@@ -180,35 +180,35 @@
 	if l == nil || l.ctx.Err() != nil {
 		return fmt.Errorf("dial %s: %w", p.to, ErrRefused)
 	}
-	n.dials[p]++
-	a, b := newMemPair(n.group.Context(), p.from, p.to)
-	a.out = n.pipe(p, b)
-	b.out = n.pipe(path{p.to, p.from}, a)
+	n.dialCounts[p]++
+	dialled, accepted := newMemPair(n.group.Context(), p.from, p.to)
+	dialled.pipe = n.pipe(p, accepted)
+	accepted.pipe = n.pipe(path{p.to, p.from}, dialled)
 	n.prune()
-	n.links = append(n.links, memLink{ends: [2]*memConn{a, b}})
-	reply.Put(a)
-	return a.put(packet{kind: packetConnect, listener: l})
+	n.links = append(n.links, memLink{ends: [2]*memConn{dialled, accepted}})
+	reply.Put(dialled)
+	return dialled.enqueue(packet{kind: packetConnect, listener: l})
 }
 
 func (n *network) pipe(p path, dst *memConn) actor.Address[pipeMessage] {
-	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s\x00%s\x00%d", p.from, p.to, n.dials[p])
-	pi := &pipe{dst: dst, quality: n.quality(p), rand: rand.New(rand.NewPCG(n.seed, h.Sum64()))}
-	return actor.Spawn(n.group, actor.Spec[pipeMessage]{Name: "memory-pipe", Mailbox: 16, Run: pi.run})
+	pathHash := fnv.New64a()
+	_, _ = fmt.Fprintf(pathHash, "%s\x00%s\x00%d", p.from, p.to, n.dialCounts[p])
+	newPipe := &pipe{dst: dst, state: n.pathState(p), rand: rand.New(rand.NewPCG(n.seed, pathHash.Sum64()))}
+	return actor.Spawn(n.group, actor.Spec[pipeMessage]{Name: "memory-pipe", Mailbox: 16, Run: newPipe.run})
 }
 
 // quality returns the delay of the most specific rule for p, and whether any
 // rule cuts it.
-func (n *network) quality(p path) quality {
-	var q quality
+func (n *network) pathState(p path) pathState {
+	var state pathState
 	rules := []path{p, {p.from, Any}, {Any, p.to}, {Any, Any}}
 	for i := len(rules) - 1; i >= 0; i-- {
 		if d, ok := n.delays[rules[i]]; ok {
-			q.delay = d
+			state.delay = d
 		}
-		q.cut = q.cut || n.cuts[rules[i]]
+		state.cut = state.cut || n.cuts[rules[i]]
 	}
-	return q
+	return state
 }
 
 // update tells every pipe the quality of its path and waits until it applies.
@@ -216,9 +216,9 @@
 	n.prune()
 	for _, l := range n.links {
 		for _, end := range l.ends {
-			q := n.quality(path{end.local, end.remote})
-			_, _ = actor.Ask(n.group.Context(), end.out, func(r actor.Reply[struct{}]) pipeMessage {
-				return pipeMessage{quality: &q, applied: r}
+			state := n.pathState(path{end.local, end.remote})
+			_, _ = actor.Ask(n.group.Context(), end.pipe, func(r actor.Reply[struct{}]) pipeMessage {
+				return pipeMessage{state: &state, applied: r}
 			})
 		}
 	}
@@ -227,10 +227,10 @@
 
 func (n *network) reset(a, b string) error {
 	for _, l := range n.links {
-		x, y := l.ends[0], l.ends[1]
-		if matches(x.local, a) && matches(y.local, b) || matches(x.local, b) && matches(y.local, a) {
-			x.end("connection reset")
-			y.end("connection reset")
+		first, second := l.ends[0], l.ends[1]
+		if matches(first.local, a) && matches(second.local, b) || matches(first.local, b) && matches(second.local, a) {
+			first.end("connection reset")
+			second.end("connection reset")
 		}
 	}
 	n.prune()
--- a/internal/link/memory_test.go
+++ b/internal/link/memory_test.go
@@ -12,7 +12,7 @@
 )
 
 // inVirtualTime runs a test on a link in memory between "agent" and "entry".
-func inVirtualTime(t *testing.T, seed uint64, test func(t *testing.T, m *Memory, p pair)) {
+func inVirtualTime(t *testing.T, seed uint64, test func(t *testing.T, m *Memory, p linkPair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMemory(t.Context(), seed)
@@ -23,19 +23,19 @@
 	})
 }
 
-func grant(i int) *msg.CreditGrant { return &msg.CreditGrant{Count: i} }
+func creditGrant(count int) *msg.CreditGrant { return &msg.CreditGrant{Count: count} }
 
 // Guards against a delay that is applied to the wrong direction or not at all.
 func TestMemoryDelaysEachDirection(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.SetDelay("agent", "entry", 30*time.Millisecond, 0)
 		m.SetDelay(Any, Any, 5*time.Millisecond, 0)
 		start := time.Now()
-		require.NoError(t, p.agent.Send(grant(1)))
+		require.NoError(t, p.agent.Send(creditGrant(1)))
 		_, err := p.entry.Receive()
 		require.NoError(t, err)
 		require.Equal(t, 30*time.Millisecond, time.Since(start))
-		require.NoError(t, p.entry.Send(grant(2)))
+		require.NoError(t, p.entry.Send(creditGrant(2)))
 		_, err = p.agent.Receive()
 		require.NoError(t, err)
 		require.Equal(t, 35*time.Millisecond, time.Since(start))
@@ -45,16 +45,16 @@
 // Guards against jitter that reorders a link, or that a seed does not repeat.
 func TestMemoryJitterRepeatsAndKeepsOrder(t *testing.T) {
 	arrivals := func(seed uint64) (at []time.Duration) {
-		inVirtualTime(t, seed, func(t *testing.T, m *Memory, p pair) {
+		inVirtualTime(t, seed, func(t *testing.T, m *Memory, p linkPair) {
 			m.SetDelay("agent", Any, 10*time.Millisecond, 20*time.Millisecond)
 			start := time.Now()
 			for i := range 50 {
-				require.NoError(t, p.agent.Send(grant(i)))
+				require.NoError(t, p.agent.Send(creditGrant(i)))
 			}
 			for i := range 50 {
 				got, err := p.entry.Receive()
 				require.NoError(t, err)
-				require.Equal(t, grant(i), got)
+				require.Equal(t, creditGrant(i), got)
 				at = append(at, time.Since(start))
 			}
 		})
@@ -70,9 +70,9 @@
 // Guards against a one-way cut that lets messages through, also affects the
 // other direction, loses what was sent, or is noticed by either side.
 func TestMemoryCutOfOneDirection(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.SetDelay(Any, Any, time.Millisecond, 0)
-		require.NoError(t, p.agent.Send(grant(1))) // in transit when the path is cut
+		require.NoError(t, p.agent.Send(creditGrant(1))) // in transit when the path is cut
 		m.Cut("agent", "entry")
 		got := make(chan msg.Control, 2)
 		go func() {
@@ -84,22 +84,22 @@
 				got <- c
 			}
 		}()
-		require.NoError(t, p.agent.Send(grant(2)))
-		require.NoError(t, p.entry.Send(grant(3)))
+		require.NoError(t, p.agent.Send(creditGrant(2)))
+		require.NoError(t, p.entry.Send(creditGrant(3)))
 		c, err := p.agent.Receive()
 		require.NoError(t, err)
-		require.Equal(t, grant(3), c)
+		require.Equal(t, creditGrant(3), c)
 		<-time.After(time.Hour) // virtual
 		require.Empty(t, got)
 		m.Heal("agent", "entry")
-		require.Equal(t, grant(1), <-got)
-		require.Equal(t, grant(2), <-got)
+		require.Equal(t, creditGrant(1), <-got)
+		require.Equal(t, creditGrant(2), <-got)
 	})
 }
 
 // Guards against a close that crosses a partition.
 func TestMemoryCloseDoesNotCrossACut(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.CutBoth("agent", "entry")
 		require.NoError(t, p.agent.Close())
 		ended := make(chan error, 1)
@@ -109,7 +109,7 @@
 		}()
 		<-time.After(time.Hour) // virtual
 		require.Empty(t, ended)
-		require.NoError(t, p.entry.Send(grant(1)), "a sender cannot know that its peer is gone")
+		require.NoError(t, p.entry.Send(creditGrant(1)), "a sender cannot know that its peer is gone")
 		m.HealBoth("agent", "entry")
 		require.ErrorIs(t, <-ended, ErrClosed)
 	})
@@ -117,7 +117,7 @@
 
 // Guards against a dial that succeeds across a partition.
 func TestMemoryDialWaitsForACut(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.Cut("entry", Any)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -130,7 +130,7 @@
 
 // Guards against a sender without bound while the path is cut.
 func TestMemoryBuffersAreBounded(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		entry, agent := openStream(t, p)
 		m.CutBoth("agent", "entry")
 		sent := make(chan int, 1)
@@ -153,7 +153,7 @@
 // Guards against a reset that one side does not notice, or that ends other
 // links of the process.
 func TestMemoryReset(t *testing.T) {
-	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p pair) {
+	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		l, err := m.Listen("other")
 		require.NoError(t, err)
 		other := connect(t, m.Dialer("agent"), l)
@@ -162,7 +162,7 @@
 		require.ErrorIs(t, err, ErrClosed)
 		_, err = p.entry.Receive()
 		require.ErrorIs(t, err, ErrClosed)
-		require.NoError(t, other.agent.Send(grant(1)))
+		require.NoError(t, other.agent.Send(creditGrant(1)))
 		_, err = other.entry.Receive()
 		require.NoError(t, err)
 		m.Reset(Any, "agent")
--- a/internal/link/mempipe.go
+++ b/internal/link/mempipe.go
@@ -21,17 +21,17 @@
 )
 
 type packet struct {
-	kind     packetKind
-	half     *half
-	data     []byte
-	stream   *memStream
-	listener *memListener
+	kind      packetKind
+	direction *direction
+	data      []byte
+	stream    *memStream
+	listener  *memListener
 }
 
 // pipeMessage is a packet to deliver, or a change of quality.
 type pipeMessage struct {
 	packet  packet
-	quality *quality
+	state   *pathState
 	applied actor.Reply[struct{}]
 }
 
@@ -40,10 +40,10 @@
 // bound what it holds, and no delivery waits.
 type pipe struct {
 	dst     *memConn
-	quality quality
+	state   pathState
 	rand    *rand.Rand
 	queue   []duePacket
-	last    time.Time // due time of the newest packet
+	lastDue time.Time // due time of the newest packet
 }
 
 type duePacket struct {
@@ -56,7 +56,7 @@
 	defer timer.Stop()
 	for p.dst.ctx.Err() == nil {
 		timer.Stop()
-		if len(p.queue) > 0 && !p.quality.cut {
+		if len(p.queue) > 0 && !p.state.cut {
 			timer.Reset(time.Until(p.queue[0].due))
 		}
 		select {
@@ -73,25 +73,25 @@
 }
 
 func (p *pipe) handle(m pipeMessage) {
-	if m.quality != nil {
-		p.quality = *m.quality
+	if m.state != nil {
+		p.state = *m.state
 		m.applied.Put(struct{}{})
 		return
 	}
-	due := time.Now().Add(p.quality.fixed)
-	if j := p.quality.jitter; j > 0 {
-		due = due.Add(time.Duration(p.rand.Int64N(int64(j) + 1)))
+	due := time.Now().Add(p.state.fixed)
+	if jitter := p.state.jitter; jitter > 0 {
+		due = due.Add(time.Duration(p.rand.Int64N(int64(jitter) + 1)))
 	}
-	if due.Before(p.last) {
-		due = p.last
+	if due.Before(p.lastDue) {
+		due = p.lastDue
 	}
-	p.last = due
+	p.lastDue = due
 	p.queue = append(p.queue, duePacket{m.packet, due})
 }
 
 func (p *pipe) flush() {
 	now := time.Now()
-	for len(p.queue) > 0 && !p.quality.cut && !p.queue[0].due.After(now) {
+	for len(p.queue) > 0 && !p.state.cut && !p.queue[0].due.After(now) {
 		next := p.queue[0].packet
 		p.queue[0] = duePacket{}
 		p.queue = p.queue[1:]
@@ -99,23 +99,23 @@
 	}
 }
 
-func (p *pipe) deliver(k packet) {
-	switch k.kind {
+func (p *pipe) deliver(next packet) {
+	switch next.kind {
 	case packetData:
-		if !k.half.ended {
-			k.half.inbox <- k.data
+		if !next.direction.ended {
+			next.direction.inbox <- next.data
 		}
 	case packetEnd:
-		if !k.half.ended {
-			k.half.ended = true
-			close(k.half.inbox)
+		if !next.direction.ended {
+			next.direction.ended = true
+			close(next.direction.inbox)
 		}
 	case packetOpen:
-		p.dst.accept <- k.stream
+		p.dst.accept <- next.stream
 	case packetConnect:
-		k.listener.offer(p.dst)
+		next.listener.offer(p.dst)
 	case packetEstablished:
-		close(p.dst.up)
+		close(p.dst.established)
 	case packetHangup:
 		p.dst.end("closed by the peer")
 	}
@@ -124,12 +124,12 @@
 // half is one direction of a stream, or of the control messages. A sender
 // takes room in window before it sends; the receiver returns it. The pipe
 // that leads to the receiver owns ended and is the only one to write to inbox.
-type half struct {
+type direction struct {
 	inbox  chan []byte
 	window chan struct{}
 	ended  bool
 }
 
-func newHalf(window int) *half {
-	return &half{inbox: make(chan []byte, window), window: make(chan struct{}, window)}
+func newDirection(window int) *direction {
+	return &direction{inbox: make(chan []byte, window), window: make(chan struct{}, window)}
 }
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -44,8 +44,8 @@
 	remote  string
 	mux     *yamux.Session
 	control *yamux.Stream
-	in      reader
-	out     writer
+	in      envelopeReader
+	out     envelopeWriter
 	group   *actor.Group
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
@@ -54,8 +54,8 @@
 
 func newMuxConn(g *actor.Group, sock net.Conn, mux *yamux.Session, control *yamux.Stream) *muxConn {
 	c := &muxConn{remote: sock.RemoteAddr().String(), mux: mux, control: control, group: g.Sub()}
-	c.in = reader{src: control, limit: wire.MaxControl, keep: keepControl}
-	c.out = writer{dst: control}
+	c.in = envelopeReader{src: control, maxPayload: wire.MaxControl, maxBuffer: maxControlBuffer}
+	c.out = envelopeWriter{dst: control}
 	c.ctx, c.cancel = context.WithCancelCause(c.group.Context())
 	c.done = actor.Go(c.group, "link", func(context.Context) error {
 		select {
@@ -76,8 +76,8 @@
 func closeSocket(sock net.Conn, mux *yamux.Session) error {
 	err := sock.Close()
 	<-mux.CloseChan() // the session's reader has met the closed socket
-	if e := mux.Close(); e != nil {
-		return e
+	if closeErr := mux.Close(); closeErr != nil {
+		return closeErr
 	}
 	return err
 }
@@ -86,51 +86,51 @@
 // returns the error with which it ended.
 func (c *muxConn) fail(err error) error {
 	if c.ctx.Err() != nil {
-		return c.ended()
+		return c.endError()
 	}
-	if c.mux.IsClosed() && !isProtocol(err) {
+	if c.mux.IsClosed() && !isProtocolError(err) {
 		err = shutdownError(c.mux)
 	}
-	if !isProtocol(err) && !isClosed(err) {
+	if !isProtocolError(err) && !isClosedError(err) {
 		err = fmt.Errorf("%w: %v", ErrClosed, err)
 	}
 	c.cancel(fmt.Errorf("link with %s: %w", c.remote, err))
-	return c.ended()
+	return c.endError()
 }
 
 // ended returns the error with which the link ended.
-func (c *muxConn) ended() error {
+func (c *muxConn) endError() error {
 	err := context.Cause(c.ctx)
-	if isProtocol(err) || isClosed(err) {
+	if isProtocolError(err) || isClosedError(err) {
 		return err
 	}
 	return fmt.Errorf("link with %s: %w", c.remote, ErrClosed) // the group was stopped
 }
 
-func isProtocol(err error) bool {
+func isProtocolError(err error) bool {
 	return errors.Is(err, ErrMalformed) || errors.Is(err, ErrVersion)
 }
 
-func isClosed(err error) bool { return errors.Is(err, ErrClosed) }
+func isClosedError(err error) bool { return errors.Is(err, ErrClosed) }
 
 // shutdownError returns why a closed session ended. yamux reports it from
 // AcceptStream, after the streams that were not accepted.
 func shutdownError(mux *yamux.Session) error {
 	err := yamux.ErrSessionShutdown
 	for range acceptBacklog + 1 {
-		if _, e := mux.AcceptStream(); e != nil && !errors.Is(e, yamux.ErrSessionShutdown) {
-			return muxError(e)
+		if _, acceptErr := mux.AcceptStream(); acceptErr != nil && !errors.Is(acceptErr, yamux.ErrSessionShutdown) {
+			return muxError(acceptErr)
 		}
 	}
 	return fmt.Errorf("%w: %v", ErrClosed, err)
 }
 
 func muxError(err error) error {
-	for _, broken := range []error{
+	for _, protocolErr := range []error{
 		yamux.ErrInvalidVersion, yamux.ErrInvalidMsgType, yamux.ErrUnexpectedFlag, yamux.ErrRecvWindowExceeded,
 		yamux.ErrDuplicateStream,
 	} {
-		if errors.Is(err, broken) {
+		if errors.Is(err, protocolErr) {
 			return fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 func (c *muxConn) Send(m msg.Control) error {
-	err := c.out.control(m)
+	err := c.out.writeControl(m)
 	if err == nil || errors.Is(err, ErrTooLarge) {
 		return err
 	}
@@ -161,7 +161,7 @@
 // waits without a context while the peer accepts no streams.
 func (c *muxConn) OpenStream(ctx context.Context) (Stream, error) {
 	if c.ctx.Err() != nil {
-		return nil, c.ended()
+		return nil, c.endError()
 	}
 	opened := make(chan *yamux.Stream)
 	failed := make(chan error, 1)
@@ -180,7 +180,7 @@
 	})
 	select {
 	case s := <-opened:
-		return c.stream(s), nil
+		return c.newStream(s), nil
 	case err := <-failed:
 		return nil, c.fail(err)
 	case <-ctx.Done():
@@ -192,7 +192,7 @@
 	s, err := c.mux.AcceptStreamWithContext(ctx)
 	switch {
 	case err == nil:
-		return c.stream(s), nil
+		return c.newStream(s), nil
 	case ctx.Err() != nil:
 		return nil, ctx.Err()
 	}
--- a/internal/link/muxstream.go
+++ b/internal/link/muxstream.go
@@ -15,29 +15,29 @@
 type muxStream struct {
 	conn *muxConn
 	raw  *yamux.Stream
-	in   reader
-	out  writer
+	in   envelopeReader
+	out  envelopeWriter
 }
 
-func (c *muxConn) stream(raw *yamux.Stream) *muxStream {
-	return &muxStream{conn: c, raw: raw, in: reader{src: raw, limit: wire.MaxFrame}, out: writer{dst: raw}}
+func (c *muxConn) newStream(raw *yamux.Stream) *muxStream {
+	return &muxStream{conn: c, raw: raw, in: envelopeReader{src: raw, maxPayload: wire.MaxFrame}, out: envelopeWriter{dst: raw}}
 }
 
 func (s *muxStream) Send(f msg.Frame) error {
-	err := s.out.frame(f)
+	err := s.out.writeFrame(f)
 	if err == nil || errors.Is(err, ErrTooLarge) {
 		return err
 	}
-	return s.ended(err)
+	return s.mapError(err)
 }
 
 func (s *muxStream) Receive() (msg.Frame, error) {
 	payload, err := s.in.next()
 	switch {
-	case isProtocol(err):
+	case isProtocolError(err):
 		return nil, s.conn.fail(err)
 	case err != nil:
-		return nil, s.ended(err)
+		return nil, s.mapError(err)
 	}
 	f, err := wire.DecodeFrame(payload)
 	if err != nil {
@@ -48,7 +48,7 @@
 
 // ended maps the error of a stream that has ended. yamux reports io.EOF on
 // each stream of a lost session, which must not pass for an orderly end.
-func (s *muxStream) ended(err error) error {
+func (s *muxStream) mapError(err error) error {
 	switch {
 	case s.conn.mux.IsClosed():
 		return s.conn.fail(err)
--- a/internal/link/shutdown_test.go
+++ b/internal/link/shutdown_test.go
@@ -14,26 +14,26 @@
 
 // slowConn is a socket whose Close waits, as that of a busy process does, and
 // whose writes can be made to fail.
-type slowConn struct {
+type blockingCloseConn struct {
 	net.Conn
-	closing chan struct{} // gets a value when Close is called
-	release chan struct{}
-	broken  chan struct{} // closed: writes fail
+	closing    chan struct{} // gets a value when Close is called
+	release    chan struct{}
+	failWrites chan struct{} // closed: writes fail
 }
 
-func newSlowConn(sock net.Conn) *slowConn {
-	return &slowConn{sock, make(chan struct{}, 8), make(chan struct{}), make(chan struct{})}
+func newBlockingCloseConn(sock net.Conn) *blockingCloseConn {
+	return &blockingCloseConn{sock, make(chan struct{}, 8), make(chan struct{}), make(chan struct{})}
 }
 
-func (c *slowConn) Close() error {
+func (c *blockingCloseConn) Close() error {
 	c.closing <- struct{}{}
 	<-c.release
 	return c.Conn.Close()
 }
 
-func (c *slowConn) Write(b []byte) (int, error) {
+func (c *blockingCloseConn) Write(b []byte) (int, error) {
 	select {
-	case <-c.broken:
+	case <-c.failWrites:
 		return 0, errors.New("broken pipe")
 	default:
 		return c.Conn.Write(b)
@@ -41,7 +41,7 @@
 }
 
 // slowLink is a link over a slowConn to a peer that only reads.
-func slowLink(t *testing.T) (*muxConn, *slowConn) {
+func blockingCloseLink(t *testing.T) (*muxConn, *blockingCloseConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	g := actor.NewGroup(t.Context(), nil)
 	t.Cleanup(g.Stop)
-	sock := newSlowConn(near)
+	sock := newBlockingCloseConn(near)
 	accepted := make(chan error, 1)
 	go func() {
 		mux, control, err := acceptHandshake(context.WithoutCancel(t.Context()), far)
@@ -71,7 +71,7 @@
 // socket still has to be closed (trouble-2 and trouble-3 of nilegate-permits:
 // an entry that spun for minutes of processor time).
 func TestSocketIsClosedBeforeTheSessionIsShutDown(t *testing.T) {
-	c, sock := slowLink(t)
+	c, sock := blockingCloseLink(t)
 	closed := make(chan error, 1)
 	go func() { closed <- c.Close() }()
 	<-sock.closing
@@ -83,8 +83,8 @@
 
 // Guards against the same after a failed write.
 func TestSocketIsClosedBeforeAFailedWriteShutsTheSessionDown(t *testing.T) {
-	c, sock := slowLink(t)
-	close(sock.broken)
+	c, sock := blockingCloseLink(t)
+	close(sock.failWrites)
 	sent := make(chan error, 1)
 	go func() { sent <- c.Send(&msg.Heartbeat{}) }()
 	<-sock.closing
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -34,8 +34,8 @@
 func (d *tcpDialer) Dial(ctx context.Context, address string) (Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	var nd net.Dialer
-	sock, err := nd.DialContext(ctx, "tcp", address)
+	var dialer net.Dialer
+	sock, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -113,4 +113,4 @@
 }
 
 // isEnd reports whether a read ended because the peer closed the socket.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
+func isEOF(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -46,7 +46,7 @@
 }
 
 // requireWorks sends a message each way on a link.
-func requireWorks(t *testing.T, p pair) {
+func requireUsable(t *testing.T, p linkPair) {
 	t.Helper()
 	require.NoError(t, p.agent.Send(&msg.Heartbeat{}))
 	_, err := p.entry.Receive()
@@ -65,7 +65,7 @@
 
 // Guards against bytes of a peer that end the process or another link, or
 // that are not reported as what they are.
-func TestBadBytesEndOnlyTheirLink(t *testing.T) {
+func TestMalformedHandshakeEndsOnlyItsLink(t *testing.T) {
 	other := wire.Preamble()
 	other[len(other)-1]++
 	cases := map[string]struct {
@@ -78,7 +78,7 @@
 		"nothing":              {nil, ErrClosed},
 		"not yamux":            {append(wire.Preamble(), "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"...), ErrMalformed},
 	}
-	d, l := tcpEnds(t, Config{})
+	d, l := tcpDialerAndListener(t, Config{})
 	healthy := connect(t, d, l)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			_, err = conn.Receive()
 			require.ErrorIs(t, err, c.want)
 			require.ErrorIs(t, conn.Send(&msg.Heartbeat{}), c.want)
-			requireWorks(t, healthy)
+			requireUsable(t, healthy)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		"another version": {envelope(wire.Version+1, 0), ErrVersion},
 		"end inside":      {envelope(wire.Version, 1, 2, 3)[:6], ErrClosed},
 	}
-	d, l := tcpEnds(t, Config{})
+	d, l := tcpDialerAndListener(t, Config{})
 	healthy := connect(t, d, l)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 			_, err = conn.OpenStream(t.Context())
 			require.ErrorIs(t, err, c.want)
 			<-mux.CloseChan()
-			requireWorks(t, healthy)
+			requireUsable(t, healthy)
 		})
 	}
 }
@@ -130,7 +130,7 @@
 // Guards against a malformed frame on a request stream that leaves its link
 // in use, or whose cause the control stream's receiver does not learn.
 func TestMalformedFrameEndsItsLink(t *testing.T) {
-	d, l := tcpEnds(t, Config{})
+	d, l := tcpDialerAndListener(t, Config{})
 	healthy := connect(t, d, l)
 	mux, _ := rawAgent(t, l.Addr())
 	conn := accept(t, l)
@@ -144,13 +144,13 @@
 	require.ErrorIs(t, err, ErrMalformed)
 	_, err = conn.Receive()
 	require.ErrorIs(t, err, ErrMalformed)
-	requireWorks(t, healthy)
+	requireUsable(t, healthy)
 }
 
 // Guards against a stream that ends inside a frame and passes for an orderly
 // end, or takes its link with it.
 func TestStreamEndInsideAFrameIsAReset(t *testing.T) {
-	_, l := tcpEnds(t, Config{})
+	_, l := tcpDialerAndListener(t, Config{})
 	mux, control := rawAgent(t, l.Addr())
 	conn := accept(t, l)
 	stream, err := conn.OpenStream(t.Context())
@@ -172,10 +172,10 @@
 
 // Guards against a dialer that does not tell a peer of another version from
 // one that speaks another protocol.
-func TestDialReportsWhatThePeerIs(t *testing.T) {
+func TestDialDistinguishesHandshakeErrors(t *testing.T) {
 	other := wire.Preamble()
 	other[len(other)-1]++
-	for want, greeting := range map[error]string{
+	for want, preamble := range map[error]string{
 		ErrVersion: string(other), ErrMalformed: "HTTP/1.1 400 Bad Request\r\n\r\n", ErrClosed: "",
 	} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -184,7 +184,7 @@
 		go func() {
 			c, err := sock.Accept()
 			if err == nil {
-				_, err = io.WriteString(c, greeting)
+				_, err = io.WriteString(c, preamble)
 				_, _ = io.CopyN(io.Discard, c, wire.PreambleSize)
 				_ = c.Close()
 			}
@@ -201,10 +201,10 @@
 
 // Guards against a peer that says nothing and holds up a dial after its
 // context has ended, or other connections of the listener.
-func TestSilentPeerHoldsUpNobody(t *testing.T) {
-	d, l := tcpEnds(t, Config{})
+func TestSilentPeerDoesNotBlockOthers(t *testing.T) {
+	d, l := tcpDialerAndListener(t, Config{})
 	rawDial(t, l.Addr())
-	requireWorks(t, connect(t, d, l))
+	requireUsable(t, connect(t, d, l))
 
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -85,18 +85,18 @@
 }
 
 func (f KeyFiles) load() (*tls.Config, error) {
-	var found finding.List
+	var findings finding.List
 	cert, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		found.Add(f.Certificate, 0, "certificate", "cannot be used with key %s: %v", f.Key, err)
+		findings.Add(f.Certificate, 0, "certificate", "cannot be used with key %s: %v", f.Key, err)
 	}
 	pool := x509.NewCertPool()
 	if pem, err := os.ReadFile(f.CA); err != nil {
-		found.Add(f.CA, 0, "CA", "cannot be read: %v", err)
+		findings.Add(f.CA, 0, "CA", "cannot be read: %v", err)
 	} else if !pool.AppendCertsFromPEM(pem) {
-		found.Add(f.CA, 0, "CA", "holds no certificate in PEM form")
+		findings.Add(f.CA, 0, "CA", "holds no certificate in PEM form")
 	}
-	if err := found.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return nil, err
 	}
 	name := f.EntryName
@@ -148,7 +148,7 @@
 		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	case errors.As(err, &verify), errors.As(err, &op) && op.Op == "remote error":
 		return fmt.Errorf("%w: %v", ErrUntrusted, err)
-	case errors.As(err, &op), isEnd(err):
+	case errors.As(err, &op), isEOF(err):
 		return fmt.Errorf("%w: handshake: %w", ErrClosed, err)
 	}
 	return fmt.Errorf("%w: %v", ErrUntrusted, err) // such as a peer without a certificate
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -70,17 +70,17 @@
 	return f
 }
 
-type secured struct {
+type processKeys struct {
 	keys *Keys
 	dir  string
 }
 
-func (a *authority) process(t *testing.T, g *actor.Group, dnsName string) secured {
+func (a *authority) process(t *testing.T, g *actor.Group, dnsName string) processKeys {
 	t.Helper()
 	dir := t.TempDir()
 	keys, err := LoadKeys(g, a.write(t, dir, dnsName))
 	require.NoError(t, err)
-	return secured{keys, dir}
+	return processKeys{keys, dir}
 }
 
 func testGroup(t *testing.T) *actor.Group {
@@ -92,28 +92,28 @@
 // Guards against a link without encryption or verification between processes
 // that have keys, and against peers of another authority being let in.
 func TestMutualTLS(t *testing.T) {
-	g, ours, theirs := testGroup(t), newAuthority(t), newAuthority(t)
-	entry := ours.process(t, g, DefaultEntryName)
+	g, trusted, untrusted := testGroup(t), newAuthority(t), newAuthority(t)
+	entry := trusted.process(t, g, DefaultEntryName)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: entry.keys})
 	require.NoError(t, err)
-	d := NewDialer(g, Config{Keys: ours.process(t, g, "agent").keys})
+	d := NewDialer(g, Config{Keys: trusted.process(t, g, "agent").keys})
 	healthy := connect(t, d, l)
-	requireWorks(t, healthy)
+	requireUsable(t, healthy)
 
-	refused := map[string]struct {
+	rejected := map[string]struct {
 		cfg  Config
 		want error
 	}{
 		"no TLS":            {Config{}, ErrMalformed},
-		"another authority": {Config{Keys: theirs.process(t, g, "agent").keys}, ErrUntrusted},
+		"another authority": {Config{Keys: untrusted.process(t, g, "agent").keys}, ErrUntrusted},
 	}
-	for name, c := range refused {
+	for name, c := range rejected {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewDialer(g, c.cfg).Dial(t.Context(), l.Addr())
 			require.Error(t, err)
 			_, err = accept(t, l).Receive()
 			require.ErrorIs(t, err, c.want)
-			requireWorks(t, healthy)
+			requireUsable(t, healthy)
 		})
 	}
 }
@@ -127,9 +127,9 @@
 	agent := ours.process(t, g, "agent")
 	config, err := agent.keys.ask(t.Context(), nil)
 	require.NoError(t, err)
-	bare := config.Clone()
-	bare.Certificates = nil
-	_, err = agent.keys.ask(t.Context(), bare)
+	withoutCertificate := config.Clone()
+	withoutCertificate.Certificates = nil
+	_, err = agent.keys.ask(t.Context(), withoutCertificate)
 	require.NoError(t, err)
 	_, err = NewDialer(g, Config{Keys: agent.keys}).Dial(t.Context(), l.Addr())
 	require.Error(t, err)
@@ -139,7 +139,7 @@
 
 // Guards against an agent's certificate that is good enough to pass for an
 // entry.
-func TestAgentCannotPassForAnEntry(t *testing.T) {
+func TestDialerRejectsAgentCertificate(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: ours.process(t, g, "agent").keys})
 	require.NoError(t, err)
@@ -148,7 +148,7 @@
 }
 
 // Guards against a dialer with keys that falls back to a link without TLS.
-func TestDialerWithKeysRefusesPlainPeer(t *testing.T) {
+func TestDialerWithKeysRejectsPeerWithoutTLS(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{})
 	require.NoError(t, err)
@@ -159,40 +159,40 @@
 // Guards against a reload that drops links, keeps former keys in use for new
 // ones, or replaces good keys by unusable ones.
 func TestReloadKeepsLinks(t *testing.T) {
-	g, before, after := testGroup(t), newAuthority(t), newAuthority(t)
-	entry, agent := before.process(t, g, DefaultEntryName), before.process(t, g, "agent")
+	g, formerCA, newCA := testGroup(t), newAuthority(t), newAuthority(t)
+	entry, agent := formerCA.process(t, g, DefaultEntryName), formerCA.process(t, g, "agent")
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: entry.keys})
 	require.NoError(t, err)
 	d := NewDialer(g, Config{Keys: agent.keys})
-	old := connect(t, d, l)
+	established := connect(t, d, l)
 
-	after.write(t, entry.dir, DefaultEntryName)
+	newCA.write(t, entry.dir, DefaultEntryName)
 	require.NoError(t, entry.keys.Reload(t.Context()))
-	requireWorks(t, old)
+	requireUsable(t, established)
 	_, err = d.Dial(t.Context(), l.Addr())
 	require.ErrorIs(t, err, ErrUntrusted, "the agent still has the former CA")
 	_, err = accept(t, l).Receive()
 	require.Error(t, err)
 
-	after.write(t, agent.dir, "agent")
+	newCA.write(t, agent.dir, "agent")
 	require.NoError(t, agent.keys.Reload(t.Context()))
-	requireWorks(t, connect(t, d, l))
+	requireUsable(t, connect(t, d, l))
 
 	require.NoError(t, os.WriteFile(filepath.Join(agent.dir, "key.pem"), []byte("not a key"), 0o600))
 	require.NoError(t, os.Remove(filepath.Join(agent.dir, "ca.pem")))
 	err = agent.keys.Reload(t.Context())
 	require.ErrorContains(t, err, "cert.pem: certificate: cannot be used")
 	require.ErrorContains(t, err, "ca.pem: CA: cannot be read")
-	requireWorks(t, connect(t, d, l))
-	requireWorks(t, old)
+	requireUsable(t, connect(t, d, l))
+	requireUsable(t, established)
 }
 
 // Guards against a peer that stalls in the TLS handshake and holds up others.
-func TestStalledTLSHandshakeHoldsUpNobody(t *testing.T) {
+func TestStalledTLSHandshakeDoesNotBlockOthers(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: ours.process(t, g, DefaultEntryName).keys})
 	require.NoError(t, err)
 	_, err = io.WriteString(rawDial(t, l.Addr()), "\x16\x03\x01")
 	require.NoError(t, err)
-	requireWorks(t, connect(t, NewDialer(g, Config{Keys: ours.process(t, g, "agent").keys}), l))
+	requireUsable(t, connect(t, NewDialer(g, Config{Keys: ours.process(t, g, "agent").keys}), l))
 }
