--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -17,11 +17,11 @@
 		return dst, err
 	}
 	start := len(dst)
-	dst, err = (proto.MarshalOptions{}).MarshalAppend(beginEnvelope(dst), p)
+	dst, err = (proto.MarshalOptions{}).MarshalAppend(appendEmptyHeader(dst), p)
 	if err != nil {
 		return dst[:start], err
 	}
-	return dst, finishEnvelope(dst, start, 0, MaxControl)
+	return dst, setPayloadSize(dst, start, 0, MaxControl)
 }
 
 // DecodeControl decodes the payload of an envelope. The message does not
@@ -52,7 +52,7 @@
 	case *msg.BackendState:
 		p.Kind = &pb.Control_BackendState{BackendState: backendStateToProto(m)}
 	case *msg.CreditGrant:
-		p.Kind = &pb.Control_CreditGrant{CreditGrant: grantToProto(m)}
+		p.Kind = &pb.Control_CreditGrant{CreditGrant: creditGrantToProto(m)}
 	case *msg.CreditRecall:
 		p.Kind = &pb.Control_CreditRecall{CreditRecall: creditToProto(m.Backend, m.Generation, m.Count)}
 	case *msg.CreditReturn:
@@ -66,7 +66,7 @@
 	case *msg.DrainBackend:
 		p.Kind = &pb.Control_DrainBackend{DrainBackend: &pb.DrainBackend{Backend: string(m.Backend)}}
 	case *msg.ConfigDelta:
-		p.Kind = &pb.Control_ConfigDelta{ConfigDelta: deltaToProto(m)}
+		p.Kind = &pb.Control_ConfigDelta{ConfigDelta: configDeltaToProto(m)}
 	case *msg.ConfigRequest:
 		p.Kind = &pb.Control_ConfigRequest{ConfigRequest: &pb.ConfigRequest{Have: uint64(m.Have)}}
 	case *msg.ConfigApplied:
@@ -94,7 +94,7 @@
 	case *pb.Control_BackendState:
 		return backendStateFromProto(k.BackendState), nil
 	case *pb.Control_CreditGrant:
-		return grantFromProto(k.CreditGrant), nil
+		return creditGrantFromProto(k.CreditGrant), nil
 	case *pb.Control_CreditRecall:
 		return (*msg.CreditRecall)(creditFromProto(k.CreditRecall)), nil
 	case *pb.Control_CreditReturn:
@@ -104,11 +104,11 @@
 	case *pb.Control_OutcomeQuery:
 		return &msg.OutcomeQuery{ID: requestIDFromProto(k.OutcomeQuery)}, nil
 	case *pb.Control_OutcomeReply:
-		return outcomeFromProto(k.OutcomeReply)
+		return outcomeReplyFromProto(k.OutcomeReply)
 	case *pb.Control_DrainBackend:
 		return &msg.DrainBackend{Backend: model.BackendID(k.DrainBackend.GetBackend())}, nil
 	case *pb.Control_ConfigDelta:
-		return deltaFromProto(k.ConfigDelta), nil
+		return configDeltaFromProto(k.ConfigDelta), nil
 	case *pb.Control_ConfigRequest:
 		return &msg.ConfigRequest{Have: model.ConfigVersion(k.ConfigRequest.GetHave())}, nil
 	case *pb.Control_ConfigApplied:
@@ -163,13 +163,13 @@
 	return &pb.Credit{Backend: string(backend), Generation: generation, Count: int64(count)}
 }
 
-func grantToProto(m *msg.CreditGrant) *pb.Credit {
+func creditGrantToProto(m *msg.CreditGrant) *pb.Credit {
 	p := creditToProto(m.Backend, m.Generation, m.Count)
 	p.Long = int64(m.MaxLong)
 	return p
 }
 
-func grantFromProto(p *pb.Credit) *msg.CreditGrant {
+func creditGrantFromProto(p *pb.Credit) *msg.CreditGrant {
 	c := creditFromProto(p)
 	return &msg.CreditGrant{Backend: c.Backend, Generation: c.Generation, Count: c.Count, MaxLong: int(p.GetLong())}
 }
@@ -193,22 +193,22 @@
 	}
 }
 
-func outcomeFromProto(p *pb.OutcomeReply) (msg.Control, error) {
+func outcomeReplyFromProto(p *pb.OutcomeReply) (msg.Control, error) {
 	if p.GetState() > uint32(msg.ExchangeFinished) {
 		return nil, malformed("unknown exchange state %d", p.GetState())
 	}
 	return &msg.OutcomeReply{ID: requestIDFromProto(p.GetId()), State: msg.ExchangeState(p.GetState())}, nil
 }
 
-func deltaToProto(m *msg.ConfigDelta) *pb.ConfigDelta {
+func configDeltaToProto(m *msg.ConfigDelta) *pb.ConfigDelta {
 	return &pb.ConfigDelta{
-		From: uint64(m.From), To: uint64(m.To), Full: m.Full, Changes: convert(m.Changes, changeToProto),
+		From: uint64(m.From), To: uint64(m.To), Full: m.Full, Changes: mapSliceByPointer(m.Changes, configChangeToProto),
 	}
 }
 
-func deltaFromProto(p *pb.ConfigDelta) *msg.ConfigDelta {
+func configDeltaFromProto(p *pb.ConfigDelta) *msg.ConfigDelta {
 	return &msg.ConfigDelta{
 		From: model.ConfigVersion(p.GetFrom()), To: model.ConfigVersion(p.GetTo()), Full: p.GetFull(),
-		Changes: convert(p.GetChanges(), changeFromProto),
+		Changes: mapSliceByPointer(p.GetChanges(), configChangeFromProto),
 	}
 }
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -19,7 +19,7 @@
 			Member: memberToProto(m.Member), Agent: m.Agent, Boot: m.Boot, DataCentre: string(m.DataCentre), Epoch: m.Epoch,
 		}}
 	case *msg.Members:
-		p.Kind = &pb.Control_Members{Members: &pb.Members{Entries: each(m.Entries, memberToProto)}}
+		p.Kind = &pb.Control_Members{Members: &pb.Members{Entries: mapSlice(m.Entries, memberToProto)}}
 	case *msg.HostAnnounced:
 		p.Kind = &pb.Control_HostAnnounced{HostAnnounced: hostToProto(m.Host)}
 	case *msg.OwnerClaim:
@@ -27,31 +27,31 @@
 	case *msg.HostInventory:
 		p.Kind = &pb.Control_HostInventory{HostInventory: &pb.HostInventory{
 			Epoch: m.Epoch, Host: hostToProto(m.Host), ClockMs: m.ClockMS,
-			Runs: each(m.Runs, runStatusToProto), Ends: each(m.Ended, runEndToProto),
+			Runs: mapSlice(m.Runs, runStatusToProto), Ends: mapSlice(m.Ended, runEndToProto),
 		}}
 	case *msg.InventoryAccepted:
 		p.Kind = &pb.Control_InventoryTaken{InventoryTaken: &pb.InventoryTaken{
-			Epoch: m.Epoch, ClockMs: m.ClockMS, Sizes: each(m.Sizes, runSizeToProto),
+			Epoch: m.Epoch, ClockMs: m.ClockMS, Sizes: mapSlice(m.Sizes, runSizeToProto),
 		}}
 	case *msg.StartRuns:
 		p.Kind = &pb.Control_StartRuns{StartRuns: &pb.StartRuns{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Starts: each(m.Starts, runStartToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Starts: mapSlice(m.Starts, runStartToProto),
 		}}
 	case *msg.StopRuns:
-		p.Kind = &pb.Control_StopRuns{StopRuns: &pb.StopRuns{Epoch: m.Epoch, Runs: each(m.Runs, runToProto)}}
+		p.Kind = &pb.Control_StopRuns{StopRuns: &pb.StopRuns{Epoch: m.Epoch, Runs: mapSlice(m.Runs, runToProto)}}
 	case *msg.RunsChanged:
 		p.Kind = &pb.Control_RunsChanged{RunsChanged: &pb.RunsChanged{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Started: each(m.Started, runToProto),
-			Refused: each(m.Refused, runToProto), Ends: each(m.Ended, runEndToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Started: mapSlice(m.Started, runToProto),
+			Refused: mapSlice(m.Refused, runToProto), Ends: mapSlice(m.Ended, runEndToProto),
 		}}
 	case *msg.RunsProgress:
 		p.Kind = &pb.Control_RunsProgress{RunsProgress: &pb.RunsProgress{
-			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, ClockMs: m.ClockMS, Runs: each(m.Runs, runStatusToProto),
+			Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, ClockMs: m.ClockMS, Runs: mapSlice(m.Runs, runStatusToProto),
 		}}
 	case *msg.LeaseGrant:
 		p.Kind = &pb.Control_LeaseGrant{LeaseGrant: &pb.LeaseGrant{
 			Epoch: m.Epoch, Born: m.StartedAtMS, ClockMs: m.ClockMS,
-			Harms: each(m.Interference, harmToProto),
+			Harms: mapSlice(m.Interference, interferenceToProto),
 		}}
 	case *msg.EndsAcknowledged:
 		p.Kind = &pb.Control_EndsTaken{EndsTaken: &pb.EndsTaken{Epoch: m.Epoch, Instance: string(m.Instance), Born: m.StartedAtMS, Upto: m.LastNumber}}
@@ -60,14 +60,14 @@
 	case *msg.JobCancelled:
 		p.Kind = &pb.Control_JobCancelled{JobCancelled: string(m.ID)}
 	case *msg.JobPhases:
-		p.Kind = &pb.Control_JobPhases{JobPhases: &pb.JobPhases{Epoch: m.Epoch, All: m.Full, Jobs: each(m.Jobs, jobPhaseToProto)}}
+		p.Kind = &pb.Control_JobPhases{JobPhases: &pb.JobPhases{Epoch: m.Epoch, All: m.Full, Jobs: mapSlice(m.Jobs, jobPhaseToProto)}}
 	case *msg.ConfigAnnounced:
 		p.Kind = &pb.Control_ConfigAnnounced{ConfigAnnounced: &pb.ConfigAnnounced{Version: m.Version, Raw: m.Raw}}
 	case *msg.StoreCall:
 		p.Kind = &pb.Control_StoreCall{StoreCall: storeCallToProto(m)}
 	case *msg.StoreResult:
 		p.Kind = &pb.Control_StoreResult{StoreResult: &pb.StoreResult{
-			Id: m.ID, Outcome: uint32(m.Outcome), Revision: uint64(m.Revision), Rows: each(m.Rows, rowToProto),
+			Id: m.ID, Outcome: uint32(m.Outcome), Revision: uint64(m.Revision), Rows: mapSlice(m.Rows, rowToProto),
 		}}
 	default:
 		return nil
@@ -85,37 +85,37 @@
 			DataCentre: workload.DataCentre(h.GetDataCentre()), Epoch: h.GetEpoch(),
 		}, nil
 	case *pb.Control_Members:
-		return &msg.Members{Entries: each(k.Members.GetEntries(), memberFromProto)}, nil
+		return &msg.Members{Entries: mapSlice(k.Members.GetEntries(), memberFromProto)}, nil
 	case *pb.Control_HostAnnounced:
 		h, err := hostFromProto(k.HostAnnounced)
 		return &msg.HostAnnounced{Host: h}, err
 	case *pb.Control_OwnerClaim:
 		return &msg.OwnerClaim{Epoch: k.OwnerClaim.GetEpoch(), Owner: k.OwnerClaim.GetOwner()}, nil
 	case *pb.Control_HostInventory:
-		return inventoryFromFleet(k.HostInventory)
+		return hostInventoryFromProto(k.HostInventory)
 	case *pb.Control_InventoryTaken:
 		t := k.InventoryTaken
-		return &msg.InventoryAccepted{Epoch: t.GetEpoch(), ClockMS: t.GetClockMs(), Sizes: each(t.GetSizes(), runSizeFromProto)}, nil
+		return &msg.InventoryAccepted{Epoch: t.GetEpoch(), ClockMS: t.GetClockMs(), Sizes: mapSlice(t.GetSizes(), runSizeFromProto)}, nil
 	case *pb.Control_StartRuns:
 		s := k.StartRuns
 		return &msg.StartRuns{
-			Epoch: s.GetEpoch(), Instance: workload.Instance(s.GetInstance()), StartedAtMS: s.GetBorn(), Starts: each(s.GetStarts(), runStartFromProto),
+			Epoch: s.GetEpoch(), Instance: workload.Instance(s.GetInstance()), StartedAtMS: s.GetBorn(), Starts: mapSlice(s.GetStarts(), runStartFromProto),
 		}, nil
 	case *pb.Control_StopRuns:
-		return &msg.StopRuns{Epoch: k.StopRuns.GetEpoch(), Runs: each(k.StopRuns.GetRuns(), runFromProto)}, nil
+		return &msg.StopRuns{Epoch: k.StopRuns.GetEpoch(), Runs: mapSlice(k.StopRuns.GetRuns(), runFromProto)}, nil
 	case *pb.Control_RunsChanged:
 		return runsChangedFromProto(k.RunsChanged)
 	case *pb.Control_RunsProgress:
 		r := k.RunsProgress
 		return &msg.RunsProgress{
 			Epoch: r.GetEpoch(), Instance: workload.Instance(r.GetInstance()), StartedAtMS: r.GetBorn(), ClockMS: r.GetClockMs(),
-			Runs: each(r.GetRuns(), runStatusFromProto),
+			Runs: mapSlice(r.GetRuns(), runStatusFromProto),
 		}, nil
 	case *pb.Control_LeaseGrant:
 		g := k.LeaseGrant
 		return &msg.LeaseGrant{
 			Epoch: g.GetEpoch(), StartedAtMS: g.GetBorn(), ClockMS: g.GetClockMs(),
-			Interference: each(g.GetHarms(), harmFromProto),
+			Interference: mapSlice(g.GetHarms(), interferenceFromProto),
 		}, nil
 	case *pb.Control_EndsTaken:
 		e := k.EndsTaken
@@ -141,18 +141,18 @@
 	return msg.Member{Name: p.GetName(), Address: p.GetAddress()}
 }
 
-func roomToProto(r workload.Resources) *pb.Room {
+func workloadResourcesToProto(r workload.Resources) *pb.Room {
 	return &pb.Room{MilliCpu: r.MilliCPU, MemoryMb: r.MemoryMB, Accelerators: r.Accelerators}
 }
 
-func roomFromProto(p *pb.Room) workload.Resources {
+func workloadResourcesFromProto(p *pb.Room) workload.Resources {
 	return workload.Resources{MilliCPU: p.GetMilliCpu(), MemoryMB: p.GetMemoryMb(), Accelerators: p.GetAccelerators()}
 }
 
 func hostToProto(h workload.Host) *pb.FleetHost {
 	return &pb.FleetHost{
 		Name: string(h.Name), Instance: string(h.Instance), Born: h.StartedAtMS, Service: string(h.Service), DataCentre: string(h.DataCentre),
-		State: uint32(h.State), RemainingNs: int64(h.Remaining), Capacity: roomToProto(h.Capacity), Labels: h.Labels, Guards: h.AdmissionCheck,
+		State: uint32(h.State), RemainingNs: int64(h.Remaining), Capacity: workloadResourcesToProto(h.Capacity), Labels: h.Labels, Guards: h.AdmissionCheck,
 	}
 }
 
@@ -164,7 +164,7 @@
 		Name: workload.HostName(p.GetName()), Instance: workload.Instance(p.GetInstance()), StartedAtMS: p.GetBorn(),
 		Service: workload.Service(p.GetService()), DataCentre: workload.DataCentre(p.GetDataCentre()),
 		State: workload.HostState(p.GetState()), Remaining: time.Duration(p.GetRemainingNs()),
-		Capacity: roomFromProto(p.GetCapacity()), Labels: p.GetLabels(), AdmissionCheck: p.GetGuards(),
+		Capacity: workloadResourcesFromProto(p.GetCapacity()), Labels: p.GetLabels(), AdmissionCheck: p.GetGuards(),
 	}, nil
 }
 
@@ -198,40 +198,40 @@
 	return &pb.RunEnd{Number: e.Number, Run: runToProto(e.Run), Reason: uint32(e.Reason), Checkpoint: e.Checkpoint}
 }
 
-func runEndsFromProto(list []*pb.RunEnd) ([]msg.RunEnd, error) {
-	ends := make([]msg.RunEnd, 0, len(list))
-	for _, p := range list {
+func runEndsFromProto(encoded []*pb.RunEnd) ([]msg.RunEnd, error) {
+	ended := make([]msg.RunEnd, 0, len(encoded))
+	for _, p := range encoded {
 		if p.GetReason() > uint32(workload.EndLost) {
 			return nil, malformed("end %d has the unknown reason %d", p.GetNumber(), p.GetReason())
 		}
-		ends = append(ends, msg.RunEnd{
+		ended = append(ended, msg.RunEnd{
 			Number: p.GetNumber(), Run: runFromProto(p.GetRun()), Reason: workload.EndReason(p.GetReason()), Checkpoint: p.GetCheckpoint(),
 		})
 	}
-	if len(ends) == 0 {
+	if len(ended) == 0 {
 		return nil, nil
 	}
-	return ends, nil
+	return ended, nil
 }
 
-func inventoryFromFleet(p *pb.HostInventory) (msg.Control, error) {
+func hostInventoryFromProto(p *pb.HostInventory) (msg.Control, error) {
 	host, err := hostFromProto(p.GetHost())
 	if err != nil {
 		return nil, err
 	}
-	ends, err := runEndsFromProto(p.GetEnds())
+	ended, err := runEndsFromProto(p.GetEnds())
 	return &msg.HostInventory{
-		Epoch: p.GetEpoch(), Host: host, ClockMS: p.GetClockMs(), Runs: each(p.GetRuns(), runStatusFromProto), Ended: ends,
+		Epoch: p.GetEpoch(), Host: host, ClockMS: p.GetClockMs(), Runs: mapSlice(p.GetRuns(), runStatusFromProto), Ended: ended,
 	}, err
 }
 
 func runSizeToProto(s msg.RunSize) *pb.RunSize {
-	return &pb.RunSize{Run: runToProto(s.Run), Charge: roomToProto(s.Charge), TargetNs: int64(s.TargetLatency), Filler: s.BestEffort, Image: s.Image, Cpu: s.MilliCPU}
+	return &pb.RunSize{Run: runToProto(s.Run), Charge: workloadResourcesToProto(s.Charge), TargetNs: int64(s.TargetLatency), Filler: s.BestEffort, Image: s.Image, Cpu: s.MilliCPU}
 }
 
 func runSizeFromProto(p *pb.RunSize) msg.RunSize {
 	return msg.RunSize{
-		Run: runFromProto(p.GetRun()), Charge: roomFromProto(p.GetCharge()), TargetLatency: time.Duration(p.GetTargetNs()), BestEffort: p.GetFiller(),
+		Run: runFromProto(p.GetRun()), Charge: workloadResourcesFromProto(p.GetCharge()), TargetLatency: time.Duration(p.GetTargetNs()), BestEffort: p.GetFiller(),
 		Image: p.GetImage(), MilliCPU: p.GetCpu(),
 	}
 }
@@ -245,10 +245,10 @@
 }
 
 func runsChangedFromProto(p *pb.RunsChanged) (msg.Control, error) {
-	ends, err := runEndsFromProto(p.GetEnds())
+	ended, err := runEndsFromProto(p.GetEnds())
 	return &msg.RunsChanged{
 		Epoch: p.GetEpoch(), Instance: workload.Instance(p.GetInstance()), StartedAtMS: p.GetBorn(),
-		Started: each(p.GetStarted(), runFromProto), Refused: each(p.GetRefused(), runFromProto), Ended: ends,
+		Started: mapSlice(p.GetStarted(), runFromProto), Refused: mapSlice(p.GetRefused(), runFromProto), Ended: ended,
 	}, err
 }
 
@@ -280,10 +280,10 @@
 func storeCallToProto(m *msg.StoreCall) *pb.StoreCall {
 	return &pb.StoreCall{
 		Id: m.ID, Operation: m.Txn.Operation, Deletes: m.Txn.Deletes,
-		Checks: each(m.Txn.Checks, func(c table.Check) *pb.TableCheck {
+		Checks: mapSlice(m.Txn.Checks, func(c table.Check) *pb.TableCheck {
 			return &pb.TableCheck{Key: c.Key, Version: uint64(c.Version)}
 		}),
-		Puts: each(m.Txn.Puts, func(u table.Put) *pb.TableRow { return &pb.TableRow{Key: u.Key, Value: u.Value} }),
+		Puts: mapSlice(m.Txn.Puts, func(u table.Put) *pb.TableRow { return &pb.TableRow{Key: u.Key, Value: u.Value} }),
 	}
 }
 
@@ -291,10 +291,10 @@
 	return &msg.StoreCall{ID: p.GetId(), Txn: table.Txn{
 		Operation: p.GetOperation(),
 		Deletes:   p.GetDeletes(),
-		Checks: each(p.GetChecks(), func(c *pb.TableCheck) table.Check {
+		Checks: mapSlice(p.GetChecks(), func(c *pb.TableCheck) table.Check {
 			return table.Check{Key: c.GetKey(), Version: table.Revision(c.GetVersion())}
 		}),
-		Puts: each(p.GetPuts(), func(r *pb.TableRow) table.Put { return table.Put{Key: r.GetKey(), Value: r.GetValue()} }),
+		Puts: mapSlice(p.GetPuts(), func(r *pb.TableRow) table.Put { return table.Put{Key: r.GetKey(), Value: r.GetValue()} }),
 	}}
 }
 
@@ -303,14 +303,14 @@
 		return nil, malformed("transaction has the unknown outcome %d", p.GetOutcome())
 	}
 	return &msg.StoreResult{
-		ID: p.GetId(), Outcome: table.Outcome(p.GetOutcome()), Revision: table.Revision(p.GetRevision()), Rows: each(p.GetRows(), rowFromProto),
+		ID: p.GetId(), Outcome: table.Outcome(p.GetOutcome()), Revision: table.Revision(p.GetRevision()), Rows: mapSlice(p.GetRows(), rowFromProto),
 	}, nil
 }
 
-func harmToProto(h msg.Interference) *pb.Harm {
-	return &pb.Harm{Serving: h.ServingImage, Filler: h.BestEffortImage, Value: h.Coefficient}
+func interferenceToProto(i msg.Interference) *pb.Harm {
+	return &pb.Harm{Serving: i.ServingImage, Filler: i.BestEffortImage, Value: i.Coefficient}
 }
 
-func harmFromProto(p *pb.Harm) msg.Interference {
+func interferenceFromProto(p *pb.Harm) msg.Interference {
 	return msg.Interference{ServingImage: p.GetServing(), BestEffortImage: p.GetFiller(), Coefficient: p.GetValue()}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -19,11 +19,11 @@
 // caller sends body after head.
 func AppendFrame(dst []byte, f msg.Frame) (head, body []byte, err error) {
 	start := len(dst)
-	dst = beginEnvelope(dst)
+	dst = appendEmptyHeader(dst)
 	if chunk, ok := f.(*msg.BodyChunk); ok {
 		dst = protowire.AppendTag(dst, bodyChunkField, protowire.BytesType)
 		dst = protowire.AppendVarint(dst, uint64(len(chunk.Data)))
-		return dst, chunk.Data, finishEnvelope(dst, start, len(chunk.Data), MaxFrame)
+		return dst, chunk.Data, setPayloadSize(dst, start, len(chunk.Data), MaxFrame)
 	}
 	p, err := frameToProto(f)
 	if err != nil {
@@ -32,13 +32,13 @@
 	if dst, err = (proto.MarshalOptions{}).MarshalAppend(dst, p); err != nil {
 		return dst[:start], nil, err
 	}
-	return dst, nil, finishEnvelope(dst, start, 0, MaxFrame)
+	return dst, nil, setPayloadSize(dst, start, 0, MaxFrame)
 }
 
 // DecodeFrame decodes the payload of an envelope. The data of a BodyChunk
 // aliases payload.
 func DecodeFrame(payload []byte) (msg.Frame, error) {
-	if data, ok := bodyChunk(payload); ok {
+	if data, ok := onlyBodyChunk(payload); ok {
 		return &msg.BodyChunk{Data: data}, nil
 	}
 	var p pb.Frame
@@ -49,13 +49,13 @@
 }
 
 // bodyChunk recognises a Frame that consists of a body_chunk only.
-func bodyChunk(payload []byte) ([]byte, bool) {
-	field, kind, n := protowire.ConsumeTag(payload)
-	if n < 0 || field != bodyChunkField || kind != protowire.BytesType {
+func onlyBodyChunk(payload []byte) ([]byte, bool) {
+	field, kind, tagSize := protowire.ConsumeTag(payload)
+	if tagSize < 0 || field != bodyChunkField || kind != protowire.BytesType {
 		return nil, false
 	}
-	data, m := protowire.ConsumeBytes(payload[n:])
-	return data, m >= 0 && n+m == len(payload)
+	data, size := protowire.ConsumeBytes(payload[tagSize:])
+	return data, size >= 0 && tagSize+size == len(payload)
 }
 
 func frameToProto(f msg.Frame) (*pb.Frame, error) {
@@ -131,11 +131,11 @@
 }
 
 func fieldsToProto(fields []msg.Field) []*pb.Field {
-	return convert(fields, func(f *msg.Field) *pb.Field { return &pb.Field{Name: f.Name, Value: f.Value} })
+	return mapSliceByPointer(fields, func(f *msg.Field) *pb.Field { return &pb.Field{Name: f.Name, Value: f.Value} })
 }
 
 func fieldsFromProto(fields []*pb.Field) []msg.Field {
-	return convert(fields, func(p **pb.Field) msg.Field {
+	return mapSliceByPointer(fields, func(p **pb.Field) msg.Field {
 		return msg.Field{Name: (*p).GetName(), Value: (*p).GetValue()}
 	})
 }
--- a/internal/wire/model.go
+++ b/internal/wire/model.go
@@ -6,19 +6,19 @@
 )
 
 // each maps a list of values.
-func each[A, B any](list []A, one func(A) B) []B {
-	return convert(list, func(a *A) B { return one(*a) })
+func mapSlice[A, B any](list []A, f func(A) B) []B {
+	return mapSliceByPointer(list, func(a *A) B { return f(*a) })
 }
 
 // convert maps a list; an empty list becomes nil, because protobuf does not
 // distinguish the two.
-func convert[A, B any](list []A, one func(*A) B) []B {
+func mapSliceByPointer[A, B any](list []A, f func(*A) B) []B {
 	if len(list) == 0 {
 		return nil
 	}
 	out := make([]B, len(list))
 	for i := range list {
-		out[i] = one(&list[i])
+		out[i] = f(&list[i])
 	}
 	return out
 }
@@ -63,22 +63,22 @@
 	return model.RequestID{Entry: model.EntryID(p.GetEntry()), Boot: model.Boot(p.GetBoot()), Seq: p.GetSeq()}
 }
 
-func attemptToProto(id model.AttemptID) *pb.AttemptID {
+func attemptIDToProto(id model.AttemptID) *pb.AttemptID {
 	return &pb.AttemptID{Job: string(id.Job), Number: id.Number}
 }
 
-func attemptFromProto(p *pb.AttemptID) model.AttemptID {
+func attemptIDFromProto(p *pb.AttemptID) model.AttemptID {
 	return model.AttemptID{Job: model.JobID(p.GetJob()), Number: p.GetNumber()}
 }
 
-func specToProto(s model.JobSpec) *pb.JobSpec {
+func jobSpecToProto(s model.JobSpec) *pb.JobSpec {
 	return &pb.JobSpec{
 		Id: string(s.ID), Team: string(s.Team), Class: string(s.Class), Labels: s.Labels,
 		Resources: resourcesToProto(s.Resources), Urgent: s.Urgent, LongRunning: s.LongRunning, Program: s.Program,
 	}
 }
 
-func specFromProto(p *pb.JobSpec) model.JobSpec {
+func jobSpecFromProto(p *pb.JobSpec) model.JobSpec {
 	return model.JobSpec{
 		ID: model.JobID(p.GetId()), Team: model.Team(p.GetTeam()), Class: model.Class(p.GetClass()), Labels: labelsFromProto(p.GetLabels()),
 		Resources: resourcesFromProto(p.GetResources()), Urgent: p.GetUrgent(), LongRunning: p.GetLongRunning(),
@@ -86,7 +86,7 @@
 	}
 }
 
-func changeToProto(c *model.ConfigChange) *pb.ConfigChange {
+func configChangeToProto(c *model.ConfigChange) *pb.ConfigChange {
 	p := &pb.ConfigChange{
 		Version: uint64(c.Version), Kind: string(c.Key.Kind), Name: c.Key.Name, Author: c.Author,
 	}
@@ -100,7 +100,7 @@
 	return p
 }
 
-func changeFromProto(p **pb.ConfigChange) model.ConfigChange {
+func configChangeFromProto(p **pb.ConfigChange) model.ConfigChange {
 	c := model.ConfigChange{
 		Version: model.ConfigVersion((*p).GetVersion()), Author: (*p).GetAuthor(),
 		Key: model.ConfigKey{Kind: model.ConfigKind((*p).GetKind()), Name: (*p).GetName()},
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -31,9 +31,9 @@
 }
 
 // generate lists every message type with a generator of its values.
-var generate = map[string]*rapid.Generator[any]{}
+var generators = map[string]*rapid.Generator[any]{}
 
-func register[M any](name string) { generate[name] = message[M]() }
+func register[M any](name string) { generators[name] = generatorOf[M]() }
 
 func init() {
 	register[msg.AgentHello]("AgentHello")
@@ -90,7 +90,7 @@
 }
 
 // message generates pointers to values of M with any bytes in strings.
-func message[M any]() *rapid.Generator[any] {
+func generatorOf[M any]() *rapid.Generator[any] {
 	text := rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 12), func(b []byte) string { return string(b) })
 	reason := rapid.Uint8Range(uint8(msg.RefusedNoCredit), uint8(msg.RefusedCancelled))
 	state := rapid.Uint8Range(uint8(msg.ExchangeUnknown), uint8(msg.ExchangeFinished))
@@ -106,22 +106,22 @@
 		},
 	})
 	return rapid.Map(g, func(m M) any {
-		nilEmpty(reflect.ValueOf(&m).Elem())
+		replaceEmptyByNil(reflect.ValueOf(&m).Elem())
 		return &m
 	})
 }
 
 // nilEmpty replaces empty lists and maps by nil: protobuf does not
 // distinguish them, and neither do the messages.
-func nilEmpty(v reflect.Value) {
+func replaceEmptyByNil(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			nilEmpty(v.Field(i))
+			replaceEmptyByNil(v.Field(i))
 		}
 	case reflect.Pointer:
 		if !v.IsNil() {
-			nilEmpty(v.Elem())
+			replaceEmptyByNil(v.Elem())
 		}
 	case reflect.Map:
 		if v.Len() == 0 {
@@ -129,7 +129,7 @@
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			nilEmpty(v.Index(i))
+			replaceEmptyByNil(v.Index(i))
 		}
 		if v.Len() == 0 {
 			v.SetZero()
@@ -139,7 +139,7 @@
 
 // Guards against a field that is not sent, or that arrives as another value.
 func TestEveryMessageSurvivesTheRoundTrip(t *testing.T) {
-	for name, g := range generate {
+	for name, g := range generators {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				m := g.Draw(t, "message")
@@ -193,7 +193,7 @@
 			}
 		}
 	}
-	for name := range generate {
+	for name := range generators {
 		tested = append(tested, name)
 	}
 	sort.Strings(declared)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -74,11 +74,11 @@
 }
 
 // beginEnvelope appends a header whose length finishEnvelope sets.
-func beginEnvelope(dst []byte) []byte { return append(dst, Version, 0, 0, 0, 0) }
+func appendEmptyHeader(dst []byte) []byte { return append(dst, Version, 0, 0, 0, 0) }
 
 // finishEnvelope sets the length in the header at dst[start:]. The payload
 // continues with extra bytes that are not in dst.
-func finishEnvelope(dst []byte, start, extra, limit int) error {
+func setPayloadSize(dst []byte, start, extra, limit int) error {
 	n := len(dst) - start - HeaderSize + extra
 	if n > limit {
 		return fmt.Errorf("%w: %d bytes, limit %d", ErrTooLarge, n, limit)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a process that talks to one of another version, or that
 // takes another protocol for its own.
-func TestPreambleTellsVersionFromGarbage(t *testing.T) {
+func TestCheckPreambleDistinguishesVersionFromProtocol(t *testing.T) {
 	require.Len(t, Preamble(), PreambleSize)
 	require.NoError(t, CheckPreamble(Preamble()))
 	other := Preamble()
@@ -51,7 +51,7 @@
 
 // Guards against a header value or tenant of a caller that is not UTF-8 and
 // therefore cannot be sent.
-func TestCallersBytesNeedNotBeUTF8(t *testing.T) {
+func TestCallerTextMayBeInvalidUTF8(t *testing.T) {
 	want := &msg.RequestHead{
 		ID: model.RequestID{Entry: "e", Boot: 1, Seq: 2}, Tenant: "\xff", Method: "POST", URI: "/\x80",
 		Header: []msg.Field{{Name: "X", Value: "caf\xe9"}}, ContentLength: -1, Deadline: time.Second,
--- a/internal/wire/workload.go
+++ b/internal/wire/workload.go
@@ -26,7 +26,7 @@
 func EncodeProgress(j *workload.Progress) ([]byte, error) {
 	return proto.Marshal(&pb.JobProgress{
 		Phase: uint32(j.Phase), Done: j.Done, OverAtMs: j.EndedAtMS,
-		Attempts: each(j.Attempts, func(a workload.TaskAttempts) *pb.TaskAttempts {
+		Attempts: mapSlice(j.Attempts, func(a workload.TaskAttempts) *pb.TaskAttempts {
 			return &pb.TaskAttempts{Step: int64(a.Step), Index: int64(a.Index), Failed: int64(a.Failed), Checkpoint: a.Checkpoint, LastFailed: a.LastFailed}
 		}),
 	})
@@ -43,7 +43,7 @@
 	}
 	return workload.Progress{
 		Phase: workload.Phase(p.GetPhase()), Done: p.GetDone(), EndedAtMS: p.GetOverAtMs(),
-		Attempts: each(p.GetAttempts(), func(a *pb.TaskAttempts) workload.TaskAttempts {
+		Attempts: mapSlice(p.GetAttempts(), func(a *pb.TaskAttempts) workload.TaskAttempts {
 			return workload.TaskAttempts{
 				Step: int(a.GetStep()), Index: int(a.GetIndex()), Failed: int(a.GetFailed()), LastFailed: a.GetLastFailed(),
 				Checkpoint: a.GetCheckpoint(),
@@ -68,8 +68,8 @@
 
 // EncodeInterference encodes the interference coefficients of an owner as they
 // are stored.
-func EncodeInterference(harms []msg.Interference) ([]byte, error) {
-	return proto.Marshal(&pb.HarmsRow{Harms: each(harms, harmToProto)})
+func EncodeInterference(coefficients []msg.Interference) ([]byte, error) {
+	return proto.Marshal(&pb.HarmsRow{Harms: mapSlice(coefficients, interferenceToProto)})
 }
 
 // DecodeInterference is the inverse of EncodeInterference.
@@ -78,13 +78,13 @@
 	if err := proto.Unmarshal(raw, &p); err != nil {
 		return nil, malformed("harms: %v", err)
 	}
-	return each(p.GetHarms(), harmFromProto), nil
+	return mapSlice(p.GetHarms(), interferenceFromProto), nil
 }
 
 func jobToProto(j *workload.Job) *pb.FleetJob {
 	return &pb.FleetJob{
 		Id: string(j.ID), Queue: string(j.Queue), Service: string(j.Service), Priority: int64(j.Priority), MaxAttempts: int64(j.MaxAttempts),
-		Stretch: j.TargetSlowdown, TargetNs: int64(j.TargetLatency), Specification: j.Specification, Steps: each(j.Steps, stepToProto),
+		Stretch: j.TargetSlowdown, TargetNs: int64(j.TargetLatency), Specification: j.Specification, Steps: mapSlice(j.Steps, stepToProto),
 		Repetitions: int64(j.Repetitions), FirstRunMs: j.FirstRunMS, IntervalMs: j.IntervalMS,
 	}
 }
@@ -93,15 +93,15 @@
 	return workload.Job{
 		ID: workload.JobID(p.GetId()), Queue: workload.QueueName(p.GetQueue()), Service: workload.Service(p.GetService()),
 		Priority: int(p.GetPriority()), MaxAttempts: int(p.GetMaxAttempts()), TargetSlowdown: p.GetStretch(), TargetLatency: time.Duration(p.GetTargetNs()),
-		Specification: p.GetSpecification(), Steps: each(p.GetSteps(), stepFromProto),
+		Specification: p.GetSpecification(), Steps: mapSlice(p.GetSteps(), stepFromProto),
 		Repetitions: int(p.GetRepetitions()), FirstRunMS: p.GetFirstRunMs(), IntervalMS: p.GetIntervalMs(),
 	}
 }
 
 func stepToProto(s workload.Step) *pb.FleetStep {
 	return &pb.FleetStep{
-		Count: int64(s.Count), Need: roomToProto(s.Need), EstimateNs: int64(s.Estimate),
-		After:         each(s.After, func(n int) int64 { return int64(n) }),
+		Count: int64(s.Count), Need: workloadResourcesToProto(s.Need), EstimateNs: int64(s.Estimate),
+		After:         mapSlice(s.After, func(n int) int64 { return int64(n) }),
 		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, DataRack: s.DataRack,
 		MaxPerHost: int64(s.MaxPerHost), Copies: s.AllowConcurrentRuns, LongRunning: s.LongRunning, Image: s.Image,
 		TargetNs: int64(s.TargetLatency), Filler: s.BestEffort, MayMiss: int64(s.MaxUnavailable),
@@ -110,8 +110,8 @@
 
 func stepFromProto(p *pb.FleetStep) workload.Step {
 	return workload.Step{
-		Count: int(p.GetCount()), Need: roomFromProto(p.GetNeed()), Estimate: time.Duration(p.GetEstimateNs()),
-		After:         each(p.GetAfter(), func(n int64) int { return int(n) }),
+		Count: int(p.GetCount()), Need: workloadResourcesFromProto(p.GetNeed()), Estimate: time.Duration(p.GetEstimateNs()),
+		After:         mapSlice(p.GetAfter(), func(n int64) int { return int(n) }),
 		Checkpointing: p.GetCheckpointing(), Gang: p.GetGang(), SameRack: p.GetSameRack(), Label: p.GetLabel(), DataRack: p.GetDataRack(),
 		MaxPerHost: int(p.GetMaxPerHost()), AllowConcurrentRuns: p.GetCopies(), LongRunning: p.GetLongRunning(), Image: p.GetImage(),
 		TargetLatency: time.Duration(p.GetTargetNs()), BestEffort: p.GetFiller(), MaxUnavailable: int(p.GetMayMiss()),
