--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// benchPair returns the ends of a TCP link on loopback.
+// newBenchLink returns the ends of a TCP link on loopback.
 func newBenchLink(b *testing.B) (agent, entry Conn) {
 	b.Helper()
 	g := actor.NewGroup(b.Context(), nil)
@@ -54,12 +54,13 @@
 	}
 }
 
-// Guards against a higher cost of a body chunk.
+// Guard against an increase of the time and the allocations per body chunk.
 func BenchmarkBodyChunk1K(b *testing.B)   { benchmarkBody(b, 1<<10) }
 func BenchmarkBodyChunk32K(b *testing.B)  { benchmarkBody(b, 32<<10) }
 func BenchmarkBodyChunk256K(b *testing.B) { benchmarkBody(b, 256<<10) }
 
-// Guards against a higher cost of a short request and its response.
+// Guards against an increase of the time and the allocations per exchange of a
+// short request and its response.
 func BenchmarkExchange(b *testing.B) {
 	agent, entry := newBenchLink(b)
 	go func() {
@@ -101,7 +102,8 @@
 	_ = s.Close()
 }
 
-// Guards against a higher cost of a control message.
+// Guards against an increase of the time and the allocations per control
+// message.
 func BenchmarkControl(b *testing.B) {
 	agent, entry := newBenchLink(b)
 	go func() {
--- a/internal/link/contract_test.go
+++ b/internal/link/contract_test.go
@@ -13,7 +13,7 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// pair is an agent's end, which dialled, and an entry's end of one link.
+// linkPair holds both ends of a link: the agent dialled, the entry accepted.
 type linkPair struct{ agent, entry Conn }
 
 func connect(t *testing.T, d Dialer, l Listener) linkPair {
@@ -25,7 +25,7 @@
 	return linkPair{agent, entry}
 }
 
-// tcpEnds returns the two sides of TCP links on loopback.
+// tcpDialerAndListener returns a dialer and a listener for TCP on loopback.
 func tcpDialerAndListener(t *testing.T, cfg Config) (Dialer, Listener) {
 	t.Helper()
 	g := actor.NewGroup(context.Background(), nil)
@@ -38,7 +38,8 @@
 	return NewDialer(g, cfg), l
 }
 
-// onEach runs a test of the Conn contract on both implementations.
+// forEachTransport runs a test of the contract of Conn on both
+// implementations.
 func forEachTransport(t *testing.T, test func(t *testing.T, d Dialer, l Listener)) {
 	t.Run("tcp", func(t *testing.T) {
 		d, l := tcpDialerAndListener(t, Config{})
@@ -53,6 +54,7 @@
 	})
 }
 
+// openStream returns both ends of a stream that the entry opens.
 func openStream(t *testing.T, p linkPair) (entry, agent Stream) {
 	t.Helper()
 	entry, err := p.entry.OpenStream(t.Context())
@@ -90,8 +92,8 @@
 	})
 }
 
-// Guards against an exchange whose frames arrive on another stream, or an end
-// that is seen before what was sent.
+// Guards against frames of an exchange that arrive on another stream, and
+// against an end of the stream that is received before frames sent earlier.
 func TestExchangesKeepTheirStreams(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
@@ -116,8 +118,8 @@
 	})
 }
 
-// Guards against a receiver that waits forever on a stream that its own
-// process closed.
+// Guards against a Receive that blocks forever because its own process closes
+// the stream.
 func TestCloseWakesTheReceiver(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		entry, _ := openStream(t, connect(t, d, l))
@@ -132,8 +134,8 @@
 	})
 }
 
-// Guards against a sender that waits forever for the window of a stream that
-// its own process closed.
+// Guards against a Send that blocks forever on a full window because its own
+// process closes the stream.
 func TestCloseWakesTheSender(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		entry, _ := openStream(t, connect(t, d, l))
@@ -151,7 +153,8 @@
 	})
 }
 
-// Guards against a lost link that looks like the orderly end of a response.
+// Guards against a lost link that a receiver mistakes for the orderly end of a
+// response.
 func TestLostLinkIsNotAnOrderlyEnd(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
@@ -172,7 +175,8 @@
 	})
 }
 
-// Guards against a large message that ends the link of the process sending it.
+// Guards against a message above the size limit that ends the sender's link or
+// stream instead of being rejected by Send.
 func TestTooLargeMessageIsNotSent(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
@@ -188,7 +192,7 @@
 	})
 }
 
-// Guards against a listener whose end takes the accepted links with it.
+// Guards against a listener whose Close also ends the accepted links.
 func TestLinksOutliveTheListener(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
@@ -203,7 +207,8 @@
 	})
 }
 
-// Guards against a wait that outlasts its context.
+// Guards against AcceptStream, Accept or Dial blocking after their context is
+// cancelled.
 func TestWaitsEndWithTheContext(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, d Dialer, l Listener) {
 		p := connect(t, d, l)
--- a/internal/link/envelope.go
+++ b/internal/link/envelope.go
@@ -8,16 +8,16 @@
 	"github.com/bambooscale/bambooscale/internal/wire"
 )
 
-// keepControl is the size in bytes up to which a control stream keeps its
-// buffers. The whole configuration is sent once to a new link, and its size
-// stayed with every link of an entry.
+// maxControlBuffer is the size in bytes of the largest buffer that a control
+// stream keeps between messages. The whole configuration is sent once on a new
+// link; without this limit each link of an entry kept a buffer of that size.
 const maxControlBuffer = 8 << 10
 
-// reader reads envelopes from one stream into a buffer that it reuses.
+// envelopeReader reads envelopes from one stream into a buffer that it reuses.
 type envelopeReader struct {
 	src        io.Reader
-	maxPayload int // bytes of payload
-	maxBuffer  int // bytes up to which the buffer is kept; 0: any size
+	maxPayload int // bytes; a larger payload is ErrMalformed
+	maxBuffer  int // bytes; a larger buffer is released before the next read; 0: no limit
 	header     [wire.HeaderSize]byte
 	buf        []byte
 }
@@ -48,16 +48,17 @@
 	return r.buf, nil
 }
 
-// writer writes envelopes to one stream from a buffer that it reuses.
+// envelopeWriter writes envelopes to one stream from a buffer that it reuses.
 type envelopeWriter struct {
 	dst io.Writer
 	buf []byte
 }
 
-// joinLimit is the size in bytes up to which a body is copied behind what
-// precedes it. A second write on a yamux stream costs system calls and
-// goroutine switches. BenchmarkBodyChunk on loopback, one write against two:
-// 13 and 20 us for 32 KiB, 92 and 82 us for 256 KiB.
+// maxJoinedBody is the size in bytes of the largest body that is copied behind
+// its header, so that both leave in one write. A second write on a yamux
+// stream costs system calls and goroutine switches. BenchmarkBodyChunk on
+// loopback took 13 us with one write and 20 us with two for 32 KiB, and 92 us
+// and 82 us for 256 KiB.
 const maxJoinedBody = 64 << 10
 
 func (w *envelopeWriter) writeFrame(f msg.Frame) error {
--- a/internal/link/envelope_test.go
+++ b/internal/link/envelope_test.go
@@ -11,8 +11,8 @@
 	"github.com/bambooscale/bambooscale/internal/wire"
 )
 
-// Guards against control streams that keep the memory of the largest message
-// for as long as their link lives.
+// Guards against control streams that keep a buffer of the size of their
+// largest message until the link ends.
 func TestControlStreamsKeepNoLargeBuffer(t *testing.T) {
 	large := &msg.ConfigDelta{Full: true, To: 1}
 	for range 1000 {
--- a/internal/link/fuzz_test.go
+++ b/internal/link/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/bambooscale/bambooscale/internal/wire"
 )
 
-// Guards against bytes on a stream that panic, that end in an error which is
-// not typed, or frames that are read differently from what was written.
+// Guards against received bytes that cause a panic or an untyped error, and
+// against frames that cannot be decoded again after they are re-encoded.
 func FuzzStream(f *testing.F) {
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		in := envelopeReader{src: bytes.NewReader(stream), maxPayload: wire.MaxFrame}
--- a/internal/link/joinedconn.go
+++ b/internal/link/joinedconn.go
@@ -5,24 +5,25 @@
 	"net"
 )
 
-// yamux frame header: version, type, flags, stream, length (see its spec.md).
+// Layout in bytes of the yamux frame header, which consists of version, type,
+// flags, stream and length (see spec.md of yamux).
 const (
 	muxHeaderSize   = 12
 	muxTypeOffset   = 1
 	muxLengthOffset = 8
-	muxTypeData     = 0
+	muxTypeData     = 0 // value of the type field
 )
 
 // joinedConn writes the header of a yamux data frame together with its body.
-// yamux writes them one after the other from a single goroutine, which costs
-// a system call more, and with TLS a record more, for each frame.
+// yamux writes them separately, from a single goroutine, which costs each
+// frame an additional system call and, with TLS, an additional record.
 type joinedConn struct {
 	net.Conn
-	header []byte // header of a data frame, without its body
+	header []byte // header of a data frame whose body is not written yet
 }
 
-// Write closes the socket after an error, because yamux would shut its session
-// down first; see closeSocket.
+// Write closes the socket after an error. Without this, yamux would shut its
+// session down before it closes the socket; see closeSocket.
 func (c *joinedConn) Write(b []byte) (int, error) {
 	n, err := c.join(b)
 	if err != nil {
@@ -31,6 +32,9 @@
 	return n, err
 }
 
+// join keeps b if it is the header of a data frame with a body, and otherwise
+// writes it behind the kept header. It returns the number of bytes of b that
+// were kept or written.
 func (c *joinedConn) join(b []byte) (int, error) {
 	switch {
 	case len(c.header) == 0 && isDataHeader(b):
@@ -50,6 +54,7 @@
 	return max(n-muxHeaderSize, 0), err
 }
 
+// isDataHeader reports whether b is the header of a data frame with a body.
 func isDataHeader(b []byte) bool {
 	return len(b) == muxHeaderSize && b[muxTypeOffset] == muxTypeData && binary.BigEndian.Uint32(b[muxLengthOffset:]) > 0
 }
--- a/internal/link/joinedconn_test.go
+++ b/internal/link/joinedconn_test.go
@@ -29,11 +29,12 @@
 	return h
 }
 
-// Guards against bytes that are lost, reordered or held back, a body that is
-// taken for a header, and a count that is not the caller's.
+// Guards against bytes that are lost, reordered or not written, a body that is
+// mistaken for a header, and a returned count other than the length of the
+// argument.
 func TestJoinedConnWritesTheSameBytes(t *testing.T) {
 	const ping, window = 2, 1
-	body := muxHeader(muxTypeData, 9) // looks like a header
+	body := muxHeader(muxTypeData, 9) // has the form of a header
 	long := bytes.Repeat([]byte("x"), maxJoinedBody+1)
 	calls := [][]byte{
 		muxHeader(ping, 7), muxHeader(window, 4096), muxHeader(muxTypeData, 0),
@@ -52,7 +53,7 @@
 	require.Equal(t, 7, sock.writes, "one for a joined frame, two for a long one on a conn without writev")
 }
 
-// failingConn takes only some bytes of each write.
+// failingConn accepts only some bytes of each write and returns an error.
 type failingConn struct {
 	net.Conn
 	accepts int
@@ -62,8 +63,8 @@
 
 func (c failingConn) Write([]byte) (int, error) { return c.accepts, io.ErrClosedPipe }
 
-// Guards against a failed write that reports success, or bytes of the body
-// that did not leave.
+// Guards against a failed write that reports success, or that counts bytes of
+// the body that were not written.
 func TestJoinedConnReportsFailure(t *testing.T) {
 	for accepts, want := range map[int]int{0: 0, 5: 0, muxHeaderSize + 2: 2} {
 		c := &joinedConn{Conn: failingConn{accepts: accepts}}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,7 +1,7 @@
 // Package link connects two processes: typed control messages in both
-// directions and one stream for each request. It does not know what the
-// messages mean. Implementations: yamux over TCP, and in memory for tests in
-// virtual time.
+// directions and one stream for each request. It does not interpret the
+// messages. There are two implementations: yamux over TCP, and an in-memory
+// network for tests in virtual time.
 package link
 
 import (
@@ -13,21 +13,26 @@
 	"github.com/bambooscale/bambooscale/internal/wire"
 )
 
-// Errors of connections and streams. ErrMalformed and ErrVersion end the
-// connection but never the process. Test with errors.Is.
+// Errors of connections and streams, to be tested with errors.Is.
+// ErrMalformed and ErrVersion end the connection but never the process.
 var (
-	ErrClosed    = errors.New("link is closed")
+	// ErrClosed means that the link was closed or lost, or that this process
+	// closed the stream.
+	ErrClosed = errors.New("link is closed")
+	// ErrReset means that the peer ended the stream before its orderly end.
 	ErrReset     = errors.New("stream was reset")
 	ErrMalformed = wire.ErrMalformed
 	ErrVersion   = wire.ErrVersion
-	// ErrTooLarge is returned by Send, which then has sent nothing.
+	// ErrTooLarge is returned by Send for a message above the size limit, of
+	// which nothing was sent. The link and the stream stay usable.
 	ErrTooLarge = wire.ErrTooLarge
 )
 
 // Conn is one side of a link. One goroutine may call Send, another Receive,
 // and others OpenStream or AcceptStream; Close may be called by any.
 type Conn interface {
-	// Send writes a control message. It waits for the transport to accept it.
+	// Send writes a control message. It blocks until the transport accepts
+	// the message.
 	Send(m msg.Control) error
 	// Receive waits for the next control message, in the order sent.
 	Receive() (msg.Control, error)
@@ -35,37 +40,39 @@
 	OpenStream(ctx context.Context) (Stream, error)
 	// AcceptStream waits for the peer to open a stream.
 	AcceptStream(ctx context.Context) (Stream, error)
-	// Close ends the connection and every stream of it.
+	// Close ends the connection and all of its streams.
 	Close() error
-	// RemoteAddr is for logs.
+	// RemoteAddr returns the peer's address, for logs.
 	RemoteAddr() string
 }
 
 // Stream carries the frames of one request. One goroutine may call Send and
 // another Receive.
 type Stream interface {
-	// Send writes a frame, waiting while the peer's window is full.
+	// Send writes a frame. It blocks while the peer's receive window is full.
 	Send(f msg.Frame) error
-	// Receive returns the next frame, io.EOF after the peer closed its side
-	// in order, or another error after a reset.
+	// Receive returns the next frame. After the peer's Close it returns
+	// io.EOF, and after a reset or a lost link another error.
 	Receive() (msg.Frame, error)
-	// Close ends the stream in both directions. The peer's Receive returns
-	// what was sent before.
+	// Close ends the stream in both directions. The peer's Receive first
+	// returns the frames sent before Close.
 	Close() error
 }
 
-// Listener accepts connections from agents. Close leaves the accepted
-// connections open.
+// Listener accepts connections.
 type Listener interface {
 	// Accept waits for the next connection. It returns an error only when the
-	// listener or ctx has ended: a connection whose handshake failed is
-	// returned too, and its methods return the typed error.
+	// listener is closed or ctx is done. A connection whose handshake failed
+	// is returned too; its methods return the error of the handshake.
 	Accept(ctx context.Context) (Conn, error)
+	// Addr returns the address to dial.
 	Addr() string
+	// Close stops accepting connections. Those returned by Accept stay open.
 	Close() error
 }
 
-// Dialer connects an agent to an entry.
+// Dialer connects to listeners.
 type Dialer interface {
+	// Dial returns a connection whose handshake has succeeded.
 	Dial(ctx context.Context, address string) (Conn, error)
 }
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// maxHandshakes bounds the sockets in a handshake; further ones wait in
-	// the kernel's accept queue.
+	// maxHandshakes bounds the accepted sockets whose handshake is unfinished
+	// or whose link Accept has not returned yet. Further sockets wait in the
+	// kernel's accept queue.
 	maxHandshakes = 256
-	// acceptRetry is the pause after a failed accept, such as for lack of
-	// file descriptors.
+	// acceptRetry is the pause after a failed accept, for example because the
+	// process has no free file descriptors.
 	acceptRetry = 50 * time.Millisecond
 )
 
-// Listen listens on a TCP address. The listener and its links end with g.
+// Listen listens on a TCP address. The listener and its links end when g stops.
 func Listen(g *actor.Group, address string, cfg Config) (Listener, error) {
 	sock, err := net.Listen("tcp", address)
 	if err != nil {
@@ -41,8 +42,8 @@
 	return l, nil
 }
 
-// tcpListener's acceptor owns the listening socket; each accepted socket has
-// an actor of its own for its handshake.
+// tcpListener is a Listener on a TCP socket. Its acceptor owns the listening
+// socket; each accepted socket has an actor of its own for its handshake.
 type tcpListener struct {
 	links          *actor.Group // parent of the links, which outlive the listener
 	group          *actor.Group
@@ -75,6 +76,7 @@
 	}
 }
 
+// handshake offers the link over sock to Accept, or a failedConn.
 func (l *tcpListener) handshake(ctx context.Context, sock net.Conn) {
 	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// failedConn stands for an accepted connection whose handshake failed.
+// failedConn is the Conn that Accept returns for a failed handshake.
 type failedConn struct {
 	remote string
 	err    error
--- a/internal/link/memconn.go
+++ b/internal/link/memconn.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	memBacklog       = 256 // links and streams not yet accepted
+	memBacklog       = 256 // links of a listener, or streams of a link, that are not yet accepted
 	memWindow        = 32  // frames of one stream and direction in transit
 	memControlWindow = 256 // control messages of one direction in transit
 )
@@ -51,7 +51,9 @@
 	cancel   context.CancelFunc
 }
 
-// offer is called by the pipe that delivers a connection.
+// offer adds the accepting end of a link to the accept queue, or closes it if
+// the listener is closed or the queue is full. Only the pipe that delivers the
+// connection calls it.
 func (l *memListener) offer(c *memConn) {
 	if l.ctx.Err() == nil {
 		select {
@@ -89,8 +91,8 @@
 	}
 }
 
-// memConn is one end of a link in memory. Messages are encoded, so that two
-// processes in one test share no memory.
+// memConn is one end of an in-memory link. Messages are encoded, so that the
+// processes of a test share no memory.
 type memConn struct {
 	local, remote      string
 	ctx                context.Context
@@ -130,23 +132,24 @@
 	return fmt.Errorf("link with %s: %w", c.remote, ErrClosed)
 }
 
-// put hands a packet to the pipe. A pipe whose far end has closed takes none;
-// the sender learns of that when the hang-up arrives.
-func (c *memConn) enqueue(next packet) error {
+// enqueue sends a packet to the pipe. If the far end has ended, the pipe drops
+// the packet without an error; this end learns of that when the hangup packet
+// arrives.
+func (c *memConn) enqueue(p packet) error {
 	if c.ctx.Err() != nil {
 		return c.endError()
 	}
-	if err := c.pipe.Send(c.ctx, pipeMessage{packet: next}); err != nil && c.ctx.Err() != nil {
+	if err := c.pipe.Send(c.ctx, pipeMessage{packet: p}); err != nil && c.ctx.Err() != nil {
 		return c.endError()
 	}
 	return nil
 }
 
-// send waits for room in h; done ends the wait.
-func (c *memConn) send(direction *direction, done <-chan struct{}, data []byte) error {
+// send waits for a slot in the window of dir; done ends the wait.
+func (c *memConn) send(dir *direction, done <-chan struct{}, data []byte) error {
 	select {
-	case direction.window <- struct{}{}:
-		return c.enqueue(packet{kind: packetData, direction: direction, data: data})
+	case dir.window <- struct{}{}:
+		return c.enqueue(packet{kind: packetData, direction: dir, data: data})
 	case <-done:
 		return ErrClosed
 	case <-c.ctx.Done():
@@ -154,28 +157,31 @@
 	}
 }
 
-// receive returns what arrived before the link ended first.
-func (c *memConn) receive(direction *direction, done <-chan struct{}) ([]byte, error) {
+// receive returns the next payload. Payloads that arrived before the end of
+// the link are returned before its error; done ends the wait.
+func (c *memConn) receive(dir *direction, done <-chan struct{}) ([]byte, error) {
 	select {
-	case data, ok := <-direction.inbox:
-		return direction.consume(data, ok)
+	case data, ok := <-dir.inbox:
+		return dir.consume(data, ok)
 	default:
 	}
 	select {
-	case data, ok := <-direction.inbox:
-		return direction.consume(data, ok)
+	case data, ok := <-dir.inbox:
+		return dir.consume(data, ok)
 	case <-done:
 		return nil, ErrClosed
 	case <-c.ctx.Done():
-		select { // the pipe delivers before it ends the link
-		case data, ok := <-direction.inbox:
-			return direction.consume(data, ok)
+		select { // the pipe delivers earlier packets before it ends the link
+		case data, ok := <-dir.inbox:
+			return dir.consume(data, ok)
 		default:
 			return nil, c.endError()
 		}
 	}
 }
 
+// consume releases the slot of a message in the window and returns its
+// payload, or io.EOF if the inbox is closed.
 func (d *direction) consume(data []byte, ok bool) ([]byte, error) {
 	if !ok {
 		return nil, io.EOF
@@ -235,7 +241,7 @@
 
 func (c *memConn) RemoteAddr() string { return c.remote }
 
-// memStream is one end of a stream in memory.
+// memStream is one end of an in-memory stream.
 type memStream struct {
 	conn               *memConn
 	incoming, outgoing *direction
@@ -274,7 +280,8 @@
 	return wire.DecodeFrame(payload)
 }
 
-// ended returns why the stream can no longer be used.
+// endError returns the error of the link if the link has ended, and ErrClosed
+// otherwise.
 func (s *memStream) endError() error {
 	if s.conn.ctx.Err() != nil {
 		return s.conn.endError()
--- a/internal/link/memory.go
+++ b/internal/link/memory.go
@@ -12,25 +12,27 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// ErrRefused is returned by a Dial in memory to a name where none listens.
+// ErrRefused is returned by Dial on a Memory to a name on which no process
+// listens.
 var ErrRefused = errors.New("connection refused")
 
-// Any stands for every process in the paths of a Memory.
+// Any matches every process name in the methods of a Memory.
 const Any = "*"
 
-// Memory is a network in memory for tests in virtual time. Processes are
-// known by name; a listener's address is its process's name. Each direction
-// between two processes is a path with a delay of its own. Links behave as
-// over TCP: in order and without loss. What is sent on a path that is cut
-// stays in bounded buffers, unseen by either side, and arrives once the path
-// is healed, unless the link was closed meanwhile. In a synctest bubble, Close
-// has to be called before the test ends.
+// Memory is an in-memory network for tests in virtual time. Processes are
+// identified by name; the address of a listener is the name of its process.
+// Each direction between two processes is a path with its own delay. As over
+// TCP, messages arrive in order and without loss. Messages sent on a path that
+// is cut wait in bounded buffers, which neither side notices, and arrive after
+// the path is healed, unless the link was closed in between. In a synctest
+// bubble, Close has to be called before the test ends.
 type Memory struct {
 	group *actor.Group
 	net   actor.Address[netMessage]
 }
 
-// NewMemory returns a network without delays. The seed determines the jitter.
+// NewMemory returns a network without delays. It ends with ctx or Close. The
+// seed determines the jitter.
 func NewMemory(ctx context.Context, seed uint64) *Memory {
 	g := actor.NewGroup(ctx, nil)
 	n := &network{
@@ -40,10 +42,10 @@
 	return &Memory{group: g, net: actor.Spawn(g, actor.Spec[netMessage]{Name: "memory-network", Mailbox: 16, Run: n.run})}
 }
 
-// Close ends every link and listener and waits for the actors.
+// Close ends all links and listeners and waits for the actors to return.
 func (m *Memory) Close() { m.group.Stop() }
 
-// Listen starts to accept links to the process named.
+// Listen returns a listener for the process with this name.
 func (m *Memory) Listen(name string) (Listener, error) {
 	l := &memListener{name: name, accepted: make(chan *memConn, memBacklog)}
 	l.ctx, l.cancel = context.WithCancel(m.group.Context())
@@ -53,12 +55,12 @@
 	return l, nil
 }
 
-// Dialer returns a dialer for the process named.
+// Dialer returns a dialer for the process with this name.
 func (m *Memory) Dialer(name string) Dialer { return memDialer{net: m, name: name} }
 
-// SetDelay sets the one-way delay from one process to another, one of which
-// or both may be Any. Jitter is added, evenly distributed from 0 to jitter;
-// the order on a link is kept.
+// SetDelay sets the one-way delay from one process to another; either name, or
+// both, may be Any. Each message is delayed by fixed plus a uniformly
+// distributed time from 0 to jitter, and never overtakes another on its link.
 func (m *Memory) SetDelay(from, to string, fixed, jitter time.Duration) {
 	_ = m.ask(setDelay{path{from, to}, delay{fixed, jitter}})
 }
@@ -82,11 +84,12 @@
 	m.Heal(b, a)
 }
 
-// Reset ends every link between two processes at once, on both sides. Reset of
-// a name and Any is what the peers see of a crash.
+// Reset ends all links between two processes at once, on both sides. With Any
+// as the second name, the peers observe what they would after a crash of the
+// first process.
 func (m *Memory) Reset(a, b string) { _ = m.ask(resetLinks{a, b}) }
 
-// ask waits until the network's actor has made a change.
+// ask sends a change to the network's actor and waits until it is applied.
 func (m *Memory) ask(c change) error {
 	err, stopped := actor.Ask(m.group.Context(), m.net, func(r actor.Reply[error]) netMessage {
 		return netMessage{change: c, done: r}
@@ -97,13 +100,13 @@
 	return err
 }
 
-// netMessage asks the network's actor for a change of its state.
+// netMessage requests a change of the state of the network's actor.
 type netMessage struct {
 	change change
 	done   actor.Reply[error]
 }
 
-// change is one of the types below.
+// change is a request to the network's actor. apply runs in that actor.
 type change interface{ apply(*network) error }
 
 type (
@@ -133,7 +136,7 @@
 
 type delay struct{ fixed, jitter time.Duration }
 
-// quality is what a pipe knows of its path.
+// pathState holds the settings of a path that a pipe applies.
 type pathState struct {
 	delay
 	cut bool
@@ -146,12 +149,12 @@
 	listeners  map[string]*memListener
 	delays     map[path]delay
 	cuts       map[path]bool
-	dialCounts map[path]uint64 // number of links made, for their seeds
+	dialCounts map[path]uint64 // number of dials on each path, part of the seed of a pipe
 	links      []memLink
 }
 
-// memLink is the network's record of a link: its two ends, each with the pipe
-// that leads away from it.
+// memLink is the network's record of a link: the dialling and the accepting
+// end, each with the pipe that delivers its packets to the other.
 type memLink struct{ ends [2]*memConn }
 
 func (n *network) run(ctx context.Context, in <-chan netMessage) error {
@@ -173,8 +176,8 @@
 	return nil
 }
 
-// connect makes a link. Its dialling end becomes usable when the answer to its
-// first packet has arrived.
+// connect creates a link and replies with its dialling end. That end is
+// established when the answer to its first packet has arrived.
 func (n *network) connect(p path, reply actor.Reply[*memConn]) error {
 	l := n.listeners[p.to]
 	if l == nil || l.ctx.Err() != nil {
@@ -197,8 +200,8 @@
 	return actor.Spawn(n.group, actor.Spec[pipeMessage]{Name: "memory-pipe", Mailbox: 16, Run: newPipe.run})
 }
 
-// quality returns the delay of the most specific rule for p, and whether any
-// rule cuts it.
+// pathState returns the delay of the most specific rule for p, and whether any
+// rule cuts p.
 func (n *network) pathState(p path) pathState {
 	var state pathState
 	rules := []path{p, {p.from, Any}, {Any, p.to}, {Any, Any}}
@@ -211,7 +214,8 @@
 	return state
 }
 
-// update tells every pipe the quality of its path and waits until it applies.
+// update sends each pipe the state of its path and waits until the pipe
+// applies it.
 func (n *network) update() error {
 	n.prune()
 	for _, l := range n.links {
@@ -239,7 +243,7 @@
 
 func matches(name, pattern string) bool { return pattern == Any || name == pattern }
 
-// prune forgets the links of which both ends have ended.
+// prune removes the links of which both ends have ended.
 func (n *network) prune() {
 	kept := n.links[:0]
 	for _, l := range n.links {
--- a/internal/link/memory_test.go
+++ b/internal/link/memory_test.go
@@ -42,7 +42,8 @@
 	})
 }
 
-// Guards against jitter that reorders a link, or that a seed does not repeat.
+// Guards against jitter that reorders messages of a link, and against delays
+// that differ between runs with the same seed.
 func TestMemoryJitterRepeatsAndKeepsOrder(t *testing.T) {
 	arrivals := func(seed uint64) (at []time.Duration) {
 		inVirtualTime(t, seed, func(t *testing.T, m *Memory, p linkPair) {
@@ -67,8 +68,8 @@
 	require.LessOrEqual(t, first[49], 30*time.Millisecond)
 }
 
-// Guards against a one-way cut that lets messages through, also affects the
-// other direction, loses what was sent, or is noticed by either side.
+// Guards against a one-way cut that delivers messages, affects the other
+// direction, loses messages, or makes Send or Receive fail on either side.
 func TestMemoryCutOfOneDirection(t *testing.T) {
 	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.SetDelay(Any, Any, time.Millisecond, 0)
@@ -97,7 +98,7 @@
 	})
 }
 
-// Guards against a close that crosses a partition.
+// Guards against a Close that the peer observes although the path is cut.
 func TestMemoryCloseDoesNotCrossACut(t *testing.T) {
 	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.CutBoth("agent", "entry")
@@ -109,13 +110,14 @@
 		}()
 		<-time.After(time.Hour) // virtual
 		require.Empty(t, ended)
-		require.NoError(t, p.entry.Send(creditGrant(1)), "a sender cannot know that its peer is gone")
+		require.NoError(t, p.entry.Send(creditGrant(1)), "a sender cannot know that its peer has closed the link")
 		m.HealBoth("agent", "entry")
 		require.ErrorIs(t, <-ended, ErrClosed)
 	})
 }
 
-// Guards against a dial that succeeds across a partition.
+// Guards against a Dial that succeeds although the path from the listener is
+// cut.
 func TestMemoryDialWaitsForACut(t *testing.T) {
 	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		m.Cut("entry", Any)
@@ -128,7 +130,7 @@
 	})
 }
 
-// Guards against a sender without bound while the path is cut.
+// Guards against a Send that buffers without bound while the path is cut.
 func TestMemoryBuffersAreBounded(t *testing.T) {
 	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		entry, agent := openStream(t, p)
@@ -150,8 +152,8 @@
 	})
 }
 
-// Guards against a reset that one side does not notice, or that ends other
-// links of the process.
+// Guards against a reset that only one side observes, or that ends other links
+// of the process.
 func TestMemoryReset(t *testing.T) {
 	inVirtualTime(t, 1, func(t *testing.T, m *Memory, p linkPair) {
 		l, err := m.Listen("other")
--- a/internal/link/mempipe.go
+++ b/internal/link/mempipe.go
@@ -8,13 +8,14 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// packetKind says what a pipe does with a packet at its far end.
+// packetKind determines what a pipe does when it delivers a packet to its far
+// end.
 type packetKind uint8
 
 const (
-	packetData        packetKind = iota // adds data to the inbox of half
-	packetEnd                           // ends half
-	packetOpen                          // offers stream to the far end
+	packetData        packetKind = iota // adds data to the inbox of direction
+	packetEnd                           // closes the inbox of direction
+	packetOpen                          // adds stream to the accept queue of the far end
 	packetConnect                       // offers the far end to listener
 	packetEstablished                   // the far end's dial has succeeded
 	packetHangup                        // ends the far end
@@ -28,7 +29,8 @@
 	listener  *memListener
 }
 
-// pipeMessage is a packet to deliver, or a change of quality.
+// pipeMessage is a packet to deliver or, if state is not nil, a new state of
+// the path.
 type pipeMessage struct {
 	packet  packet
 	state   *pathState
@@ -36,8 +38,8 @@
 }
 
 // pipe is the actor of one direction of a link: it delivers packets in order,
-// each when it is due. The windows of the halves and of the accept queue
-// bound what it holds, and no delivery waits.
+// each at its due time. The windows of the streams and of the accept queue
+// bound its queue; therefore no delivery blocks.
 type pipe struct {
 	dst     *memConn
 	state   pathState
@@ -99,21 +101,21 @@
 	}
 }
 
-func (p *pipe) deliver(next packet) {
-	switch next.kind {
+func (p *pipe) deliver(arrived packet) {
+	switch arrived.kind {
 	case packetData:
-		if !next.direction.ended {
-			next.direction.inbox <- next.data
+		if !arrived.direction.ended {
+			arrived.direction.inbox <- arrived.data
 		}
 	case packetEnd:
-		if !next.direction.ended {
-			next.direction.ended = true
-			close(next.direction.inbox)
+		if !arrived.direction.ended {
+			arrived.direction.ended = true
+			close(arrived.direction.inbox)
 		}
 	case packetOpen:
-		p.dst.accept <- next.stream
+		p.dst.accept <- arrived.stream
 	case packetConnect:
-		next.listener.offer(p.dst)
+		arrived.listener.offer(p.dst)
 	case packetEstablished:
 		close(p.dst.established)
 	case packetHangup:
@@ -121,9 +123,10 @@
 	}
 }
 
-// half is one direction of a stream, or of the control messages. A sender
-// takes room in window before it sends; the receiver returns it. The pipe
-// that leads to the receiver owns ended and is the only one to write to inbox.
+// direction is one direction of a stream or of the control messages. window is
+// a semaphore: the sender acquires a slot for each message, and the receiver
+// releases it. The pipe to the receiver owns ended and is the only sender on
+// inbox.
 type direction struct {
 	inbox  chan []byte
 	window chan struct{}
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -16,30 +16,35 @@
 )
 
 const (
-	acceptBacklog = 256 // streams; far above the credits of one backend server
+	// acceptBacklog bounds the streams that the peer has opened and this
+	// process has not accepted. The credits of one backend server are far
+	// fewer.
+	acceptBacklog = 256
 	// writeTimeout bounds the wait for the socket, not for a stream's window.
 	writeTimeout = 4 * time.Second
-	// closeTimeout frees a stream that the peer does not close in turn. yamux
-	// then resets it and the peer loses what it has not read, so the time has
-	// to suffice for a slow caller to read the last window of a response.
+	// closeTimeout bounds the wait for the peer to close a stream that this
+	// process has closed. yamux then resets the stream and the peer loses what
+	// it has not read, so the time has to suffice for a slow caller to read
+	// the last window of a response.
 	closeTimeout = 5 * time.Minute
 )
 
 func muxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = acceptBacklog
-	// Heartbeats on the control stream detect a silent peer. yamux's own pings
-	// shut the session down before the socket is closed, see closeSocket.
+	// Heartbeats on the control stream detect a silent peer. After a missed
+	// ping yamux would shut the session down before the socket is closed; see
+	// closeSocket.
 	c.EnableKeepAlive = false
 	c.ConnectionWriteTimeout = writeTimeout
 	c.StreamCloseTimeout = closeTimeout
-	c.StreamOpenTimeout = 0 // costs a goroutine per stream; the heartbeats cover it
+	c.StreamOpenTimeout = 0 // costs a goroutine per stream; heartbeats detect a silent peer
 	c.LogOutput = io.Discard
 	return c
 }
 
-// muxConn is a Conn over one yamux session. Its actor owns the session and
-// with it the socket; the first error becomes the cause of ctx.
+// muxConn is a Conn over one yamux session. Its actor owns the session and the
+// socket. ctx ends with the link; its cause is the first error of the link.
 type muxConn struct {
 	remote  string
 	mux     *yamux.Session
@@ -70,20 +75,21 @@
 	return c
 }
 
-// closeSocket ends a session by way of its socket. yamux closes the socket
-// after it has told the readers of streams, and these spin until it has closed
-// their streams; with the socket closed before, nothing waits in between.
+// closeSocket ends a session by closing its socket first. yamux itself wakes
+// the readers of streams, then closes the socket, then closes the streams, and
+// until then the readers busy-wait. If the socket is closed already, nothing
+// blocks in between.
 func closeSocket(sock net.Conn, mux *yamux.Session) error {
 	err := sock.Close()
-	<-mux.CloseChan() // the session's reader has met the closed socket
+	<-mux.CloseChan() // the session's reader failed on the closed socket
 	if closeErr := mux.Close(); closeErr != nil {
 		return closeErr
 	}
 	return err
 }
 
-// fail ends the link for the reason err, unless it has ended already, and
-// returns the error with which it ended.
+// fail ends the link with err, unless it has ended already, and returns the
+// error with which it ended.
 func (c *muxConn) fail(err error) error {
 	if c.ctx.Err() != nil {
 		return c.endError()
@@ -98,7 +104,7 @@
 	return c.endError()
 }
 
-// ended returns the error with which the link ended.
+// endError returns the error with which the link ended.
 func (c *muxConn) endError() error {
 	err := context.Cause(c.ctx)
 	if isProtocolError(err) || isClosedError(err) {
@@ -113,8 +119,9 @@
 
 func isClosedError(err error) bool { return errors.Is(err, ErrClosed) }
 
-// shutdownError returns why a closed session ended. yamux reports it from
-// AcceptStream, after the streams that were not accepted.
+// shutdownError returns the error with which a closed session ended.
+// AcceptStream of yamux returns it, but may first return streams that were not
+// accepted.
 func shutdownError(mux *yamux.Session) error {
 	err := yamux.ErrSessionShutdown
 	for range acceptBacklog + 1 {
@@ -125,6 +132,8 @@
 	return fmt.Errorf("%w: %v", ErrClosed, err)
 }
 
+// muxError wraps an error of yamux in ErrMalformed if the peer violated the
+// protocol of yamux, and in ErrClosed otherwise.
 func muxError(err error) error {
 	for _, protocolErr := range []error{
 		yamux.ErrInvalidVersion, yamux.ErrInvalidMsgType, yamux.ErrUnexpectedFlag, yamux.ErrRecvWindowExceeded,
@@ -157,8 +166,8 @@
 	return m, nil
 }
 
-// OpenStream runs yamux's OpenStream in an actor of its own, because that
-// waits without a context while the peer accepts no streams.
+// OpenStream calls OpenStream of yamux in a separate actor, because that call
+// takes no context and blocks while the peer accepts no streams.
 func (c *muxConn) OpenStream(ctx context.Context) (Stream, error) {
 	if c.ctx.Err() != nil {
 		return nil, c.endError()
--- a/internal/link/muxstream.go
+++ b/internal/link/muxstream.go
@@ -46,26 +46,28 @@
 	return f, nil
 }
 
-// ended maps the error of a stream that has ended. yamux reports io.EOF on
-// each stream of a lost session, which must not pass for an orderly end.
+// mapError maps an error of the yamux stream to an error of this package.
+// yamux returns io.EOF from all streams of a lost session; this must not be
+// mistaken for an orderly end.
 func (s *muxStream) mapError(err error) error {
 	switch {
 	case s.conn.mux.IsClosed():
 		return s.conn.fail(err)
 	case errors.Is(err, yamux.ErrConnectionWriteTimeout):
-		// Whether the bytes leave later is unknown, so the two sides may no
+		// yamux may still write the bytes later, so the two sides may no
 		// longer agree on the stream's state.
 		return s.conn.fail(err)
 	case errors.Is(err, yamux.ErrConnectionReset), errors.Is(err, io.ErrUnexpectedEOF):
 		return ErrReset
 	case errors.Is(err, yamux.ErrTimeout), errors.Is(err, yamux.ErrStreamClosed):
-		return ErrClosed // by Close
+		return ErrClosed // after Close in this process
 	}
 	return err
 }
 
-// Close ends both directions. A Send or Receive that waits returns ErrClosed:
-// yamux's own Close wakes neither while the socket takes no bytes.
+// Close ends both directions. The deadline in the past makes a blocked Send or
+// Receive return ErrClosed; Close of yamux wakes neither while the socket
+// accepts no bytes.
 func (s *muxStream) Close() error {
 	_ = s.raw.SetDeadline(time.Unix(1, 0))
 	return s.raw.Close()
--- a/internal/link/shutdown_test.go
+++ b/internal/link/shutdown_test.go
@@ -12,13 +12,13 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// slowConn is a socket whose Close waits, as that of a busy process does, and
-// whose writes can be made to fail.
+// blockingCloseConn is a socket whose Close blocks until release is closed, as
+// it can in a busy process, and whose writes can be made to fail.
 type blockingCloseConn struct {
 	net.Conn
-	closing    chan struct{} // gets a value when Close is called
+	closing    chan struct{} // receives a value when Close is called
 	release    chan struct{}
-	failWrites chan struct{} // closed: writes fail
+	failWrites chan struct{} // when closed, writes fail
 }
 
 func newBlockingCloseConn(sock net.Conn) *blockingCloseConn {
@@ -40,7 +40,8 @@
 	}
 }
 
-// slowLink is a link over a slowConn to a peer that only reads.
+// blockingCloseLink returns a link over a blockingCloseConn to a peer that only
+// reads.
 func blockingCloseLink(t *testing.T) (*muxConn, *blockingCloseConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,10 +67,11 @@
 	return newMuxConn(g, sock, mux, control), sock
 }
 
-// A reader of yamux spins from the moment that a session is shut down until
-// its streams are closed. Guards against a session that is shut down while its
-// socket still has to be closed (trouble-2 and trouble-3 of nilegate-permits:
-// an entry that spun for minutes of processor time).
+// Guards against a yamux session that is shut down before its socket is closed.
+// A reader of yamux busy-waits from the shutdown of the session until its
+// streams are closed, which happens after the close of the socket. In trouble-2
+// and trouble-3 of nilegate-permits an entry used minutes of processor time for
+// this.
 func TestSocketIsClosedBeforeTheSessionIsShutDown(t *testing.T) {
 	c, sock := blockingCloseLink(t)
 	closed := make(chan error, 1)
@@ -81,7 +83,8 @@
 	require.True(t, c.mux.IsClosed())
 }
 
-// Guards against the same after a failed write.
+// Guards against a failed write after which yamux shuts the session down before
+// the socket is closed, so that readers busy-wait as in the test above.
 func TestSocketIsClosedBeforeAFailedWriteShutsTheSessionDown(t *testing.T) {
 	c, sock := blockingCloseLink(t)
 	close(sock.failWrites)
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -15,7 +15,8 @@
 	"github.com/bambooscale/bambooscale/internal/wire"
 )
 
-// handshakeTimeout bounds the time until a new link can be used.
+// handshakeTimeout bounds the time from the start of a dial, or from the
+// accept, until the link can be used.
 const handshakeTimeout = 5 * time.Second
 
 // Config holds the settings of the TCP links of a process.
@@ -23,7 +24,7 @@
 	Keys *Keys // nil: links are not encrypted
 }
 
-// NewDialer returns a Dialer for TCP addresses. The links end with g.
+// NewDialer returns a Dialer for TCP addresses. The links end when g stops.
 func NewDialer(g *actor.Group, cfg Config) Dialer { return &tcpDialer{group: g, cfg: cfg} }
 
 type tcpDialer struct {
@@ -49,7 +50,8 @@
 	return newMuxConn(d.group, sock, mux, control), nil
 }
 
-// dialHandshake owns sock: on an error it has closed it.
+// dialHandshake exchanges preambles, starts the yamux client and opens the
+// control stream. It takes ownership of sock and closes it on an error.
 func dialHandshake(ctx context.Context, sock net.Conn) (*yamux.Session, *yamux.Stream, error) {
 	if err := exchangePreambles(ctx, sock); err != nil {
 		_ = sock.Close()
@@ -68,7 +70,8 @@
 	return mux, control, nil
 }
 
-// acceptHandshake owns sock: on an error it has closed it.
+// acceptHandshake exchanges preambles, starts the yamux server and accepts the
+// control stream. It takes ownership of sock and closes it on an error.
 func acceptHandshake(ctx context.Context, sock net.Conn) (*yamux.Session, *yamux.Stream, error) {
 	if err := exchangePreambles(ctx, sock); err != nil {
 		_ = sock.Close()
@@ -88,8 +91,9 @@
 }
 
 // exchangePreambles sends this process's preamble and checks the peer's.
-// Neither side sends more before it has the other's, so closing the socket
-// after an error does not reset it while the preamble is on its way.
+// Neither side sends more before it has received the other's preamble.
+// Therefore no unread bytes remain when the socket is closed after an error,
+// and the close does not reset the connection while the preamble is in transit.
 func exchangePreambles(ctx context.Context, sock net.Conn) error {
 	stop := context.AfterFunc(ctx, func() { _ = sock.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -112,5 +116,5 @@
 	return nil
 }
 
-// isEnd reports whether a read ended because the peer closed the socket.
+// isEOF reports whether a read failed because the peer closed the socket.
 func isEOF(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-// requireWorks sends a message each way on a link.
+// requireUsable sends a control message and a frame on a link.
 func requireUsable(t *testing.T, p linkPair) {
 	t.Helper()
 	require.NoError(t, p.agent.Send(&msg.Heartbeat{}))
@@ -58,13 +58,14 @@
 	require.NoError(t, agent.Close())
 }
 
+// envelope returns an envelope with a header of the given version.
 func envelope(version byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{version}, uint32(len(payload)))
 	return append(b, payload...)
 }
 
-// Guards against bytes of a peer that end the process or another link, or
-// that are not reported as what they are.
+// Guards against malformed first bytes of a peer that end the process or
+// another link, or that cause an error of the wrong type.
 func TestMalformedHandshakeEndsOnlyItsLink(t *testing.T) {
 	other := wire.Preamble()
 	other[len(other)-1]++
@@ -96,7 +97,7 @@
 }
 
 // Guards against a malformed envelope on the control stream that is skipped,
-// that ends another link, or whose cause is lost.
+// that ends another link, or that causes an error of the wrong type.
 func TestMalformedControlEndsItsLink(t *testing.T) {
 	cases := map[string]struct {
 		bytes []byte
@@ -127,8 +128,9 @@
 	}
 }
 
-// Guards against a malformed frame on a request stream that leaves its link
-// in use, or whose cause the control stream's receiver does not learn.
+// Guards against a malformed frame on a request stream after which the link
+// stays in use, or after which Receive on the control stream does not return
+// ErrMalformed.
 func TestMalformedFrameEndsItsLink(t *testing.T) {
 	d, l := tcpDialerAndListener(t, Config{})
 	healthy := connect(t, d, l)
@@ -147,8 +149,8 @@
 	requireUsable(t, healthy)
 }
 
-// Guards against a stream that ends inside a frame and passes for an orderly
-// end, or takes its link with it.
+// Guards against a stream that ends inside a frame and is mistaken for an
+// orderly end, or that also ends its link.
 func TestStreamEndInsideAFrameIsAReset(t *testing.T) {
 	_, l := tcpDialerAndListener(t, Config{})
 	mux, control := rawAgent(t, l.Addr())
@@ -170,8 +172,8 @@
 	require.NoError(t, err)
 }
 
-// Guards against a dialer that does not tell a peer of another version from
-// one that speaks another protocol.
+// Guards against a Dial that returns the same error for a peer of another
+// version, a peer of another protocol and a peer that closes the connection.
 func TestDialDistinguishesHandshakeErrors(t *testing.T) {
 	other := wire.Preamble()
 	other[len(other)-1]++
@@ -199,8 +201,8 @@
 	}
 }
 
-// Guards against a peer that says nothing and holds up a dial after its
-// context has ended, or other connections of the listener.
+// Guards against a peer that sends no preamble and thereby blocks other
+// connections of the listener, or a Dial whose context is cancelled.
 func TestSilentPeerDoesNotBlockOthers(t *testing.T) {
 	d, l := tcpDialerAndListener(t, Config{})
 	rawDial(t, l.Addr())
@@ -223,7 +225,8 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// Guards against links that outlive the group of their process.
+// Guards against links that stay open after the actor group that they were
+// created in has stopped.
 func TestLinksEndWithTheirGroup(t *testing.T) {
 	g := actor.NewGroup(t.Context(), nil)
 	l, err := Listen(g, "127.0.0.1:0", Config{})
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -17,18 +17,18 @@
 // ErrUntrusted is returned when a TLS handshake fails, on either side.
 var ErrUntrusted = errors.New("TLS handshake failed")
 
-// DefaultEntryName is the DNS name that the certificates of entries carry
-// unless KeyFiles.EntryName says otherwise.
+// DefaultEntryName is the DNS name in the certificates of entries, unless
+// KeyFiles.EntryName sets another.
 const DefaultEntryName = "entry.bambooscale"
 
 // KeyFiles names the PEM files for mutual TLS. Both sides need a certificate
-// that the CA has signed. Hosts are replaced at any time and are dialled by IP
-// address, so an entry is recognised by EntryName in its certificate, which
-// the certificates of agents must not carry.
+// that the CA has signed. Hosts can be replaced at any time and are dialled by
+// IP address, so the dialer identifies an entry by EntryName in its
+// certificate. The certificates of agents must not contain this name.
 type KeyFiles struct {
 	Certificate string
 	Key         string
-	CA          string // one or more certificates
+	CA          string // file with one or more certificates
 	EntryName   string // empty: DefaultEntryName
 }
 
@@ -38,14 +38,15 @@
 	addr  actor.Address[keysMessage]
 }
 
-// keysMessage replaces the configuration when next is set, and asks for it
-// otherwise.
+// keysMessage requests the configuration in use, after replacing it by next
+// unless next is nil.
 type keysMessage struct {
 	next    *tls.Config
 	current actor.Reply[*tls.Config]
 }
 
-// LoadKeys reads the files. The error is a finding.List.
+// LoadKeys reads the files and starts the actor in g. The error is a
+// finding.List.
 func LoadKeys(g *actor.Group, files KeyFiles) (*Keys, error) {
 	config, err := files.load()
 	if err != nil {
@@ -67,8 +68,9 @@
 	return &Keys{files: files, addr: actor.Spawn(g, actor.Spec[keysMessage]{Name: "link-keys", Mailbox: 16, Run: run})}, nil
 }
 
-// Reload reads the files again for the handshakes from now on. Links that are
-// up stay up. After an error the former keys stay in use.
+// Reload reads the files again and uses them for later handshakes.
+// Established links are not affected. If a file is unusable, the error is a
+// finding.List and the former keys stay in use.
 func (k *Keys) Reload(ctx context.Context) error {
 	next, err := k.files.load()
 	if err != nil {
@@ -78,6 +80,8 @@
 	return err
 }
 
+// ask returns the configuration in use, after replacing it by next unless next
+// is nil.
 func (k *Keys) ask(ctx context.Context, next *tls.Config) (*tls.Config, error) {
 	return actor.Ask(ctx, k.addr, func(r actor.Reply[*tls.Config]) keysMessage {
 		return keysMessage{next: next, current: r}
@@ -115,8 +119,8 @@
 	}, nil
 }
 
-// secure wraps sock in TLS when the links use it. It owns sock: on an error it
-// has closed it.
+// secure wraps sock in TLS if c has keys. It takes ownership of sock and closes
+// it on an error.
 func (c Config) secure(ctx context.Context, sock net.Conn, wrap func(net.Conn, *tls.Config) *tls.Conn) (net.Conn, error) {
 	if c.Keys == nil {
 		return sock, nil
@@ -134,8 +138,9 @@
 	return secured, nil
 }
 
-// handshakeError tells a peer that speaks another protocol or is not trusted
-// from one that is gone.
+// handshakeError wraps the error of a handshake in ErrMalformed if the peer
+// speaks another protocol, in ErrClosed if the connection was lost or ctx is
+// done, and in ErrUntrusted otherwise.
 func handshakeError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: handshake: %w", ErrClosed, ctx.Err())
@@ -151,5 +156,5 @@
 	case errors.As(err, &op), isEOF(err):
 		return fmt.Errorf("%w: handshake: %w", ErrClosed, err)
 	}
-	return fmt.Errorf("%w: %v", ErrUntrusted, err) // such as a peer without a certificate
+	return fmt.Errorf("%w: %v", ErrUntrusted, err) // for example a peer without a certificate
 }
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// write issues a certificate with a DNS name into dir, which then holds all
-// files that a process needs.
+// write issues a certificate with a DNS name and writes all files of a process
+// to dir.
 func (a *authority) write(t *testing.T, dir, dnsName string) KeyFiles {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -75,6 +75,7 @@
 	dir  string
 }
 
+// process loads keys with a new certificate of the authority.
 func (a *authority) process(t *testing.T, g *actor.Group, dnsName string) processKeys {
 	t.Helper()
 	dir := t.TempDir()
@@ -89,8 +90,8 @@
 	return g
 }
 
-// Guards against a link without encryption or verification between processes
-// that have keys, and against peers of another authority being let in.
+// Guards against an entry with keys that accepts a peer without TLS or a peer
+// whose certificate is signed by another authority.
 func TestMutualTLS(t *testing.T) {
 	g, trusted, untrusted := testGroup(t), newAuthority(t), newAuthority(t)
 	entry := trusted.process(t, g, DefaultEntryName)
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against an entry that accepts an agent which shows no certificate,
-// although it trusts the entry's.
+// Guards against an entry that accepts an agent that presents no certificate
+// but trusts the certificate of the entry.
 func TestClientCertificateIsRequired(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: ours.process(t, g, DefaultEntryName).keys})
@@ -137,8 +138,8 @@
 	require.ErrorIs(t, err, ErrUntrusted)
 }
 
-// Guards against an agent's certificate that is good enough to pass for an
-// entry.
+// Guards against a dialer that accepts the certificate of an agent as that of
+// an entry.
 func TestDialerRejectsAgentCertificate(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: ours.process(t, g, "agent").keys})
@@ -147,7 +148,8 @@
 	require.ErrorIs(t, err, ErrUntrusted)
 }
 
-// Guards against a dialer with keys that falls back to a link without TLS.
+// Guards against a dialer with keys that connects without TLS to a peer that
+// does not use it.
 func TestDialerWithKeysRejectsPeerWithoutTLS(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{})
@@ -156,8 +158,8 @@
 	require.ErrorIs(t, err, ErrMalformed)
 }
 
-// Guards against a reload that drops links, keeps former keys in use for new
-// ones, or replaces good keys by unusable ones.
+// Guards against a reload that ends established links, keeps the former keys
+// for new links, or replaces valid keys by unusable ones.
 func TestReloadKeepsLinks(t *testing.T) {
 	g, formerCA, newCA := testGroup(t), newAuthority(t), newAuthority(t)
 	entry, agent := formerCA.process(t, g, DefaultEntryName), formerCA.process(t, g, "agent")
@@ -187,7 +189,8 @@
 	requireUsable(t, established)
 }
 
-// Guards against a peer that stalls in the TLS handshake and holds up others.
+// Guards against a peer that does not finish its TLS handshake and thereby
+// blocks the handshakes of others.
 func TestStalledTLSHandshakeDoesNotBlockOthers(t *testing.T) {
 	g, ours := testGroup(t), newAuthority(t)
 	l, err := Listen(g, "127.0.0.1:0", Config{Keys: ours.process(t, g, DefaultEntryName).keys})
