--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -67,16 +67,16 @@
 // Guards against malformed first bytes of a peer that end the process or
 // another link, or that cause an error of the wrong type.
 func TestMalformedHandshakeEndsOnlyItsLink(t *testing.T) {
-	other := wire.Preamble()
-	other[len(other)-1]++
+	otherVersion := wire.Preamble()
+	otherVersion[len(otherVersion)-1]++
 	cases := map[string]struct {
 		bytes []byte
 		want  error
 	}{
 		"another protocol":     {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), ErrMalformed},
-		"another version":      {other, ErrVersion},
+		"another version":      {otherVersion, ErrVersion},
 		"a truncated preamble": {wire.Preamble()[:3], ErrMalformed},
-		"nothing":              {nil, ErrClosed},
+		"no bytes":             {nil, ErrClosed},
 		"not yamux":            {append(wire.Preamble(), "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"...), ErrMalformed},
 	}
 	d, l := tcpDialerAndListener(t, Config{})
@@ -103,11 +103,11 @@
 		bytes []byte
 		want  error
 	}{
-		"not protobuf":    {envelope(wire.Version, 0xff, 0xff), ErrMalformed},
-		"no kind":         {envelope(wire.Version), ErrMalformed},
-		"too long":        {[]byte{wire.Version, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
-		"another version": {envelope(wire.Version+1, 0), ErrVersion},
-		"end inside":      {envelope(wire.Version, 1, 2, 3)[:6], ErrClosed},
+		"not protobuf":      {envelope(wire.Version, 0xff, 0xff), ErrMalformed},
+		"no kind":           {envelope(wire.Version), ErrMalformed},
+		"too long":          {[]byte{wire.Version, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
+		"another version":   {envelope(wire.Version+1, 0), ErrVersion},
+		"truncated payload": {envelope(wire.Version, 1, 2, 3)[:6], ErrClosed},
 	}
 	d, l := tcpDialerAndListener(t, Config{})
 	healthy := connect(t, d, l)
@@ -175,10 +175,10 @@
 // Guards against a Dial that returns the same error for a peer of another
 // version, a peer of another protocol and a peer that closes the connection.
 func TestDialDistinguishesHandshakeErrors(t *testing.T) {
-	other := wire.Preamble()
-	other[len(other)-1]++
+	otherVersion := wire.Preamble()
+	otherVersion[len(otherVersion)-1]++
 	for want, preamble := range map[error]string{
-		ErrVersion: string(other), ErrMalformed: "HTTP/1.1 400 Bad Request\r\n\r\n", ErrClosed: "",
+		ErrVersion: string(otherVersion), ErrMalformed: "HTTP/1.1 400 Bad Request\r\n\r\n", ErrClosed: "",
 	} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
