--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -10,7 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/wire/pb"
 )
 
-// AppendControl appends the envelope of m to dst.
+// AppendControl appends the envelope of m to dst. It returns ErrTooLarge for a
+// payload above MaxControl.
 func AppendControl(dst []byte, m msg.Control) ([]byte, error) {
 	p, err := controlToProto(m)
 	if err != nil {
@@ -174,6 +175,8 @@
 	return &msg.CreditGrant{Backend: c.Backend, Generation: c.Generation, Count: c.Count, MaxLong: int(p.GetLong())}
 }
 
+// creditFromProto returns a CreditReturn, which callers convert to the other
+// messages with the same fields.
 func creditFromProto(p *pb.Credit) *msg.CreditReturn {
 	return &msg.CreditReturn{
 		Backend: model.BackendID(p.GetBackend()), Generation: p.GetGeneration(), Count: int(p.GetCount()),
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -9,8 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// fleetToProto maps the messages of internal/msg/fleet.go, and returns nil for
-// others.
+// fleetToProto encodes the messages of internal/msg/fleet.go. It returns nil
+// for others.
 func fleetToProto(m msg.Control) *pb.Control {
 	p := &pb.Control{}
 	switch m := m.(type) {
@@ -75,7 +75,8 @@
 	return p
 }
 
-// fleetFromProto is the inverse of fleetToProto.
+// fleetFromProto is the inverse of fleetToProto. It returns nil without an error
+// for other messages.
 func fleetFromProto(p *pb.Control) (msg.Control, error) {
 	switch k := p.Kind.(type) {
 	case *pb.Control_PeerHello:
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,9 +14,10 @@
 // bodyChunkField is the number of Frame.body_chunk in proto/wire.proto.
 const bodyChunkField = 1
 
-// AppendFrame appends the envelope of f to dst. For a BodyChunk it appends
-// only what precedes the body's bytes and returns them as body, uncopied; the
-// caller sends body after head.
+// AppendFrame appends the envelope of f to dst and returns the result as head.
+// The data of a BodyChunk is not copied: it is returned as body, which the
+// caller sends after head. AppendFrame returns ErrTooLarge for a payload above
+// MaxFrame.
 func AppendFrame(dst []byte, f msg.Frame) (head, body []byte, err error) {
 	start := len(dst)
 	dst = appendEmptyHeader(dst)
@@ -48,7 +49,8 @@
 	return frameFromProto(&p)
 }
 
-// bodyChunk recognises a Frame that consists of a body_chunk only.
+// onlyBodyChunk returns the data of a Frame that consists of one body_chunk
+// field, and false for any other payload. The data aliases payload.
 func onlyBodyChunk(payload []byte) ([]byte, bool) {
 	field, kind, tagSize := protowire.ConsumeTag(payload)
 	if tagSize < 0 || field != bodyChunkField || kind != protowire.BytesType {
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against bytes of a peer that panic, or that decode into a message
-// which this process cannot send on unchanged.
+// Guards against bytes of a peer that cause a panic, or that decode into a
+// message that differs after it is encoded and decoded again.
 func FuzzDecodeControl(f *testing.F) {
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		m, err := DecodeControl(payload)
@@ -24,7 +24,7 @@
 	})
 }
 
-// hasNaN reports a value that is not equal to itself.
+// hasNaN reports whether m contains NaN, with which m is not equal to itself.
 func hasNaN(m msg.Control) bool {
 	u, ok := m.(*msg.UsageReport)
 	if !ok {
@@ -38,7 +38,8 @@
 	return false
 }
 
-// Guards against the same for the frames of a request.
+// Guards against frames that cause a panic, or that differ after they are
+// encoded and decoded again.
 func FuzzDecodeFrame(f *testing.F) {
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		m, err := DecodeFrame(payload)
@@ -53,8 +54,8 @@
 	})
 }
 
-// Guards against a header or preamble that panics, or a size above the limit
-// that is accepted.
+// Guards against a header or preamble that causes a panic, and against an
+// accepted payload size above the limit.
 func FuzzHeaders(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte, limit uint16) {
 		if n, err := PayloadSize(b, int(limit)); err == nil {
--- a/internal/wire/interference_test.go
+++ b/internal/wire/interference_test.go
@@ -8,8 +8,8 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against harms that change or lose their pair in the store, and a row
-// of another kind that is taken for them.
+// Guards against interference coefficients that are stored with another value
+// or another pair of images, and against an unreadable row that is accepted.
 func TestInterferenceRoundTrip(t *testing.T) {
 	coefficients := []msg.Interference{{ServingImage: "a", BestEffortImage: "b", Coefficient: 0.25}, {ServingImage: "a", BestEffortImage: "c", Coefficient: 3}}
 	raw, err := EncodeInterference(coefficients)
--- a/internal/wire/model.go
+++ b/internal/wire/model.go
@@ -5,13 +5,15 @@
 	"github.com/bambooscale/bambooscale/internal/wire/pb"
 )
 
-// each maps a list of values.
+// mapSlice applies f to each element of list, and returns nil for an empty list
+// as mapSliceByPointer does.
 func mapSlice[A, B any](list []A, f func(A) B) []B {
 	return mapSliceByPointer(list, func(a *A) B { return f(*a) })
 }
 
-// convert maps a list; an empty list becomes nil, because protobuf does not
-// distinguish the two.
+// mapSliceByPointer applies f to a pointer to each element of list. It returns
+// nil for an empty list, because protobuf does not distinguish empty from
+// absent.
 func mapSliceByPointer[A, B any](list []A, f func(*A) B) []B {
 	if len(list) == 0 {
 		return nil
@@ -23,7 +25,8 @@
 	return out
 }
 
-// labelsFromProto turns an empty map into nil, as convert does with lists.
+// labelsFromProto returns nil for an empty map, because protobuf does not
+// distinguish empty from absent.
 func labelsFromProto(labels map[string]string) model.Labels {
 	if len(labels) == 0 {
 		return nil
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// generate lists every message type with a generator of its values.
+// generators holds a generator of values for each message type, by its name.
 var generators = map[string]*rapid.Generator[any]{}
 
 func register[M any](name string) { generators[name] = generatorOf[M]() }
@@ -89,7 +89,8 @@
 	register[msg.Failed]("Failed")
 }
 
-// message generates pointers to values of M with any bytes in strings.
+// generatorOf returns a generator of pointers to values of M. Strings hold
+// arbitrary bytes; enum values are in the range that decoding accepts.
 func generatorOf[M any]() *rapid.Generator[any] {
 	text := rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 12), func(b []byte) string { return string(b) })
 	reason := rapid.Uint8Range(uint8(msg.RefusedNoCredit), uint8(msg.RefusedCancelled))
@@ -111,8 +112,8 @@
 	})
 }
 
-// nilEmpty replaces empty lists and maps by nil: protobuf does not
-// distinguish them, and neither do the messages.
+// replaceEmptyByNil replaces empty lists and maps by nil, because protobuf does
+// not distinguish empty from absent and decoding returns nil.
 func replaceEmptyByNil(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -137,7 +138,8 @@
 	}
 }
 
-// Guards against a field that is not sent, or that arrives as another value.
+// Guards against a field that is not encoded, or that is decoded to another
+// value.
 func TestEveryMessageSurvivesTheRoundTrip(t *testing.T) {
 	for name, g := range generators {
 		t.Run(name, func(t *testing.T) {
@@ -149,6 +151,7 @@
 	}
 }
 
+// roundTrip encodes and decodes a message.
 func roundTrip(t require.TestingT, m any) any {
 	if f, ok := m.(msg.Frame); ok {
 		head, body, err := AppendFrame([]byte("before"), f)
@@ -167,7 +170,8 @@
 	return got
 }
 
-// payloadOf checks that an envelope's header fits its payload.
+// payloadOf checks the size in the header of an envelope and returns its
+// payload.
 func payloadOf(t require.TestingT, b []byte, limit int) []byte {
 	n, err := PayloadSize(b[:HeaderSize], limit)
 	require.NoError(t, err)
@@ -175,8 +179,8 @@
 	return b[HeaderSize:]
 }
 
-// Guards against a message type that is added to internal/msg without an
-// encoding, or without the test above.
+// Guards against a message type of internal/msg that the round-trip test does
+// not cover and that may therefore lack an encoding.
 func TestEveryMessageHasAGenerator(t *testing.T) {
 	files, err := filepath.Glob("../msg/*.go")
 	require.NoError(t, err)
--- a/internal/wire/task.go
+++ b/internal/wire/task.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/wire/pb"
 )
 
-// taskToProto maps the messages of internal/msg/task.go, and returns nil for
+// taskToProto encodes the messages of internal/msg/task.go. It returns nil for
 // others.
 func taskToProto(m msg.Control) *pb.Control {
 	p := &pb.Control{}
@@ -45,7 +45,8 @@
 	return p
 }
 
-// taskFromProto is the inverse of taskToProto.
+// taskFromProto is the inverse of taskToProto. It returns nil for other
+// messages.
 func taskFromProto(p *pb.Control) msg.Control {
 	switch k := p.Kind.(type) {
 	case *pb.Control_CellClaim:
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// commandFields is the part that every command has in protobuf.
+// commandProto is implemented by the protobuf messages of all commands.
 type commandProto interface {
 	GetCell() string
 	GetEpoch() uint64
@@ -97,6 +98,8 @@
 	return &pb.TaskCommand{Cell: string(c.Cell), Epoch: uint64(c.Epoch), Attempt: attemptIDToProto(attempt)}
 }
 
+// taskCommandFromProto returns a StopTask, which callers convert to the other
+// messages with the same fields.
 func taskCommandFromProto(p *pb.TaskCommand) *msg.StopTask {
 	return &msg.StopTask{Command: commandFromProto(p), Attempt: attemptIDFromProto(p.GetAttempt())}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against a process that talks to one of another version, or that
-// takes another protocol for its own.
+// Guards against a process that accepts a peer of another version or of another
+// protocol, or that mistakes one for the other.
 func TestCheckPreambleDistinguishesVersionFromProtocol(t *testing.T) {
 	require.Len(t, Preamble(), PreambleSize)
 	require.NoError(t, CheckPreamble(Preamble()))
@@ -22,7 +22,8 @@
 	require.ErrorIs(t, CheckPreamble(nil), ErrMalformed)
 }
 
-// Guards against an allocation of the size that a peer claims.
+// Guards against an allocation of unbounded size, as given in a peer's header,
+// and against sending a frame that the peer would reject.
 func TestPayloadSizeIsBounded(t *testing.T) {
 	_, err := PayloadSize([]byte{Version, 0, 16, 0, 1}, MaxFrame)
 	require.ErrorIs(t, err, ErrMalformed)
@@ -35,7 +36,7 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// Guards against body bytes that are copied by encoding or decoding.
+// Guards against encoding or decoding that copies the data of a body chunk.
 func TestBodyChunkIsNotCopied(t *testing.T) {
 	data := []byte("consent slip")
 	head, body, err := AppendFrame(nil, &msg.BodyChunk{Data: data})
@@ -49,8 +50,8 @@
 	require.Same(t, &payload[len(payload)-len(data)], &got[0])
 }
 
-// Guards against a header value or tenant of a caller that is not UTF-8 and
-// therefore cannot be sent.
+// Guards against a request that cannot be sent because its header or tenant is
+// not valid UTF-8, which protobuf strings require.
 func TestCallerTextMayBeInvalidUTF8(t *testing.T) {
 	want := &msg.RequestHead{
 		ID: model.RequestID{Entry: "e", Boot: 1, Seq: 2}, Tenant: "\xff", Method: "POST", URI: "/\x80",
@@ -65,8 +66,8 @@
 	require.Equal(t, want, got)
 }
 
-// Guards against a state or reason that the receiver would truncate into
-// another one.
+// Guards against an unknown state or reason that the receiver truncates to a
+// known one, and against a message of unknown kind that is accepted.
 func TestUnknownValuesAreMalformed(t *testing.T) {
 	_, body, err := AppendFrame(nil, &msg.Refused{Reason: 200})
 	require.NoError(t, err)
--- a/internal/wire/workload.go
+++ b/internal/wire/workload.go
@@ -10,10 +10,10 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// EncodeJob encodes a job as it is stored.
+// EncodeJob encodes a job for the store.
 func EncodeJob(j *workload.Job) ([]byte, error) { return proto.Marshal(jobToProto(j)) }
 
-// DecodeJob is the inverse of EncodeJob.
+// DecodeJob is the inverse of EncodeJob. Its error is ErrMalformed.
 func DecodeJob(raw []byte) (workload.Job, error) {
 	var p pb.FleetJob
 	if err := proto.Unmarshal(raw, &p); err != nil {
@@ -22,7 +22,7 @@
 	return jobFromProto(&p), nil
 }
 
-// EncodeProgress encodes the progress of a job as it is stored.
+// EncodeProgress encodes the progress of a job for the store.
 func EncodeProgress(j *workload.Progress) ([]byte, error) {
 	return proto.Marshal(&pb.JobProgress{
 		Phase: uint32(j.Phase), Done: j.Done, OverAtMs: j.EndedAtMS,
@@ -32,7 +32,7 @@
 	})
 }
 
-// DecodeProgress is the inverse of EncodeProgress.
+// DecodeProgress is the inverse of EncodeProgress. Its error is ErrMalformed.
 func DecodeProgress(raw []byte) (workload.Progress, error) {
 	var p pb.JobProgress
 	if err := proto.Unmarshal(raw, &p); err != nil {
@@ -52,12 +52,12 @@
 	}, nil
 }
 
-// EncodeOwner encodes the owner of the jobs as it is stored.
+// EncodeOwner encodes the owner of the jobs for the store.
 func EncodeOwner(o workload.Owner) ([]byte, error) {
 	return proto.Marshal(&pb.OwnerRow{Name: o.Name, Boot: o.Boot, Epoch: o.Epoch, Sequence: o.Sequence})
 }
 
-// DecodeOwner is the inverse of EncodeOwner.
+// DecodeOwner is the inverse of EncodeOwner. Its error is ErrMalformed.
 func DecodeOwner(raw []byte) (workload.Owner, error) {
 	var p pb.OwnerRow
 	if err := proto.Unmarshal(raw, &p); err != nil {
@@ -66,17 +66,18 @@
 	return workload.Owner{Name: p.GetName(), Boot: p.GetBoot(), Epoch: p.GetEpoch(), Sequence: p.GetSequence()}, nil
 }
 
-// EncodeInterference encodes the interference coefficients of an owner as they
-// are stored.
+// EncodeInterference encodes the interference coefficients of an owner for the
+// store.
 func EncodeInterference(coefficients []msg.Interference) ([]byte, error) {
 	return proto.Marshal(&pb.HarmsRow{Harms: mapSlice(coefficients, interferenceToProto)})
 }
 
-// DecodeInterference is the inverse of EncodeInterference.
+// DecodeInterference is the inverse of EncodeInterference. Its error is
+// ErrMalformed.
 func DecodeInterference(raw []byte) ([]msg.Interference, error) {
 	var p pb.HarmsRow
 	if err := proto.Unmarshal(raw, &p); err != nil {
-		return nil, malformed("harms: %v", err)
+		return nil, malformed("interference coefficients: %v", err)
 	}
 	return mapSlice(p.GetHarms(), interferenceFromProto), nil
 }
