--- a/internal/policy/place/ledger.go
+++ b/internal/policy/place/ledger.go
@@ -16,14 +16,14 @@
 	accounts map[model.WorkerID]*account
 	charges  map[model.AttemptID]*account
 	teams    map[model.Team]model.Resources
-	order    []model.WorkerID // ascending
-	snapshot []Worker
+	ids      []model.WorkerID // ascending
+	workers  []Worker
 }
 
 // account is one worker with its charged attempts.
 type account struct {
 	Worker
-	gone bool // removed, but attempts may still run there
+	removed bool // removed, but attempts may still run there
 }
 
 // NewLedger returns a ledger without workers.
@@ -38,10 +38,10 @@
 	if a == nil {
 		a = &account{}
 		l.accounts[w.ID] = a
-		at, _ := slices.BinarySearch(l.order, w.ID)
-		l.order = slices.Insert(l.order, at, w.ID)
+		at, _ := slices.BinarySearch(l.ids, w.ID)
+		l.ids = slices.Insert(l.ids, at, w.ID)
 	}
-	a.gone = false
+	a.removed = false
 	a.Worker.Worker, a.Services = w, services
 	a.Charged = a.Charged.Sub(a.Reserved).Add(reserved)
 	a.Reserved = reserved
@@ -67,20 +67,20 @@
 // RemoveWorker removes a worker. Its attempts stay charged to their teams
 // until they are released.
 func (l *Ledger) RemoveWorker(id model.WorkerID) {
-	if a := l.accounts[id]; a != nil {
-		a.gone = true
-		l.collect(a)
+	if account := l.accounts[id]; account != nil {
+		account.removed = true
+		l.deleteIfUnused(account)
 	}
 }
 
 // collect forgets a removed worker without attempts.
-func (l *Ledger) collect(a *account) {
-	if !a.gone || len(a.Tasks) > 0 {
+func (l *Ledger) deleteIfUnused(a *account) {
+	if !a.removed || len(a.Tasks) > 0 {
 		return
 	}
 	delete(l.accounts, a.ID)
-	if at, ok := slices.BinarySearch(l.order, a.ID); ok {
-		l.order = slices.Delete(l.order, at, at+1)
+	if at, ok := slices.BinarySearch(l.ids, a.ID); ok {
+		l.ids = slices.Delete(l.ids, at, at+1)
 	}
 }
 
@@ -96,7 +96,7 @@
 // that does not already run.
 func (l *Ledger) Reserve(a Assignment, t Task, p Policy) Reason {
 	account := l.accounts[a.Worker]
-	if account == nil || account.gone {
+	if account == nil || account.removed {
 		return ReasonUnknownWorker
 	}
 	if l.charges[t.Attempt] != nil {
@@ -131,10 +131,10 @@
 	t.Size = t.Size.Max(model.Resources{})
 	a.Tasks = append(a.Tasks, t)
 	l.charges[t.Attempt] = a
-	l.add(a, t.Team, t.Size)
+	l.addCharge(a, t.Team, t.Size)
 }
 
-func (l *Ledger) add(a *account, team model.Team, size model.Resources) {
+func (l *Ledger) addCharge(a *account, team model.Team, size model.Resources) {
 	a.Charged = a.Charged.Add(size)
 	l.teams[team] = l.teams[team].Add(size)
 	a.Revision++
@@ -149,7 +149,7 @@
 		return
 	}
 	if peak := t.Size.Max(u.Resources); peak != t.Size {
-		l.add(a, t.Team, peak.Sub(t.Size))
+		l.addCharge(a, t.Team, peak.Sub(t.Size))
 		t.Size = peak
 	}
 }
@@ -174,18 +174,18 @@
 // the charge, which is the size to plan the job's next attempt with. ok is
 // false when the attempt is not charged.
 func (l *Ledger) Release(id model.AttemptID) (size model.Resources, ok bool) {
-	a, t := l.find(id)
+	account, t := l.find(id)
 	if t == nil {
 		return model.Resources{}, false
 	}
 	team, size := t.Team, t.Size
-	a.Tasks = slices.DeleteFunc(a.Tasks, func(t Task) bool { return t.Attempt == id })
+	account.Tasks = slices.DeleteFunc(account.Tasks, func(t Task) bool { return t.Attempt == id })
 	delete(l.charges, id)
-	l.add(a, team, model.Resources{}.Sub(size))
+	l.addCharge(account, team, model.Resources{}.Sub(size))
 	if l.teams[team] == (model.Resources{}) {
 		delete(l.teams, team)
 	}
-	l.collect(a)
+	l.deleteIfUnused(account)
 	return size, true
 }
 
@@ -205,19 +205,19 @@
 // Workers returns the workers for a snapshot in the order of their ids. The
 // slices belong to the ledger: they are valid until its next change.
 func (l *Ledger) Workers() []Worker {
-	l.snapshot = l.snapshot[:0]
-	for _, id := range l.order {
-		if a := l.accounts[id]; !a.gone {
-			l.snapshot = append(l.snapshot, a.Worker)
+	l.workers = l.workers[:0]
+	for _, id := range l.ids {
+		if a := l.accounts[id]; !a.removed {
+			l.workers = append(l.workers, a.Worker)
 		}
 	}
-	return l.snapshot
+	return l.workers
 }
 
 // Worker returns one worker under the conditions of Workers.
 func (l *Ledger) Worker(id model.WorkerID) (Worker, bool) {
 	a := l.accounts[id]
-	if a == nil || a.gone {
+	if a == nil || a.removed {
 		return Worker{}, false
 	}
 	return a.Worker, true
@@ -237,14 +237,14 @@
 // first.
 func (l *Ledger) Overloads() []Overload {
 	var out []Overload
-	for _, id := range l.order {
+	for _, id := range l.ids {
 		a := l.accounts[id]
 		if !a.Charged.Fits(a.Capacity) {
 			out = append(out, Overload{id, a.Charged.Sub(a.Capacity).Max(model.Resources{})})
 		}
 	}
 	slices.SortStableFunc(out, func(x, y Overload) int {
-		return cmp.Compare(dominant(y.Excess, l.accounts[y.Worker].Capacity), dominant(x.Excess, l.accounts[x.Worker].Capacity))
+		return cmp.Compare(dominantShare(y.Excess, l.accounts[y.Worker].Capacity), dominantShare(x.Excess, l.accounts[x.Worker].Capacity))
 	})
 	return out
 }
--- a/internal/policy/place/ledger_test.go
+++ b/internal/policy/place/ledger_test.go
@@ -12,44 +12,44 @@
 
 // ledgerModel drives a ledger and keeps its own record of what runs where.
 type ledgerModel struct {
-	ledger  *Ledger
-	planner *Planner
-	rules   *Rules
-	quotas  map[model.Team]model.Resources
-	honest  bool // tasks never use more than they declared
-	where   map[model.AttemptID]model.WorkerID
-	size    map[model.AttemptID]model.Resources
-	team    map[model.AttemptID]model.Team
-	planned []Assignment // of this and older snapshots
-	pending []Job
-	next    int
+	ledger         *Ledger
+	planner        *Planner
+	rules          *Rules
+	quotas         map[model.Team]model.Resources
+	withinDeclared bool // tasks never use more than they declared
+	workerOf       map[model.AttemptID]model.WorkerID
+	sizeOf         map[model.AttemptID]model.Resources
+	teamOf         map[model.AttemptID]model.Team
+	planned        []Assignment // of this and older snapshots
+	pending        []Job
+	lastJob        int
 }
 
 var modelTeams = []model.Team{"wick", "braid"}
 
 func newLedgerModel(t *rapid.T) *ledgerModel {
-	m := &ledgerModel{ledger: NewLedger(), planner: New(Options{ReserveAfter: 3}), honest: rapid.Bool().Draw(t, "honest"),
-		quotas: map[model.Team]model.Resources{"wick": res(24, 90)},
-		where:  map[model.AttemptID]model.WorkerID{}, size: map[model.AttemptID]model.Resources{}, team: map[model.AttemptID]model.Team{}}
+	m := &ledgerModel{ledger: NewLedger(), planner: New(Options{ReserveAfter: 3}), withinDeclared: rapid.Bool().Draw(t, "honest"),
+		quotas:   map[model.Team]model.Resources{"wick": resources(24, 90)},
+		workerOf: map[model.AttemptID]model.WorkerID{}, sizeOf: map[model.AttemptID]model.Resources{}, teamOf: map[model.AttemptID]model.Team{}}
 	m.rules, _ = CompileRules(nil)
 	for i := range 3 {
-		m.ledger.SetWorker(host(fmt.Sprint(i), res(16, 60)).Worker, res(2, 8), nil)
+		m.ledger.SetWorker(newWorker(fmt.Sprint(i), resources(16, 60)).Worker, resources(2, 8), nil)
 	}
 	return m
 }
 
 func (m *ledgerModel) drawSize(t *rapid.T) model.Resources {
-	return res(rapid.Int64Range(0, 18).Draw(t, "cores"), rapid.Int64Range(0, 64).Draw(t, "gibibytes"))
+	return resources(rapid.Int64Range(0, 18).Draw(t, "cores"), rapid.Int64Range(0, 64).Draw(t, "gibibytes"))
 }
 
 func (m *ledgerModel) submit(t *rapid.T) {
-	m.next++
-	j := waiting(fmt.Sprint(m.next), m.drawSize(t), nil)
-	j.Spec.Team, j.Spec.Urgent, j.SubmitOrder = rapid.SampledFrom(modelTeams).Draw(t, "team"), rapid.Bool().Draw(t, "urgent"), uint64(m.next)
+	m.lastJob++
+	j := newJob(fmt.Sprint(m.lastJob), m.drawSize(t), nil)
+	j.Spec.Team, j.Spec.Urgent, j.SubmitOrder = rapid.SampledFrom(modelTeams).Draw(t, "team"), rapid.Bool().Draw(t, "urgent"), uint64(m.lastJob)
 	m.pending = append(m.pending, j)
 }
 
-func (m *ledgerModel) plan(*rapid.T) {
+func (m *ledgerModel) planRound(*rapid.T) {
 	plan := m.planner.Plan(Snapshot{Workers: m.ledger.Workers(), Jobs: m.pending, Quotas: m.quotas, TeamUse: m.ledger.TeamUse()})
 	m.planned = append(m.planned, plan.Assignments...)
 	m.planned = m.planned[max(0, len(m.planned)-16):]
@@ -59,13 +59,13 @@
 func (m *ledgerModel) reserve(t *rapid.T) {
 	for _, a := range m.planned {
 		id := model.AttemptID{Job: a.Job, Number: 1}
-		before, charged := m.where[id]
+		before, charged := m.workerOf[id]
 		reason := m.ledger.Reserve(a, Task{Attempt: id, Team: a.Team, Size: a.Size}, Policy{Rules: m.rules, Quotas: m.quotas})
 		if reason != ReasonNone || charged {
-			require.Equal(t, before, m.where[id])
+			require.Equal(t, before, m.workerOf[id])
 			continue
 		}
-		m.where[id], m.size[id], m.team[id] = a.Worker, a.Size, a.Team
+		m.workerOf[id], m.sizeOf[id], m.teamOf[id] = a.Worker, a.Size, a.Team
 		w, _ := m.ledger.Worker(a.Worker)
 		require.True(t, w.Charged.Fits(w.Capacity), "worker %s: %v of %v", w.ID, w.Charged, w.Capacity)
 		if quota, ok := m.quotas[a.Team]; ok {
@@ -81,66 +81,66 @@
 }
 
 // attempt draws any attempt number, also one that never ran or has ended.
-func (m *ledgerModel) attempt(t *rapid.T) model.AttemptID {
-	return model.AttemptID{Job: model.JobID(fmt.Sprint(rapid.IntRange(1, m.next+1).Draw(t, "job"))), Number: 1}
+func (m *ledgerModel) drawAttempt(t *rapid.T) model.AttemptID {
+	return model.AttemptID{Job: model.JobID(fmt.Sprint(rapid.IntRange(1, m.lastJob+1).Draw(t, "job"))), Number: 1}
 }
 
 func (m *ledgerModel) report(t *rapid.T) {
-	id, use := m.attempt(t), m.drawSize(t)
-	if m.honest && !use.Fits(m.size[id]) {
-		use = m.size[id]
+	id, use := m.drawAttempt(t), m.drawSize(t)
+	if m.withinDeclared && !use.Fits(m.sizeOf[id]) {
+		use = m.sizeOf[id]
 	}
 	m.ledger.RecordUsage(id, model.Usage{Resources: use})
-	if _, ok := m.where[id]; ok {
-		m.size[id] = m.size[id].Max(use)
+	if _, ok := m.workerOf[id]; ok {
+		m.sizeOf[id] = m.sizeOf[id].Max(use)
 	}
 }
 
-func (m *ledgerModel) stop(t *rapid.T) { m.ledger.MarkStopping(m.attempt(t)) }
+func (m *ledgerModel) stop(t *rapid.T) { m.ledger.MarkStopping(m.drawAttempt(t)) }
 
 func (m *ledgerModel) release(t *rapid.T) {
-	id := m.attempt(t)
+	id := m.drawAttempt(t)
 	size, ok := m.ledger.Release(id)
-	_, want := m.where[id]
+	_, want := m.workerOf[id]
 	require.Equal(t, want, ok)
-	require.Equal(t, m.size[id], size)
-	delete(m.where, id)
-	delete(m.size, id)
+	require.Equal(t, m.sizeOf[id], size)
+	delete(m.workerOf, id)
+	delete(m.sizeOf, id)
 }
 
-func (m *ledgerModel) state(t *rapid.T) {
+func (m *ledgerModel) setState(t *rapid.T) {
 	w := model.WorkerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "worker")))
 	m.ledger.SetState(w, WorkerState(rapid.IntRange(0, 5).Draw(t, "state")))
 }
 
-func (m *ledgerModel) comeAndGo(t *rapid.T) {
+func (m *ledgerModel) addOrRemoveWorker(t *rapid.T) {
 	w := model.WorkerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "worker")))
 	if rapid.Bool().Draw(t, "gone") {
 		m.ledger.RemoveWorker(w)
 		return
 	}
-	m.ledger.SetWorker(host(string(w), res(16, 60)).Worker, res(2, 8), nil)
+	m.ledger.SetWorker(newWorker(string(w), resources(16, 60)).Worker, resources(2, 8), nil)
 }
 
 // check compares the ledger with the model's own record.
 func (m *ledgerModel) check(t *rapid.T) {
 	teams := map[model.Team]model.Resources{}
-	for id := range m.where {
-		teams[m.team[id]] = teams[m.team[id]].Add(m.size[id])
+	for id := range m.workerOf {
+		teams[m.teamOf[id]] = teams[m.teamOf[id]].Add(m.sizeOf[id])
 	}
 	for team, use := range m.ledger.TeamUse() {
 		require.Equal(t, teams[team], use)
 	}
 	for _, w := range m.ledger.Workers() {
 		want := w.Reserved
-		for id, at := range m.where {
+		for id, at := range m.workerOf {
 			if at == w.ID {
-				want = want.Add(m.size[id])
+				want = want.Add(m.sizeOf[id])
 			}
 		}
 		require.Equal(t, want, w.Charged)
 		require.True(t, w.Reserved.Fits(w.Charged), "below zero")
-		if m.honest {
+		if m.withinDeclared {
 			require.True(t, w.Charged.Fits(w.Capacity))
 		}
 	}
@@ -153,8 +153,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"submit": m.submit, "submit another": m.submit, "plan": m.plan, "reserve": m.reserve, "report": m.report,
-			"stop": m.stop, "release": m.release, "state": m.state, "come and go": m.comeAndGo, "": m.check,
+			"submit": m.submit, "submit another": m.submit, "plan": m.planRound, "reserve": m.reserve, "report": m.report,
+			"stop": m.stop, "release": m.release, "state": m.setState, "come and go": m.addOrRemoveWorker, "": m.check,
 		})
 	})
 }
@@ -164,16 +164,16 @@
 func TestOverloads(t *testing.T) {
 	l := NewLedger()
 	for _, id := range []string{"a", "b"} {
-		l.SetWorker(host(id, res(16, 60)).Worker, model.Resources{}, nil)
-		task := Task{Attempt: model.AttemptID{Job: model.JobID(id), Number: 1}, Size: res(8, 8)}
+		l.SetWorker(newWorker(id, resources(16, 60)).Worker, model.Resources{}, nil)
+		task := Task{Attempt: model.AttemptID{Job: model.JobID(id), Number: 1}, Size: resources(8, 8)}
 		require.Equal(t, ReasonNone, l.Reserve(Assignment{Worker: model.WorkerID(id), Job: task.Attempt.Job}, task, Policy{Rules: &Rules{}}))
 	}
 	require.Empty(t, l.Overloads())
-	l.RecordUsage(model.AttemptID{Job: "a", Number: 1}, model.Usage{Resources: res(17, 1)})
-	l.RecordUsage(model.AttemptID{Job: "b", Number: 1}, model.Usage{Resources: res(20, 1)})
-	require.Equal(t, []Overload{{"b", res(4, 0)}, {"a", res(1, 0)}}, l.Overloads())
-	require.True(t, l.Adopt("a", Task{Attempt: model.AttemptID{Job: "found", Number: 2}, Size: res(1, 1)}))
+	l.RecordUsage(model.AttemptID{Job: "a", Number: 1}, model.Usage{Resources: resources(17, 1)})
+	l.RecordUsage(model.AttemptID{Job: "b", Number: 1}, model.Usage{Resources: resources(20, 1)})
+	require.Equal(t, []Overload{{"b", resources(4, 0)}, {"a", resources(1, 0)}}, l.Overloads())
+	require.True(t, l.Adopt("a", Task{Attempt: model.AttemptID{Job: "found", Number: 2}, Size: resources(1, 1)}))
 	require.False(t, l.Adopt("unknown", Task{}))
 	w, _ := l.Worker("a")
-	require.Equal(t, res(18, 9), w.Charged)
+	require.Equal(t, resources(18, 9), w.Charged)
 }
--- a/internal/policy/place/measure_test.go
+++ b/internal/policy/place/measure_test.go
@@ -20,10 +20,10 @@
 	choose(l *place.Ledger, jobs []place.Job) []place.Assignment
 }
 
-type planned struct{ p *place.Planner }
+type plannerChooser struct{ planner *place.Planner }
 
-func (c planned) choose(l *place.Ledger, jobs []place.Job) []place.Assignment {
-	return c.p.Plan(place.Snapshot{Workers: l.Workers(), Jobs: jobs, TeamUse: l.TeamUse()}).Assignments
+func (c plannerChooser) choose(l *place.Ledger, jobs []place.Job) []place.Assignment {
+	return c.planner.Plan(place.Snapshot{Workers: l.Workers(), Jobs: jobs, TeamUse: l.TeamUse()}).Assignments
 }
 
 // firstFit is the baseline: jobs in submission order, each on the first
@@ -32,72 +32,72 @@
 
 func (f firstFit) choose(l *place.Ledger, jobs []place.Job) []place.Assignment {
 	workers := append([]place.Worker(nil), l.Workers()...)
-	var out []place.Assignment
+	var assignments []place.Assignment
 	for _, j := range jobs {
-		found := false
+		placed := false
 		for i := range workers {
 			w := &workers[i]
-			if found = j.Size.Fits(w.Capacity.Sub(w.Charged)); found {
+			if placed = j.Size.Fits(w.Capacity.Sub(w.Charged)); placed {
 				w.Charged = w.Charged.Add(j.Size)
-				out = append(out, place.Assignment{Job: j.Spec.ID, Worker: w.ID, Team: j.Spec.Team, Size: j.Size})
+				assignments = append(assignments, place.Assignment{Job: j.Spec.ID, Worker: w.ID, Team: j.Spec.Team, Size: j.Size})
 				break
 			}
 		}
-		if !found && !f.backfill {
-			return out
+		if !placed && !f.backfill {
+			return assignments
 		}
 	}
-	return out
+	return assignments
 }
 
-type ending struct {
+type taskEnd struct {
 	at time.Duration
 	id model.AttemptID
 }
 
-type endings []ending
+type taskEnds []taskEnd
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e taskEnds) Len() int           { return len(e) }
+func (e taskEnds) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e taskEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *taskEnds) Push(x any)        { *e = append(*e, x.(taskEnd)) }
+func (e *taskEnds) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
 // packing is a run of a cell with a queue that never empties.
-type packing struct {
-	t       *testing.T
-	ledger  *place.Ledger
-	chooser chooser
-	queue   []place.Job
-	run     map[model.JobID]time.Duration
-	ends    endings
-	used    model.Resources // integral over the measured time, in seconds
-	oldest  time.Duration   // longest wait of a started job
-	since   map[model.JobID]time.Duration
-	total   model.Resources // free capacity of the empty cell
+type packingRun struct {
+	t           *testing.T
+	ledger      *place.Ledger
+	chooser     chooser
+	queue       []place.Job
+	runtimes    map[model.JobID]time.Duration
+	ends        taskEnds
+	usage       model.Resources // integral over the measured time, in seconds
+	longestWait time.Duration   // longest wait of a started job
+	submittedAt map[model.JobID]time.Duration
+	capacity    model.Resources // free capacity of the empty cell
 }
 
-func newPacking(t *testing.T, d measure.Deployment, c chooser) *packing {
-	p := &packing{t: t, ledger: place.NewLedger(), chooser: c, run: map[model.JobID]time.Duration{}, since: map[model.JobID]time.Duration{}}
+func newPackingRun(t *testing.T, d measure.Deployment, c chooser) *packingRun {
+	p := &packingRun{t: t, ledger: place.NewLedger(), chooser: c, runtimes: map[model.JobID]time.Duration{}, submittedAt: map[model.JobID]time.Duration{}}
 	for _, w := range d.Workers {
 		p.ledger.SetWorker(w, d.Reserved, nil)
-		p.total = p.total.Add(w.Capacity.Sub(d.Reserved))
+		p.capacity = p.capacity.Add(w.Capacity.Sub(d.Reserved))
 	}
 	return p
 }
 
-func (p *packing) submit(now time.Duration, j measure.Job, order uint64) {
-	p.run[j.Spec.ID], p.since[j.Spec.ID] = j.Runtime, now
+func (p *packingRun) submit(now time.Duration, j measure.Job, order uint64) {
+	p.runtimes[j.Spec.ID], p.submittedAt[j.Spec.ID] = j.Runtime, now
 	p.queue = append(p.queue, place.Job{Spec: j.Spec, Size: j.Spec.Resources, SubmitOrder: order})
 }
 
-func (p *packing) round(now time.Duration) {
+func (p *packingRun) round(now time.Duration) {
 	for len(p.ends) > 0 && p.ends[0].at <= now {
-		p.ledger.Release(heap.Pop(&p.ends).(ending).id)
+		p.ledger.Release(heap.Pop(&p.ends).(taskEnd).id)
 	}
 	started := map[model.JobID]bool{}
 	rules, _ := place.CompileRules(nil)
@@ -105,26 +105,26 @@
 		id := model.AttemptID{Job: a.Job, Number: 1}
 		reason := p.ledger.Reserve(a, place.Task{Attempt: id, Team: a.Team, Size: a.Size}, place.Policy{Rules: rules})
 		require.Equal(p.t, place.ReasonNone, reason)
-		heap.Push(&p.ends, ending{now + p.run[a.Job], id})
+		heap.Push(&p.ends, taskEnd{now + p.runtimes[a.Job], id})
 		started[a.Job] = true
-		p.oldest = max(p.oldest, now-p.since[a.Job])
+		p.longestWait = max(p.longestWait, now-p.submittedAt[a.Job])
 	}
-	left := p.queue[:0]
+	remaining := p.queue[:0]
 	for _, j := range p.queue {
 		if !started[j.Spec.ID] {
-			left = append(left, j)
+			remaining = append(remaining, j)
 		}
 	}
-	p.queue = left
+	p.queue = remaining
 }
 
 // use adds what the cell runs for a time and checks every worker.
-func (p *packing) use(seconds int64, measured bool) {
+func (p *packingRun) recordUsage(seconds int64, measured bool) {
 	for _, w := range p.ledger.Workers() {
 		require.True(p.t, w.Charged.Fits(w.Capacity), "worker %s is over capacity", w.ID)
 		if measured {
-			run := w.Charged.Sub(w.Reserved)
-			p.used = p.used.Add(model.Resources{CPU: run.CPU * model.MilliCPU(seconds), Memory: run.Memory * model.Bytes(seconds)})
+			tasks := w.Charged.Sub(w.Reserved)
+			p.usage = p.usage.Add(model.Resources{CPU: tasks.CPU * model.MilliCPU(seconds), Memory: tasks.Memory * model.Bytes(seconds)})
 		}
 	}
 }
@@ -132,22 +132,22 @@
 // pack runs a backlog for an hour after ten minutes of start, and returns the
 // use of the scarcer dimension relative to the offline bound: no placement,
 // even with all jobs known in advance, runs more than the whole capacity.
-func pack(t *testing.T, d measure.Deployment, c chooser, seed uint64) (share float64, oldest time.Duration) {
-	const warm, end = 600, 4200
-	p := newPacking(t, d, c)
-	mix := measure.NewMix(seed, d.Workers[0].Capacity)
+func measurePacking(t *testing.T, deployment measure.Deployment, c chooser, seed uint64) (usageShare float64, longestWait time.Duration) {
+	const warmUpSeconds, endSeconds = 600, 4200
+	run := newPackingRun(t, deployment, c)
+	mix := measure.NewMix(seed, deployment.Workers[0].Capacity)
 	order := uint64(0)
-	for now := range end {
-		for len(p.queue) < 200 {
+	for now := range endSeconds {
+		for len(run.queue) < 200 {
 			order++
-			p.submit(time.Duration(now)*time.Second, mix.Job(), order)
+			run.submit(time.Duration(now)*time.Second, mix.Job(), order)
 		}
-		p.round(time.Duration(now) * time.Second)
-		p.use(1, now >= warm)
+		run.round(time.Duration(now) * time.Second)
+		run.recordUsage(1, now >= warmUpSeconds)
 	}
-	cpu := float64(p.used.CPU) / float64(p.total.CPU*(end-warm))
-	memory := float64(p.used.Memory) / float64(p.total.Memory) / (end - warm)
-	return max(cpu, memory), p.oldest
+	cpu := float64(run.usage.CPU) / float64(run.capacity.CPU*(endSeconds-warmUpSeconds))
+	memory := float64(run.usage.Memory) / float64(run.capacity.Memory) / (endSeconds - warmUpSeconds)
+	return max(cpu, memory), run.longestWait
 }
 
 // Guards against packing that wastes workers, against a worker over its
@@ -160,23 +160,23 @@
 	}
 	for _, d := range []measure.Deployment{measure.Nilegate(), measure.Wick()} {
 		for seed := range seeds {
-			ours, wait := pack(t, d, planned{place.New(place.Options{})}, seed)
-			first, _ := pack(t, d, firstFit{}, seed)
-			overtaking, starved := pack(t, d, firstFit{backfill: true}, seed)
+			plannerShare, plannerWait := measurePacking(t, d, plannerChooser{place.New(place.Options{})}, seed)
+			firstFitShare, _ := measurePacking(t, d, firstFit{}, seed)
+			backfillShare, backfillWait := measurePacking(t, d, firstFit{backfill: true}, seed)
 			t.Logf("%s seed %d: planner %.3f (longest wait %s), first-fit %.3f, first-fit with overtaking %.3f (longest wait %s)",
-				d.Name, seed, ours, wait, first, overtaking, starved)
-			assert.GreaterOrEqual(t, ours, 0.95, "%s seed %d", d.Name, seed)
-			assert.Greater(t, ours, first)
+				d.Name, seed, plannerShare, plannerWait, firstFitShare, backfillShare, backfillWait)
+			assert.GreaterOrEqual(t, plannerShare, 0.95, "%s seed %d", d.Name, seed)
+			assert.Greater(t, plannerShare, firstFitShare)
 		}
 	}
 }
 
 // benchCell fills a cell with tasks and returns it with its waiting jobs.
 func benchCell(b *testing.B, workers, tasks int) (*place.Ledger, *measure.Mix) {
-	d := measure.Cell(workers)
-	l := place.NewLedger()
-	for _, w := range d.Workers {
-		l.SetWorker(w, d.Reserved, nil)
+	deployment := measure.Cell(workers)
+	ledger := place.NewLedger()
+	for _, w := range deployment.Workers {
+		ledger.SetWorker(w, deployment.Reserved, nil)
 	}
 	mix := measure.NewMix(1, model.Resources{CPU: 6000, Memory: 24 << 30})
 	p := place.New(place.Options{MaxStarts: tasks})
@@ -185,11 +185,11 @@
 	for i := range tasks {
 		jobs = append(jobs, benchJob(mix, i))
 	}
-	for _, a := range p.Plan(place.Snapshot{Workers: l.Workers(), Jobs: jobs, TeamUse: l.TeamUse(), Selectors: selectors}).Assignments {
+	for _, a := range p.Plan(place.Snapshot{Workers: ledger.Workers(), Jobs: jobs, TeamUse: ledger.TeamUse(), Selectors: selectors}).Assignments {
 		t := place.Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Team: a.Team, Size: a.Size, Labels: a.Labels}
-		require.Equal(b, place.ReasonNone, l.Reserve(a, t, place.Policy{Rules: rules}))
+		require.Equal(b, place.ReasonNone, ledger.Reserve(a, t, place.Policy{Rules: rules}))
 	}
-	return l, mix
+	return ledger, mix
 }
 
 var selectors = []place.NamedSelector{
@@ -208,46 +208,46 @@
 // the cell as full, the release of an older attempt. A round starts up to 58
 // tasks, a tenth of a second of the peak of 580 starts/s.
 func BenchmarkDecision(b *testing.B) {
-	const inRound = 58
+	const maxRoundStarts = 58
 	for _, c := range []struct{ workers, tasks int }{{11, 207}, {690, 13000}} {
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d", c.workers, c.tasks), func(b *testing.B) {
-			l, mix := benchCell(b, c.workers, c.tasks)
+			ledger, mix := benchCell(b, c.workers, c.tasks)
 			p := place.New(place.Options{})
 			rules, _ := place.CompileRules(selectors)
 			var running []model.AttemptID
-			for _, w := range l.Workers() {
+			for _, w := range ledger.Workers() {
 				for _, t := range w.Tasks {
 					running = append(running, t.Attempt)
 				}
 			}
-			next, round := 0, min(inRound, len(running)/4)
+			next, round := 0, min(maxRoundStarts, len(running)/4)
 			var queue []place.Job
 			b.ResetTimer()
 			for started := 0; started < b.N; {
 				for range round {
-					l.Release(running[0])
+					ledger.Release(running[0])
 					running = running[1:]
 				}
 				for len(queue) < 2*round {
 					next++
 					queue = append(queue, benchJob(mix, next))
 				}
-				plan := p.Plan(place.Snapshot{Workers: l.Workers(), Jobs: queue, TeamUse: l.TeamUse(), Selectors: selectors})
+				plan := p.Plan(place.Snapshot{Workers: ledger.Workers(), Jobs: queue, TeamUse: ledger.TeamUse(), Selectors: selectors})
 				done := map[model.JobID]bool{}
 				for _, a := range plan.Assignments {
 					t := place.Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Team: a.Team, Size: a.Size, Labels: a.Labels}
-					if l.Reserve(a, t, place.Policy{Rules: rules}) == place.ReasonNone {
+					if ledger.Reserve(a, t, place.Policy{Rules: rules}) == place.ReasonNone {
 						running = append(running, t.Attempt)
 						done[a.Job] = true
 					}
 				}
-				left := queue[:0]
+				remaining := queue[:0]
 				for _, j := range queue {
 					if !done[j.Spec.ID] {
-						left = append(left, j)
+						remaining = append(remaining, j)
 					}
 				}
-				queue = left
+				queue = remaining
 				started += max(1, len(done))
 			}
 			b.ReportMetric(float64(len(running)), "tasks")
@@ -258,10 +258,10 @@
 // BenchmarkVictims measures the choice of victims for one urgent job in a
 // full cell of the target size.
 func BenchmarkVictims(b *testing.B) {
-	l, mix := benchCell(b, 690, 13000)
+	ledger, mix := benchCell(b, 690, 13000)
 	job := benchJob(mix, 1)
 	job.Spec.Urgent, job.Size = true, model.Resources{CPU: 12000, Memory: 48 << 30}
-	s := place.Snapshot{Workers: l.Workers(), Jobs: []place.Job{job}, Selectors: selectors}
+	s := place.Snapshot{Workers: ledger.Workers(), Jobs: []place.Job{job}, Selectors: selectors}
 	for b.Loop() {
 		if _, ok := place.Victims(s, job); !ok {
 			b.Fatal("no victims")
--- a/internal/policy/place/order.go
+++ b/internal/policy/place/order.go
@@ -11,13 +11,13 @@
 
 // budget is a team's quota and use.
 type budget struct {
-	use, quota model.Resources
-	limited    bool
+	usage, quota model.Resources
+	hasQuota     bool
 }
 
 // allows reports whether the quota leaves room for size.
 func (b *budget) allows(size model.Resources) bool {
-	return !b.limited || b.use.Add(size).Fits(b.quota)
+	return !b.hasQuota || b.usage.Add(size).Fits(b.quota)
 }
 
 // teamQueue holds a team's waiting jobs in submission order.
@@ -65,65 +65,65 @@
 
 // offer calls try for each job that keep selects, the team with the least use
 // relative to its quota first, each team's jobs in submission order.
-func offer(s *Snapshot, whole model.Resources, teams map[model.Team]*budget, keep func(*Job) bool, try func(*Job, *budget)) {
+func forEachJob(s *Snapshot, cellCapacity model.Resources, budgets map[model.Team]*budget, include func(*Job) bool, try func(*Job, *budget)) {
 	queues := map[model.Team]*teamQueue{}
-	var order teamHeap
+	var teams teamHeap
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if !keep(j) {
+		if !include(j) {
 			continue
 		}
 		q := queues[j.Spec.Team]
 		if q == nil {
-			q = &teamQueue{team: j.Spec.Team, budget: teams[j.Spec.Team]}
+			q = &teamQueue{team: j.Spec.Team, budget: budgets[j.Spec.Team]}
 			queues[j.Spec.Team] = q
-			order = append(order, q)
+			teams = append(teams, q)
 		}
 		q.jobs = append(q.jobs, j)
 	}
-	earlier := func(a, b *Job) int { return cmp.Compare(a.SubmitOrder, b.SubmitOrder) }
-	step := fairStep(order, whole)
-	ratio := func(q *teamQueue) float64 { return math.Round(q.relative(whole) / step) }
-	for _, q := range order {
-		if !slices.IsSortedFunc(q.jobs, earlier) {
-			slices.SortStableFunc(q.jobs, earlier)
+	bySubmitOrder := func(a, b *Job) int { return cmp.Compare(a.SubmitOrder, b.SubmitOrder) }
+	step := fairStep(teams, cellCapacity)
+	ratio := func(q *teamQueue) float64 { return math.Round(q.usageRatio(cellCapacity) / step) }
+	for _, q := range teams {
+		if !slices.IsSortedFunc(q.jobs, bySubmitOrder) {
+			slices.SortStableFunc(q.jobs, bySubmitOrder)
 		}
 		q.ratio = ratio(q)
 	}
-	heap.Init(&order)
-	for len(order) > 0 {
-		q := order[0]
+	heap.Init(&teams)
+	for len(teams) > 0 {
+		q := teams[0]
 		job := q.jobs[0]
 		q.jobs = q.jobs[1:]
 		try(job, q.budget)
 		if len(q.jobs) == 0 {
-			heap.Pop(&order)
+			heap.Pop(&teams)
 			continue
 		}
 		q.ratio = ratio(q)
-		heap.Fix(&order, 0)
+		heap.Fix(&teams, 0)
 	}
 }
 
 // leastFairStep is the step of use relative to quota while the cell is empty.
-const leastFairStep = 0.05
+const minFairStep = 0.05
 
 // relative returns the use relative to the quota, or to the whole cell.
-func (b *budget) relative(whole model.Resources) float64 {
-	if b.limited {
-		return dominant(b.use, b.quota)
+func (b *budget) usageRatio(cellCapacity model.Resources) float64 {
+	if b.hasQuota {
+		return dominantShare(b.usage, b.quota)
 	}
-	return dominant(b.use, whole)
+	return dominantShare(b.usage, cellCapacity)
 }
 
 // fairStep returns the difference of use relative to quota that counts: the
 // mean of the teams, so that a team is ahead or behind when it is half a mean
 // from the others. Without steps old large jobs lost their turn to young
 // small ones of other teams, and packing lost 1.6%.
-func fairStep(teams teamHeap, whole model.Resources) float64 {
+func fairStep(teams teamHeap, cellCapacity model.Resources) float64 {
 	sum := 0.0
 	for _, q := range teams {
-		sum += q.relative(whole)
+		sum += q.usageRatio(cellCapacity)
 	}
-	return max(leastFairStep, sum/float64(max(1, len(teams))))
+	return max(minFairStep, sum/float64(max(1, len(teams))))
 }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -10,13 +10,13 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-const gib = 1 << 30
+const gibibyte = 1 << 30
 
-func res(cores, gibibytes int64) model.Resources {
-	return model.Resources{CPU: model.MilliCPU(cores * 1000), Memory: model.Bytes(gibibytes * gib)}
+func resources(cores, gibibytes int64) model.Resources {
+	return model.Resources{CPU: model.MilliCPU(cores * 1000), Memory: model.Bytes(gibibytes * gibibyte)}
 }
 
-func host(id string, size model.Resources, tasks ...Task) Worker {
+func newWorker(id string, size model.Resources, tasks ...Task) Worker {
 	w := Worker{Worker: model.Worker{ID: model.WorkerID(id), Rack: model.Rack("r-" + id), DataCentre: "dye-yard", Capacity: size}}
 	for i, t := range tasks {
 		if t.Attempt.Job == "" {
@@ -28,18 +28,18 @@
 	return w
 }
 
-func waiting(id string, size model.Resources, l model.Labels) Job {
+func newJob(id string, size model.Resources, l model.Labels) Job {
 	return Job{Spec: model.JobSpec{ID: model.JobID(id), Team: "braid", Class: "priming"}, Labels: l, Size: size}
 }
 
-func jobs(list ...Job) []Job {
+func inSubmitOrder(list ...Job) []Job {
 	for i := range list {
 		list[i].SubmitOrder = uint64(i)
 	}
 	return list
 }
 
-func placed(p Plan) map[model.JobID]model.WorkerID {
+func placements(p Plan) map[model.JobID]model.WorkerID {
 	out := map[model.JobID]model.WorkerID{}
 	for _, a := range p.Assignments {
 		out[a.Job] = a.Worker
@@ -55,11 +55,11 @@
 	return out
 }
 
-func apart(subject, object string) []NamedSelector {
+func mustStayApart(subject, object string) []NamedSelector {
 	return []NamedSelector{{"rule", model.Selector{Kind: model.MustStayApart, Subject: subject, Object: object}}}
 }
 
-func share(subject, object string) []NamedSelector {
+func mayShare(subject, object string) []NamedSelector {
 	return []NamedSelector{{"rule", model.Selector{Kind: model.MayShare, Subject: subject, Object: object}}}
 }
 
@@ -67,17 +67,17 @@
 // selector, or disagrees between Plan, Explain and Verify.
 func TestFilters(t *testing.T) {
 	noisy, quiet := model.Labels{"class": "noisy"}, model.Labels{"class": "quiet"}
-	small, size := res(1, 1), res(16, 60)
-	on := func(l model.Labels) Worker { return host("w", size, Task{Labels: l, Size: small}) }
-	serves := func(l model.Labels) Worker {
-		w := host("w", size)
+	small, size := resources(1, 1), resources(16, 60)
+	workerWith := func(l model.Labels) Worker { return newWorker("w", size, Task{Labels: l, Size: small}) }
+	workerServing := func(l model.Labels) Worker {
+		w := newWorker("w", size)
 		w.Services = []model.Labels{l}
 		return w
 	}
-	labelled := func(w Worker, l model.Labels) Worker { w.Worker.Labels = l; return w }
-	state := func(s WorkerState, w Worker) Worker { w.State = s; return w }
+	withLabels := func(w Worker, l model.Labels) Worker { w.Worker.Labels = l; return w }
+	withState := func(s WorkerState, w Worker) Worker { w.State = s; return w }
 	unproven := func(n, limit int) Worker {
-		w := on(quiet)
+		w := workerWith(quiet)
 		w.Unproven, w.MaxUnproven = n, limit
 		return w
 	}
@@ -89,30 +89,30 @@
 		selectors []NamedSelector
 		want      Reason
 	}{
-		{"fits", on(quiet), waiting("j", small, noisy), nil, ReasonNone},
-		{"cpu", on(quiet), waiting("j", res(16, 1), noisy), nil, ReasonResources},
-		{"memory", on(quiet), waiting("j", res(1, 60), noisy), nil, ReasonResources},
-		{"accelerators", on(quiet), waiting("j", model.Resources{Accelerators: 1}, noisy), nil, ReasonImpossible},
-		{"suspect", state(WorkerSuspect, on(quiet)), waiting("j", small, noisy), nil, ReasonWorkerState},
-		{"draining", state(WorkerDraining, on(quiet)), waiting("j", small, noisy), nil, ReasonWorkerState},
-		{"quarantined", state(WorkerQuarantined, on(quiet)), waiting("j", small, noisy), nil, ReasonWorkerState},
-		{"unproven", unproven(2, 2), waiting("j", small, noisy), nil, ReasonUnproven},
-		{"one more unproven", unproven(2, 3), waiting("j", small, noisy), nil, ReasonNone},
-		{"probation, empty", state(WorkerProbation, host("w", size)), waiting("j", small, noisy), nil, ReasonNone},
-		{"probation, busy", state(WorkerProbation, on(quiet)), waiting("j", small, noisy), nil, ReasonWorkerState},
-		{"apart", on(quiet), waiting("j", small, noisy), apart("class=noisy", "class=quiet"), ReasonMustStayApart},
-		{"apart, other direction", on(noisy), waiting("j", small, quiet), apart("class=noisy", "class=quiet"), ReasonMustStayApart},
-		{"apart from a service", serves(quiet), waiting("j", small, noisy), apart("class=noisy", "class=quiet"), ReasonMustStayApart},
-		{"service stays apart", serves(noisy), waiting("j", small, quiet), apart("class=noisy", "class=quiet"), ReasonMustStayApart},
-		{"apart from its own kind", on(noisy), waiting("j", small, noisy), apart("class=noisy", "class=noisy"), ReasonMustStayApart},
-		{"apart from a host", labelled(host("w", size), shed), waiting("j", small, noisy), apart("class=noisy", "pool=shed"), ReasonMustStayApart},
-		{"negative object is no host", labelled(host("w", size), shed), waiting("j", small, noisy), apart("class=noisy", "class!=noisy"), ReasonNone},
-		{"may share", on(quiet), waiting("j", small, noisy), share("class=noisy", "class=quiet"), ReasonNone},
-		{"may not share", on(quiet), waiting("j", small, noisy), share("class=noisy", "class=noisy"), ReasonMayShare},
-		{"occupant may not share", on(noisy), waiting("j", small, quiet), share("class=noisy", "class=noisy"), ReasonMayShare},
-		{"may share on these hosts", labelled(on(quiet), shed), waiting("j", small, noisy), share("class=noisy", "pool=shed"), ReasonNone},
-		{"not on other hosts", labelled(on(quiet), yard), waiting("j", small, noisy), share("class=noisy", "pool=shed"), ReasonMayShare},
-		{"empty host", host("w", size), waiting("j", small, noisy), share("class=noisy", "class=noisy"), ReasonNone},
+		{"fits", workerWith(quiet), newJob("j", small, noisy), nil, ReasonNone},
+		{"cpu", workerWith(quiet), newJob("j", resources(16, 1), noisy), nil, ReasonResources},
+		{"memory", workerWith(quiet), newJob("j", resources(1, 60), noisy), nil, ReasonResources},
+		{"accelerators", workerWith(quiet), newJob("j", model.Resources{Accelerators: 1}, noisy), nil, ReasonImpossible},
+		{"suspect", withState(WorkerSuspect, workerWith(quiet)), newJob("j", small, noisy), nil, ReasonWorkerState},
+		{"draining", withState(WorkerDraining, workerWith(quiet)), newJob("j", small, noisy), nil, ReasonWorkerState},
+		{"quarantined", withState(WorkerQuarantined, workerWith(quiet)), newJob("j", small, noisy), nil, ReasonWorkerState},
+		{"unproven", unproven(2, 2), newJob("j", small, noisy), nil, ReasonUnproven},
+		{"one more unproven", unproven(2, 3), newJob("j", small, noisy), nil, ReasonNone},
+		{"probation, empty", withState(WorkerProbation, newWorker("w", size)), newJob("j", small, noisy), nil, ReasonNone},
+		{"probation, busy", withState(WorkerProbation, workerWith(quiet)), newJob("j", small, noisy), nil, ReasonWorkerState},
+		{"apart", workerWith(quiet), newJob("j", small, noisy), mustStayApart("class=noisy", "class=quiet"), ReasonMustStayApart},
+		{"apart, other direction", workerWith(noisy), newJob("j", small, quiet), mustStayApart("class=noisy", "class=quiet"), ReasonMustStayApart},
+		{"apart from a service", workerServing(quiet), newJob("j", small, noisy), mustStayApart("class=noisy", "class=quiet"), ReasonMustStayApart},
+		{"service stays apart", workerServing(noisy), newJob("j", small, quiet), mustStayApart("class=noisy", "class=quiet"), ReasonMustStayApart},
+		{"apart from its own kind", workerWith(noisy), newJob("j", small, noisy), mustStayApart("class=noisy", "class=noisy"), ReasonMustStayApart},
+		{"apart from a host", withLabels(newWorker("w", size), shed), newJob("j", small, noisy), mustStayApart("class=noisy", "pool=shed"), ReasonMustStayApart},
+		{"negative object is no host", withLabels(newWorker("w", size), shed), newJob("j", small, noisy), mustStayApart("class=noisy", "class!=noisy"), ReasonNone},
+		{"may share", workerWith(quiet), newJob("j", small, noisy), mayShare("class=noisy", "class=quiet"), ReasonNone},
+		{"may not share", workerWith(quiet), newJob("j", small, noisy), mayShare("class=noisy", "class=noisy"), ReasonMayShare},
+		{"occupant may not share", workerWith(noisy), newJob("j", small, quiet), mayShare("class=noisy", "class=noisy"), ReasonMayShare},
+		{"may share on these hosts", withLabels(workerWith(quiet), shed), newJob("j", small, noisy), mayShare("class=noisy", "pool=shed"), ReasonNone},
+		{"not on other hosts", withLabels(workerWith(quiet), yard), newJob("j", small, noisy), mayShare("class=noisy", "pool=shed"), ReasonMayShare},
+		{"empty host", newWorker("w", size), newJob("j", small, noisy), mayShare("class=noisy", "class=noisy"), ReasonNone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,41 +134,41 @@
 
 // Guards against two tasks placed in one round that must stay apart or
 // together exceed the worker.
-func TestRoundSeesItsOwnPlacements(t *testing.T) {
+func TestRoundCountsItsOwnPlacements(t *testing.T) {
 	l := model.Labels{"class": "noisy"}
-	s := Snapshot{Workers: []Worker{host("a", res(16, 60)), host("b", res(16, 60))},
-		Jobs:      jobs(waiting("1", res(1, 1), l), waiting("2", res(1, 1), l), waiting("3", res(1, 1), l)),
-		Selectors: apart("class=noisy", "class=noisy")}
+	s := Snapshot{Workers: []Worker{newWorker("a", resources(16, 60)), newWorker("b", resources(16, 60))},
+		Jobs:      inSubmitOrder(newJob("1", resources(1, 1), l), newJob("2", resources(1, 1), l), newJob("3", resources(1, 1), l)),
+		Selectors: mustStayApart("class=noisy", "class=noisy")}
 	p := New(Options{}).Plan(s)
 	require.Len(t, p.Assignments, 2)
 	require.NotEqual(t, p.Assignments[0].Worker, p.Assignments[1].Worker)
 	require.Equal(t, ReasonMustStayApart, p.Unplaced[0].Reason)
 	require.Equal(t, "rule", p.Unplaced[0].Selector)
 	s.Selectors = nil
-	s.Jobs = jobs(waiting("1", res(9, 1), l), waiting("2", res(9, 1), l), waiting("3", res(9, 1), l))
+	s.Jobs = inSubmitOrder(newJob("1", resources(9, 1), l), newJob("2", resources(9, 1), l), newJob("3", resources(9, 1), l))
 	require.Len(t, New(Options{}).Plan(s).Assignments, 2)
 }
 
 // Guards against urgent work behind other work, a team that starves another,
 // and reordering within a team.
 func TestOrder(t *testing.T) {
-	mk := func(id string, team model.Team, urgent bool) Job {
-		j := waiting(id, res(1, 1), nil)
+	job := func(id string, team model.Team, urgent bool) Job {
+		j := newJob(id, resources(1, 1), nil)
 		j.Spec.Team, j.Spec.Urgent = team, urgent
 		return j
 	}
-	s := Snapshot{Workers: []Worker{host("a", res(4, 60))},
-		Jobs: jobs(mk("w1", "wick", false), mk("w2", "wick", false), mk("w3", "wick", false), mk("b1", "braid", false),
-			mk("u", "wick", true), mk("q", "small", false), mk("q2", "small", false)),
-		TeamUse: map[model.Team]model.Resources{"small": res(1, 1), "wick": res(1, 1)},
-		Quotas:  map[model.Team]model.Resources{"small": res(2, 2), "wick": res(8, 8), "braid": res(4, 4)}}
+	s := Snapshot{Workers: []Worker{newWorker("a", resources(4, 60))},
+		Jobs: inSubmitOrder(job("w1", "wick", false), job("w2", "wick", false), job("w3", "wick", false), job("b1", "braid", false),
+			job("u", "wick", true), job("q", "small", false), job("q2", "small", false)),
+		TeamUse: map[model.Team]model.Resources{"small": resources(1, 1), "wick": resources(1, 1)},
+		Quotas:  map[model.Team]model.Resources{"small": resources(2, 2), "wick": resources(8, 8), "braid": resources(4, 4)}}
 	p := New(Options{}).Plan(s)
 	var order []model.JobID
 	for _, a := range p.Assignments {
 		order = append(order, a.Job)
 	}
 	require.Equal(t, []model.JobID{"u", "b1", "w1", "w2"}, order)
-	s.Workers[0].Capacity = res(16, 60)
+	s.Workers[0].Capacity = resources(16, 60)
 	p = New(Options{MaxStarts: 6}).Plan(s)
 	require.Equal(t, ReasonQuota, reasons(p)["q2"])
 	require.Len(t, p.Assignments, 6)
@@ -176,13 +176,13 @@
 
 // Guards against an impossible job that waits silently or blocks others, and
 // against calling jobs impossible before any worker is known.
-func TestImpossibleIsNamedAtOnce(t *testing.T) {
-	full := host("a", res(16, 60), Task{Size: res(14, 50)})
-	full.Reserved, full.Charged = res(1, 1), full.Charged.Add(res(1, 1))
-	s := Snapshot{Workers: []Worker{full}, Jobs: jobs(waiting("huge", res(16, 1), nil), waiting("later", res(15, 1), nil), waiting("small", res(1, 1), nil))}
+func TestImpossibleJobsAreReportedInFirstRound(t *testing.T) {
+	full := newWorker("a", resources(16, 60), Task{Size: resources(14, 50)})
+	full.Reserved, full.Charged = resources(1, 1), full.Charged.Add(resources(1, 1))
+	s := Snapshot{Workers: []Worker{full}, Jobs: inSubmitOrder(newJob("huge", resources(16, 1), nil), newJob("later", resources(15, 1), nil), newJob("small", resources(1, 1), nil))}
 	p := New(Options{}).Plan(s)
 	require.Equal(t, map[model.JobID]Reason{"huge": ReasonImpossible, "later": ReasonResources}, reasons(p))
-	require.Equal(t, map[model.JobID]model.WorkerID{"small": "a"}, placed(p))
+	require.Equal(t, map[model.JobID]model.WorkerID{"small": "a"}, placements(p))
 	s.Workers = nil
 	require.Equal(t, ReasonWorkerState, New(Options{}).Plan(s).Unplaced[0].Reason)
 }
@@ -190,22 +190,22 @@
 // Guards against a stream of small jobs that starves a large one for ever.
 func TestLargeJobDoesNotStarve(t *testing.T) {
 	p := New(Options{ReserveAfter: 5})
-	big := waiting("big", res(16, 60), nil)
+	large := newJob("big", resources(16, 60), nil)
 	running := []Task{}
-	next, at := 0, 0
-	for ; at < 60; at++ {
-		list := []Job{big}
+	next, round := 0, 0
+	for ; round < 60; round++ {
+		list := []Job{large}
 		for range 4 {
-			list = append(list, waiting(fmt.Sprintf("small-%d", next), res(4, 4), nil))
+			list = append(list, newJob(fmt.Sprintf("small-%d", next), resources(4, 4), nil))
 			next++
 		}
-		w := host("a", res(16, 60), running...)
-		s := Snapshot{Workers: []Worker{w}, Jobs: jobs(list...)}
+		w := newWorker("a", resources(16, 60), running...)
+		s := Snapshot{Workers: []Worker{w}, Jobs: inSubmitOrder(list...)}
 		plan := p.Plan(s)
-		if placed(plan)["big"] == "a" {
+		if placements(plan)["big"] == "a" {
 			break
 		}
-		if at == 8 {
+		if round == 8 {
 			require.Equal(t, ReasonReserved, p.Explain(s, list[4].Spec.ID)[0].Reason)
 			require.Contains(t, plan.Unplaced[0].Text(), "worker a is kept free")
 		}
@@ -216,43 +216,43 @@
 			running = running[1:]
 		}
 	}
-	require.Less(t, at, 20)
+	require.Less(t, round, 20)
 }
 
 // Guards against room that victims free going to other work than the urgent
 // job they were evicted for.
-func TestClaimKeepsRoom(t *testing.T) {
-	urgent := waiting("u", res(8, 8), nil)
+func TestClaimReservesResources(t *testing.T) {
+	urgent := newJob("u", resources(8, 8), nil)
 	urgent.Spec.Urgent = true
-	w := host("a", res(16, 60), Task{Size: res(10, 1)})
-	s := Snapshot{Workers: []Worker{w}, Jobs: jobs(waiting("small", res(4, 4), nil), urgent),
-		Claims: []Claim{{Job: "u", Worker: "a", Size: res(6, 8)}}}
+	w := newWorker("a", resources(16, 60), Task{Size: resources(10, 1)})
+	s := Snapshot{Workers: []Worker{w}, Jobs: inSubmitOrder(newJob("small", resources(4, 4), nil), urgent),
+		Claims: []Claim{{Job: "u", Worker: "a", Size: resources(6, 8)}}}
 	require.Empty(t, New(Options{}).Plan(s).Assignments)
-	s.Workers = []Worker{host("a", res(16, 60))}
-	require.Equal(t, map[model.JobID]model.WorkerID{"small": "a", "u": "a"}, placed(New(Options{}).Plan(s)))
-	require.Equal(t, ReasonResources, Verify(w, Assignment{Worker: "a", Size: res(4, 4)}, &Rules{}, TeamBudget{}, res(6, 8)))
+	s.Workers = []Worker{newWorker("a", resources(16, 60))}
+	require.Equal(t, map[model.JobID]model.WorkerID{"small": "a", "u": "a"}, placements(New(Options{}).Plan(s)))
+	require.Equal(t, ReasonResources, Verify(w, Assignment{Worker: "a", Size: resources(4, 4)}, &Rules{}, TeamBudget{}, resources(6, 8)))
 }
 
 // Guards against evicting the wrong work, more than is needed, or for work
 // that is not more urgent.
 func TestVictims(t *testing.T) {
 	task := func(job, class string, cores int64, lost time.Duration) Task {
-		return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Labels: model.Labels{"class": class}, Size: res(cores, 1), LostWork: lost}
+		return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Labels: model.Labels{"class": class}, Size: resources(cores, 1), LostWork: lost}
 	}
 	urgentTask := task("urgent", "spool", 8, 0)
 	urgentTask.Urgent = true
 	s := Snapshot{Workers: []Worker{
-		host("a", res(16, 60), task("cheap", "dye", 8, time.Minute), task("spool", "spool", 4, time.Hour), task("spool2", "spool", 4, 2*time.Hour)),
-		host("b", res(16, 60), urgentTask, task("dye", "dye", 8, time.Second)),
+		newWorker("a", resources(16, 60), task("cheap", "dye", 8, time.Minute), task("spool", "spool", 4, time.Hour), task("spool2", "spool", 4, 2*time.Hour)),
+		newWorker("b", resources(16, 60), urgentTask, task("dye", "dye", 8, time.Second)),
 	}, Selectors: []NamedSelector{{"first", model.Selector{Kind: model.YieldsFirst, Subject: "class=spool"}}}}
-	job := waiting("u", res(4, 1), nil)
+	job := newJob("u", resources(4, 1), nil)
 	_, ok := Victims(s, job)
 	require.False(t, ok, "not urgent")
 	job.Spec.Urgent = true
 	choice, ok := Victims(s, job)
 	require.True(t, ok)
 	require.Equal(t, Preemption{"a", []model.AttemptID{{Job: "spool", Number: 1}}}, choice)
-	job.Size = res(8, 1)
+	job.Size = resources(8, 1)
 	choice, _ = Victims(s, job)
 	require.Equal(t, Preemption{"a", []model.AttemptID{{Job: "spool", Number: 1}, {Job: "spool2", Number: 1}}}, choice)
 	s.Selectors = nil
@@ -261,21 +261,21 @@
 	s.Workers[1].Tasks[1].Stopping = true
 	choice, _ = Victims(s, job)
 	require.Equal(t, Preemption{"b", []model.AttemptID{}}, choice, "a stopping task frees the room")
-	job.Size = res(17, 1)
+	job.Size = resources(17, 1)
 	_, ok = Victims(s, job)
 	require.False(t, ok)
 }
 
 // Guards against a planner that keeps placements which the caller did not
 // apply, or misses a change of a worker that has a new revision.
-func TestRevisions(t *testing.T) {
+func TestPlanFollowsWorkerRevisions(t *testing.T) {
 	p := New(Options{})
-	w := host("a", res(16, 60))
+	w := newWorker("a", resources(16, 60))
 	w.Revision = 1
-	s := Snapshot{Workers: []Worker{w}, Jobs: jobs(waiting("1", res(16, 1), nil))}
+	s := Snapshot{Workers: []Worker{w}, Jobs: inSubmitOrder(newJob("1", resources(16, 1), nil))}
 	require.Len(t, p.Plan(s).Assignments, 1)
 	require.Len(t, p.Plan(s).Assignments, 1, "the first was not applied")
-	w = host("a", res(16, 60), Task{Size: res(1, 1)})
+	w = newWorker("a", resources(16, 60), Task{Size: resources(1, 1)})
 	w.Revision = 2
 	s.Workers = []Worker{w}
 	require.Empty(t, p.Plan(s).Assignments)
@@ -286,9 +286,9 @@
 // Guards against a retry on the worker on which the job failed, and against a
 // job that waits for ever in a cell without another worker.
 func TestAvoid(t *testing.T) {
-	j := waiting("j", res(8, 8), nil)
+	j := newJob("j", resources(8, 8), nil)
 	j.Avoid = []model.WorkerID{"a"}
-	s := Snapshot{Workers: []Worker{host("a", res(16, 60)), host("b", res(16, 60), Task{Size: res(16, 60)})}, Jobs: []Job{j}}
+	s := Snapshot{Workers: []Worker{newWorker("a", resources(16, 60)), newWorker("b", resources(16, 60), Task{Size: resources(16, 60)})}, Jobs: []Job{j}}
 	p := New(Options{}).Plan(s)
 	require.Empty(t, p.Assignments)
 	require.Equal(t, map[Reason]int{ReasonAvoid: 1, ReasonResources: 1}, p.Unplaced[0].Workers)
@@ -302,15 +302,15 @@
 func TestSpread(t *testing.T) {
 	s := Snapshot{}
 	for i := range 6 {
-		w := host(fmt.Sprint(i), res(16, 60))
+		w := newWorker(fmt.Sprint(i), resources(16, 60))
 		w.Rack = model.Rack(fmt.Sprint(i / 2))
 		s.Workers = append(s.Workers, w)
 	}
 	for i := range 3 {
-		s.Jobs = append(s.Jobs, waiting(fmt.Sprint(i), res(1, 4), nil))
+		s.Jobs = append(s.Jobs, newJob(fmt.Sprint(i), resources(1, 4), nil))
 	}
 	racks := map[model.WorkerID]bool{}
-	for _, w := range placed(New(Options{}).Plan(s)) {
+	for _, w := range placements(New(Options{}).Plan(s)) {
 		racks[w[:1]] = true
 	}
 	require.Len(t, racks, 3)
--- a/internal/policy/place/preempt.go
+++ b/internal/policy/place/preempt.go
@@ -27,23 +27,23 @@
 		return Preemption{}, false
 	}
 	rules, _ := CompileRules(s.Selectors)
-	e := evictor{rules: rules, job: &job, profile: rules.profile(job.Labels), claimed: map[model.WorkerID]model.Resources{}}
+	selector := victimSelector{rules: rules, job: &job, profile: rules.newProfile(job.Labels), claimed: map[model.WorkerID]model.Resources{}}
 	for _, c := range s.Claims {
 		if c.Job != job.Spec.ID {
-			e.claimed[c.Worker] = e.claimed[c.Worker].Add(c.Size)
+			selector.claimed[c.Worker] = selector.claimed[c.Worker].Add(c.Size)
 		}
 	}
-	var least harm
+	var minCost evictionCost
 	for i := range s.Workers {
-		victims, h, fits := e.worker(&s.Workers[i])
-		if fits && (!ok || h.compare(least) < 0) {
-			choice, least, ok = Preemption{s.Workers[i].ID, attempts(victims)}, h, true
+		victims, cost, fits := selector.selectOn(&s.Workers[i])
+		if fits && (!ok || cost.compare(minCost) < 0) {
+			choice, minCost, ok = Preemption{s.Workers[i].ID, attemptIDs(victims)}, cost, true
 		}
 	}
 	return choice, ok
 }
 
-type evictor struct {
+type victimSelector struct {
 	rules   *Rules
 	job     *Job
 	profile profile
@@ -51,98 +51,98 @@
 }
 
 // harm rates a set of victims: the one that yields last decides.
-type harm struct {
-	rank  int // of the victim that yields last, -1 without victims
-	long  int // long-running victims
-	lost  int64
-	count int
+type evictionCost struct {
+	maxYieldRank int // of the victim that yields last, -1 without victims
+	longRunning  int // long-running victims
+	lostWork     int64
+	victims      int
 }
 
-func (h harm) compare(o harm) int {
-	return cmp.Or(cmp.Compare(h.rank, o.rank), cmp.Compare(h.long, o.long), cmp.Compare(h.lost, o.lost), cmp.Compare(h.count, o.count))
+func (h evictionCost) compare(o evictionCost) int {
+	return cmp.Or(cmp.Compare(h.maxYieldRank, o.maxYieldRank), cmp.Compare(h.longRunning, o.longRunning), cmp.Compare(h.lostWork, o.lostWork), cmp.Compare(h.victims, o.victims))
 }
 
-func (e *evictor) order(a, b Task) int {
-	long := func(t Task) int {
+func (e *victimSelector) compareVictims(a, b Task) int {
+	longRunning := func(t Task) int {
 		if t.LongRunning {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(e.rules.YieldRank(a.Labels), e.rules.YieldRank(b.Labels)), cmp.Compare(long(a), long(b)),
+	return cmp.Or(cmp.Compare(e.rules.YieldRank(a.Labels), e.rules.YieldRank(b.Labels)), cmp.Compare(longRunning(a), longRunning(b)),
 		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(b.Size.CPU, a.Size.CPU), cmp.Compare(a.Attempt.Job, b.Attempt.Job))
 }
 
 // worker returns the victims on one worker, none when they cannot make room.
-func (e *evictor) worker(w *Worker) ([]Task, harm, bool) {
+func (e *victimSelector) selectOn(w *Worker) ([]Task, evictionCost, bool) {
 	if w.State != WorkerReady {
-		return nil, harm{}, false
+		return nil, evictionCost{}, false
 	}
-	var may []Task
-	stays := *w
-	stays.Tasks = nil
+	var candidates []Task
+	remaining := *w
+	remaining.Tasks = nil
 	for _, t := range w.Tasks {
 		switch {
 		case t.Stopping:
-			stays.Charged = stays.Charged.Sub(t.Size)
+			remaining.Charged = remaining.Charged.Sub(t.Size)
 		case t.Urgent:
-			stays.Tasks = append(stays.Tasks, t)
+			remaining.Tasks = append(remaining.Tasks, t)
 		default:
-			may = append(may, t)
+			candidates = append(candidates, t)
 		}
 	}
-	slices.SortStableFunc(may, e.order)
+	slices.SortStableFunc(candidates, e.compareVictims)
 	n := 0
-	for ; !e.fits(&stays, may, n); n++ {
-		if n == len(may) {
-			return nil, harm{}, false
+	for ; !e.fitsWithout(&remaining, candidates, n); n++ {
+		if n == len(candidates) {
+			return nil, evictionCost{}, false
 		}
 	}
-	return e.spare(&stays, may, n)
+	return e.dropUnneeded(&remaining, candidates, n)
 }
 
 // spare drops the victims that are not needed: a later victim can make an
 // earlier one unnecessary. It spares the dearest first.
-func (e *evictor) spare(stays *Worker, may []Task, n int) ([]Task, harm, bool) {
-	victims, kept := may[:n:n], slices.Clone(may[n:])
+func (e *victimSelector) dropUnneeded(remaining *Worker, candidates []Task, n int) ([]Task, evictionCost, bool) {
+	victims, kept := candidates[:n:n], slices.Clone(candidates[n:])
 	for i := len(victims) - 1; i >= 0; i-- {
 		rest := slices.Delete(slices.Clone(victims), i, i+1)
-		if e.fits(stays, append(slices.Clone(rest), append(kept, victims[i])...), len(rest)) {
+		if e.fitsWithout(remaining, append(slices.Clone(rest), append(kept, victims[i])...), len(rest)) {
 			kept, victims = append(kept, victims[i]), rest
 		}
 	}
-	return victims, e.harm(victims), true
+	return victims, e.cost(victims), true
 }
 
 // fits reports whether the job fits when the first n of the tasks are gone.
-func (e *evictor) fits(w *Worker, tasks []Task, n int) bool {
-	left := *w
+func (e *victimSelector) fitsWithout(w *Worker, tasks []Task, n int) bool {
+	remaining := *w
 	for _, t := range tasks[:n] {
-		left.Charged = left.Charged.Sub(t.Size)
+		remaining.Charged = remaining.Charged.Sub(t.Size)
 	}
-	if !e.job.Size.Fits(w.Capacity.Sub(left.Charged).Sub(e.claimed[w.ID])) {
+	if !e.job.Size.Fits(w.Capacity.Sub(remaining.Charged).Sub(e.claimed[w.ID])) {
 		return false
 	}
-	left.Tasks = append(slices.Clone(w.Tasks), tasks[n:]...)
-	v := newView(&left, e.rules)
+	remaining.Tasks = append(slices.Clone(w.Tasks), tasks[n:]...)
+	v := newView(&remaining, e.rules)
 	v.claimed = e.claimed[w.ID]
 	reason, _ := v.check(e.rules, &e.profile, e.job.Size, v.available())
 	return reason == ReasonNone
 }
 
-func (e *evictor) harm(victims []Task) harm {
-	h := harm{rank: -1, count: len(victims)}
+func (e *victimSelector) cost(victims []Task) evictionCost {
+	cost := evictionCost{maxYieldRank: -1, victims: len(victims)}
 	for _, t := range victims {
-		h.rank = max(h.rank, e.rules.YieldRank(t.Labels))
-		h.lost += int64(t.LostWork)
+		cost.maxYieldRank = max(cost.maxYieldRank, e.rules.YieldRank(t.Labels))
+		cost.lostWork += int64(t.LostWork)
 		if t.LongRunning {
-			h.long++
+			cost.longRunning++
 		}
 	}
-	return h
+	return cost
 }
 
-func attempts(tasks []Task) []model.AttemptID {
+func attemptIDs(tasks []Task) []model.AttemptID {
 	ids := make([]model.AttemptID, len(tasks))
 	for i, t := range tasks {
 		ids[i] = t.Attempt
--- a/internal/policy/place/rules.go
+++ b/internal/policy/place/rules.go
@@ -11,12 +11,12 @@
 
 // Rules are the compiled selectors of a configuration. They are immutable.
 type Rules struct {
-	source []NamedSelector
-	list   []rule
-	share  ruleSet // the rules of kind may-share
-	apart  ruleSet // the rules of kind must-stay-apart
-	yields []labels.Selector
-	found  finding.List
+	source      []NamedSelector
+	list        []rule
+	share       ruleSet // the rules of kind may-share
+	apart       ruleSet // the rules of kind must-stay-apart
+	yieldsFirst []labels.Selector
+	findings    finding.List
 }
 
 type rule struct {
@@ -25,7 +25,7 @@
 	subject, object labels.Selector
 	// hosts: the object may also select hosts. A selector that requires no
 	// label would match every host, so it selects work only.
-	hosts bool
+	matchesHosts bool
 }
 
 // CompileRules parses selectors. A selector that does not parse is left out
@@ -35,14 +35,14 @@
 	for _, s := range selectors {
 		if defects := labels.ValidateSelector(s.Selector); len(defects) > 0 {
 			for _, d := range defects {
-				r.found.Add("selector/"+s.Name, 0, d.Element, "%s", d.Text)
+				r.findings.Add("selector/"+s.Name, 0, d.Element, "%s", d.Text)
 			}
 			continue
 		}
 		subject, _ := labels.Parse(s.Subject)
 		object, _ := labels.Parse(s.Object)
 		if s.Kind == model.YieldsFirst {
-			r.yields = append(r.yields, subject)
+			r.yieldsFirst = append(r.yieldsFirst, subject)
 			continue
 		}
 		r.list = append(r.list, rule{s.Name, s.Kind, subject, object, object.RequiresLabel()})
@@ -55,11 +55,11 @@
 			r.apart.add(i)
 		}
 	}
-	return r, r.found
+	return r, r.findings
 }
 
 // same reports whether the rules were compiled from equal selectors.
-func (r *Rules) same(selectors []NamedSelector) bool {
+func (r *Rules) compiledFrom(selectors []NamedSelector) bool {
 	if r == nil || len(r.source) != len(selectors) {
 		return false
 	}
@@ -74,12 +74,12 @@
 // YieldRank is the index of the first yields-first selector that matches, or
 // their number: lower yields earlier.
 func (r *Rules) YieldRank(l model.Labels) int {
-	for i, s := range r.yields {
+	for i, s := range r.yieldsFirst {
 		if s.Matches(l) {
 			return i
 		}
 	}
-	return len(r.yields)
+	return len(r.yieldsFirst)
 }
 
 // profile is what the rules say of one piece of work.
@@ -87,14 +87,14 @@
 	subject, object ruleSet // rules whose subject or object selects the work
 }
 
-func (r *Rules) profile(l model.Labels) profile {
+func (r *Rules) newProfile(l model.Labels) profile {
 	p := profile{newRuleSet(len(r.list)), newRuleSet(len(r.list))}
-	r.fill(&p, l)
+	r.fillProfile(&p, l)
 	return p
 }
 
 // fill overwrites a profile of the same rules.
-func (r *Rules) fill(p *profile, l model.Labels) {
+func (r *Rules) fillProfile(p *profile, l model.Labels) {
 	clear(p.subject)
 	clear(p.object)
 	for i := range r.list {
@@ -108,10 +108,10 @@
 }
 
 // host returns the rules whose object selects a host with these labels.
-func (r *Rules) host(l model.Labels) ruleSet {
+func (r *Rules) hostRules(l model.Labels) ruleSet {
 	set := newRuleSet(len(r.list))
 	for i := range r.list {
-		if r.list[i].hosts && r.list[i].object.Matches(l) {
+		if r.list[i].matchesHosts && r.list[i].object.Matches(l) {
 			set.add(i)
 		}
 	}
@@ -124,7 +124,7 @@
 	anySubject, anyObject, allObject ruleSet
 }
 
-func (r *Rules) occupancy(host ruleSet) occupancy {
+func (r *Rules) newOccupancy(host ruleSet) occupancy {
 	o := occupancy{host, newRuleSet(len(r.list)), newRuleSet(len(r.list)), newRuleSet(len(r.list))}
 	for i := range o.allObject {
 		o.allObject[i] = ^uint64(0)
--- a/internal/policy/place/score.go
+++ b/internal/policy/place/score.go
@@ -17,15 +17,15 @@
 // dimensions, with a preference for a balanced remainder and for domains that
 // hold few tasks of the job's class.
 func (v *view) cost(d *domains, class int, size model.Resources) float64 {
-	left := v.available().Sub(size)
-	cpu := part(int64(left.CPU), int64(v.capacity.CPU))
-	memory := part(int64(left.Memory), int64(v.capacity.Memory))
-	c := (cpu+memory)/2 + balanceWeight*max(cpu-memory, memory-cpu)
-	c += acceleratorWeight * part(left.Accelerators, v.capacity.Accelerators)
-	return c + rackWeight*d.share(class, v.rack) + centreWeight*d.share(class, v.dc)
+	remaining := v.available().Sub(size)
+	cpu := fraction(int64(remaining.CPU), int64(v.capacity.CPU))
+	memory := fraction(int64(remaining.Memory), int64(v.capacity.Memory))
+	cost := (cpu+memory)/2 + balanceWeight*max(cpu-memory, memory-cpu)
+	cost += acceleratorWeight * fraction(remaining.Accelerators, v.capacity.Accelerators)
+	return cost + rackWeight*d.share(class, v.rack) + centreWeight*d.share(class, v.dataCentre)
 }
 
-func part(n, of int64) float64 {
+func fraction(n, of int64) float64 {
 	if of <= 0 {
 		return 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // dominant is the largest part of a whole that an amount takes.
-func dominant(amount, of model.Resources) float64 {
-	return max(part(int64(amount.CPU), int64(of.CPU)), part(int64(amount.Memory), int64(of.Memory)),
-		part(amount.Accelerators, of.Accelerators))
+func dominantShare(amount, of model.Resources) float64 {
+	return max(fraction(int64(amount.CPU), int64(of.CPU)), fraction(int64(amount.Memory), int64(of.Memory)),
+		fraction(amount.Accelerators, of.Accelerators))
 }
--- a/internal/policy/place/verify.go
+++ b/internal/policy/place/verify.go
@@ -26,7 +26,7 @@
 	}
 	v := newView(&w, rules)
 	v.claimed = claimed
-	p := rules.profile(a.Labels)
+	p := rules.newProfile(a.Labels)
 	reason, _ := v.check(rules, &p, a.Size, v.available())
 	return reason
 }
@@ -48,7 +48,7 @@
 		return nil
 	}
 	rules, _ := CompileRules(s.Selectors)
-	profile := rules.profile(j.Labels)
+	profile := rules.newProfile(j.Labels)
 	quota, limited := s.Quotas[j.Spec.Team]
 	team := budget{s.TeamUse[j.Spec.Team], quota, limited}
 	out := make([]Explanation, 0, len(s.Workers))
@@ -67,17 +67,17 @@
 	}
 	r := Explanation{Worker: w.ID}
 	reason, rule := v.check(rules, profile, j.Size, v.available())
-	holder, kept := p.keptFor(w.ID)
+	holder, reserved := p.reservedFor(w.ID)
 	switch {
-	case !j.Size.Fits(v.empty):
+	case !j.Size.Fits(v.emptyCapacity):
 		r.Reason = ReasonImpossible
-		r.Text = fmt.Sprintf("needs %s, the empty worker has %s", amounts(j.Size), amounts(v.empty))
+		r.Text = fmt.Sprintf("needs %s, the empty worker has %s", amounts(j.Size), amounts(v.emptyCapacity))
 	case !team.allows(j.Size):
 		r.Reason = ReasonQuota
-		r.Text = fmt.Sprintf("team %s uses %s of %s; the job needs %s", j.Spec.Team, amounts(team.use), amounts(team.quota), amounts(j.Size))
+		r.Text = fmt.Sprintf("team %s uses %s of %s; the job needs %s", j.Spec.Team, amounts(team.usage), amounts(team.quota), amounts(j.Size))
 	case reason == ReasonNone && slices.Contains(j.Avoid, w.ID):
 		r.Reason, r.Text = ReasonAvoid, "the job failed on the worker"
-	case reason == ReasonNone && kept && holder != j.Spec.ID && !j.Spec.Urgent:
+	case reason == ReasonNone && reserved && holder != j.Spec.ID && !j.Spec.Urgent:
 		r.Reason = ReasonReserved
 		r.Text = fmt.Sprintf("the worker is kept free for job %s, which has waited %d rounds", holder, p.waits[holder].rounds)
 	default:
@@ -90,9 +90,9 @@
 	return r
 }
 
-func (p *Planner) keptFor(w model.WorkerID) (model.JobID, bool) {
+func (p *Planner) reservedFor(w model.WorkerID) (model.JobID, bool) {
 	for id, wait := range p.waits {
-		if wait.kept == w {
+		if wait.worker == w {
 			return id, true
 		}
 	}
--- a/internal/policy/place/view.go
+++ b/internal/policy/place/view.go
@@ -6,22 +6,22 @@
 
 // view is what the planner derives from one worker.
 type view struct {
-	id       model.WorkerID
-	revision uint64
-	seen     uint64 // round in which the worker was last in the snapshot
-	capacity model.Resources
-	empty    model.Resources // capacity without the backend server's reservation
-	free     model.Resources
-	claimed  model.Resources // part of free that claims keep
-	state    WorkerState
-	tasks    int
-	unproven int
-	proving  int       // bound of unproven, 0 for none
-	services occupancy // of the services, which stay
-	work     occupancy // of the services and tasks
-	rack, dc int       // indexes of the domains in planner.domains
-	classes  []int
-	kept     bool // for a job that waited too long
+	id               model.WorkerID
+	revision         uint64
+	lastRound        uint64 // round in which the worker was last in the snapshot
+	capacity         model.Resources
+	emptyCapacity    model.Resources // capacity without the backend server's reservation
+	free             model.Resources
+	claimed          model.Resources // part of free that claims keep
+	state            WorkerState
+	tasks            int
+	unproven         int
+	maxUnproven      int       // bound of unproven, 0 for none
+	services         occupancy // of the services, which stay
+	work             occupancy // of the services and tasks
+	rack, dataCentre int       // indexes of the domains in planner.domains
+	classes          []int
+	reserved         bool // for a job that waited too long
 }
 
 // available is the room for a job without a claim.
@@ -35,19 +35,19 @@
 // newView derives everything but the domains and classes.
 func newView(w *Worker, r *Rules) *view {
 	v := &view{
-		id: w.ID, revision: w.Revision, capacity: w.Capacity, empty: w.Capacity.Sub(w.Reserved),
+		id: w.ID, revision: w.Revision, capacity: w.Capacity, emptyCapacity: w.Capacity.Sub(w.Reserved),
 		free: w.Capacity.Sub(w.Charged), state: w.State, tasks: len(w.Tasks),
-		unproven: w.Unproven, proving: w.MaxUnproven,
-		services: r.occupancy(r.host(w.Labels)),
+		unproven: w.Unproven, maxUnproven: w.MaxUnproven,
+		services: r.newOccupancy(r.hostRules(w.Labels)),
 	}
-	p := r.profile(nil)
+	p := r.newProfile(nil)
 	for i := range w.Services {
-		r.fill(&p, w.Services[i])
+		r.fillProfile(&p, w.Services[i])
 		v.services.add(p)
 	}
 	v.work = v.services.clone()
 	for i := range w.Tasks {
-		r.fill(&p, w.Tasks[i].Labels)
+		r.fillProfile(&p, w.Tasks[i].Labels)
 		v.work.add(p)
 	}
 	return v
@@ -55,14 +55,14 @@
 
 // check is the filter that Plan, Verify and Explain share. room is what the
 // job may use. The second result is the index of the rule, or -1.
-func (v *view) check(r *Rules, p *profile, size, room model.Resources) (Reason, int) {
+func (v *view) check(r *Rules, p *profile, size, available model.Resources) (Reason, int) {
 	if !v.accepts() {
 		return ReasonWorkerState, -1
 	}
-	if !size.Fits(room) {
+	if !size.Fits(available) {
 		return ReasonResources, -1
 	}
-	if v.proving > 0 && v.unproven >= v.proving {
+	if v.maxUnproven > 0 && v.unproven >= v.maxUnproven {
 		return ReasonUnproven, -1
 	}
 	return r.conflict(&v.work, p)
@@ -115,7 +115,7 @@
 		row = append(row, 0)
 	}
 	row[v.rack] += n
-	row[v.dc] += n
+	row[v.dataCentre] += n
 	d.counts[class] = row
 	d.totals[class] += n
 }
