--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -14,64 +14,64 @@
 )
 
 // cell drives a tracker with starts that respect its decisions.
-type cell struct {
-	t        *Tracker
-	rng      *rand.Rand
-	now      time.Duration
-	bad      map[model.WorkerID]bool
-	running  []run
-	load     map[model.WorkerID]int // running tasks
-	wasted   map[model.WorkerID]int
-	goodHeld map[model.WorkerID]bool
-	failures map[model.JobID]int // on good workers
-	parked   map[model.JobID]string
-	ready    map[model.WorkerID]int // times it came back from probation
+type testCell struct {
+	t               *Tracker
+	rng             *rand.Rand
+	now             time.Duration
+	badWorkers      map[model.WorkerID]bool
+	running         []attempt
+	tasks           map[model.WorkerID]int // running tasks
+	wasted          map[model.WorkerID]int
+	goodQuarantined map[model.WorkerID]bool
+	failures        map[model.JobID]int // on good workers
+	parked          map[model.JobID]string
+	returned        map[model.WorkerID]int // times it came back from probation
 }
 
-type run struct {
+type attempt struct {
 	job    model.JobID
 	worker model.WorkerID
-	ends   time.Duration
+	endsAt time.Duration
 	wasted bool // the worker was bad when it started
 }
 
-const slots = 8 // tasks at once on a worker of the simulated cell
+const slotsPerWorker = 8 // tasks at once on a worker of the simulated cell
 
-func newCell(seed uint64, workers int) *cell {
-	c := &cell{t: New(), rng: rand.New(rand.NewPCG(seed, 1)), bad: map[model.WorkerID]bool{}, load: map[model.WorkerID]int{}, wasted: map[model.WorkerID]int{},
-		goodHeld: map[model.WorkerID]bool{}, failures: map[model.JobID]int{}, parked: map[model.JobID]string{}, ready: map[model.WorkerID]int{}}
+func newCell(seed uint64, workers int) *testCell {
+	c := &testCell{t: New(), rng: rand.New(rand.NewPCG(seed, 1)), badWorkers: map[model.WorkerID]bool{}, tasks: map[model.WorkerID]int{}, wasted: map[model.WorkerID]int{},
+		goodQuarantined: map[model.WorkerID]bool{}, failures: map[model.JobID]int{}, parked: map[model.JobID]string{}, returned: map[model.WorkerID]int{}}
 	for i := range workers {
-		c.t.Add(0, worker11(i))
+		c.t.Add(0, workerID(i))
 	}
 	return c
 }
 
-func worker11(i int) model.WorkerID {
+func workerID(i int) model.WorkerID {
 	return model.WorkerID([]byte{'w', byte('0' + i/10), byte('0' + i%10)})
 }
 
-func (c *cell) note(changes []Change) {
+func (c *testCell) record(changes []Change) {
 	for _, ch := range changes {
 		switch {
 		case ch.ParkedJob != "":
 			c.parked[ch.ParkedJob] = ch.Reason
-		case ch.State == place.WorkerQuarantined && !c.bad[ch.Worker]:
-			c.goodHeld[ch.Worker] = true
+		case ch.State == place.WorkerQuarantined && !c.badWorkers[ch.Worker]:
+			c.goodQuarantined[ch.Worker] = true
 		case ch.State == place.WorkerReady:
-			c.ready[ch.Worker]++
+			c.returned[ch.Worker]++
 		}
 	}
 }
 
 // start places a job as the planner would: on a worker that may take it.
-func (c *cell) start(job model.JobID, workers int) bool {
-	if len(c.running) == slots*workers {
+func (c *testCell) start(job model.JobID, workers int) bool {
+	if len(c.running) == slotsPerWorker*workers {
 		return false
 	}
 	for _, i := range c.rng.Perm(workers) {
-		w := worker11(i)
-		state, load := c.t.State(w), c.load[w]
-		if load >= slots {
+		w := workerID(i)
+		state, load := c.t.State(w), c.tasks[w]
+		if load >= slotsPerWorker {
 			continue
 		}
 		unproven, limit := c.t.UnprovenAttempts(c.now, w)
@@ -81,26 +81,26 @@
 		}
 		c.t.Started(c.now, w, model.AttemptID{Job: job, Number: 1})
 		ends := c.now + time.Duration(5+c.rng.IntN(120))*time.Second
-		if c.bad[w] {
+		if c.badWorkers[w] {
 			ends = c.now + time.Second
 		}
-		c.running = append(c.running, run{job, w, ends, c.bad[w]})
-		c.load[w]++
+		c.running = append(c.running, attempt{job, w, ends, c.badWorkers[w]})
+		c.tasks[w]++
 		return true
 	}
 	return false
 }
 
 // finish ends the attempts that are due and returns the jobs to try again.
-func (c *cell) finish(broken map[model.JobID]bool) []model.JobID {
-	var again []model.JobID
-	left := c.running[:0:0]
+func (c *testCell) endDue(broken map[model.JobID]bool) []model.JobID {
+	var retry []model.JobID
+	remaining := c.running[:0:0]
 	for _, r := range c.running {
 		id := model.AttemptID{Job: r.job, Number: 1}
 		class := model.Class(r.job[:1])
 		switch {
-		case r.ends > c.now:
-			left = append(left, r)
+		case r.endsAt > c.now:
+			remaining = append(remaining, r)
 			continue
 		case r.wasted || broken[r.job]:
 			if r.wasted {
@@ -108,28 +108,28 @@
 			} else {
 				c.failures[r.job]++
 			}
-			c.note(c.t.Failed(c.now, r.worker, id, class))
+			c.record(c.t.Failed(c.now, r.worker, id, class))
 			if c.parked[r.job] == "" {
-				again = append(again, r.job)
+				retry = append(retry, r.job)
 			}
 		default:
-			c.note(c.t.Succeeded(c.now, r.worker, id, class))
+			c.record(c.t.Succeeded(c.now, r.worker, id, class))
 		}
-		c.load[r.worker]--
+		c.tasks[r.worker]--
 	}
-	c.running = left
-	return again
+	c.running = remaining
+	return retry
 }
 
 // drive runs the cell for a time with a queue that is never empty.
-func (c *cell) drive(until time.Duration, workers int, broken map[model.JobID]bool) {
+func (c *testCell) drive(until time.Duration, workers int, broken map[model.JobID]bool) {
 	var queue []model.JobID
 	for job := 0; c.now < until; c.now += time.Second {
-		queue = append(c.finish(broken), queue...)
+		queue = append(c.endDue(broken), queue...)
 		for ; len(queue) < 40; job++ {
 			queue = append(queue, model.JobID(fmt.Sprintf("%c-%d", 'a'+job%5, job)))
 		}
-		c.note(c.t.Tick(c.now))
+		c.record(c.t.Tick(c.now))
 		queue = slices.DeleteFunc(queue, func(job model.JobID) bool { return c.start(job, workers) })
 	}
 }
@@ -137,46 +137,46 @@
 // Guards against a bad worker that keeps wasting attempts, and against one
 // that never comes back after a repair. Bound: 5 attempts (design 5.5), and
 // one for each probation.
-func TestBadWorkerIsOutAfterFiveAttempts(t *testing.T) {
+func TestBadWorkerWastesAtMostFiveAttempts(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCell(seed, 11)
-		c.bad["w03"] = true
+		c.badWorkers["w03"] = true
 		c.drive(5*time.Minute, 11, nil)
-		c.bad["w07"] = true // after it was trusted; its running tasks end well
-		c.drive(quarantine-time.Minute, 11, nil)
+		c.badWorkers["w07"] = true // after it was trusted; its running tasks end well
+		c.drive(quarantineTime-time.Minute, 11, nil)
 		require.LessOrEqual(t, c.wasted["w03"], 5, "seed %d", seed)
 		require.LessOrEqual(t, c.wasted["w07"], 5, "seed %d", seed)
 		require.Equal(t, place.WorkerQuarantined, c.t.State("w03"), "seed %d", seed)
-		require.Empty(t, c.goodHeld, "seed %d", seed)
-		c.drive(2*quarantine+time.Minute, 11, nil)
+		require.Empty(t, c.goodQuarantined, "seed %d", seed)
+		c.drive(2*quarantineTime+time.Minute, 11, nil)
 		require.LessOrEqual(t, c.wasted["w03"], 5+2, "seed %d: one attempt for each probation", seed)
-		c.bad["w03"] = false
-		c.drive(4*quarantine, 11, nil)
+		c.badWorkers["w03"] = false
+		c.drive(4*quarantineTime, 11, nil)
 		require.Equal(t, place.WorkerReady, c.t.State("w03"), "seed %d", seed)
-		require.Empty(t, c.goodHeld, "seed %d", seed)
+		require.Empty(t, c.goodQuarantined, "seed %d", seed)
 	}
 }
 
 // Guards against jobs that fail everywhere taking good workers out, and
 // against attempts wasted on them. Bound: 3 good workers (design 5.5).
-func TestBrokenJobsAreParkedAndWorkersStay(t *testing.T) {
+func TestBrokenJobsAreParkedAndWorkersStayReady(t *testing.T) {
 	const few, many = 13, 3 // every 13th or 3rd of the first 40 jobs is broken
 	for seed := range uint64(10) {
-		brokenJobs(t, seed, few, 3)
+		checkBrokenJobs(t, seed, few, 3)
 		// Of many at once, 4 may fail in a row on one worker and hold it for a
 		// time; a held worker does not count as a good one.
-		brokenJobs(t, seed, many, 3+1)
+		checkBrokenJobs(t, seed, many, 3+1)
 	}
 }
 
-func brokenJobs(t *testing.T, seed uint64, every, limit int) {
+func checkBrokenJobs(t *testing.T, seed uint64, every, limit int) {
 	c := newCell(seed, 11)
 	c.drive(3*time.Minute, 11, nil)
 	broken := map[model.JobID]bool{}
 	for i := 0; i < 40; i += every {
 		broken[model.JobID(fmt.Sprintf("%c-%d", 'a'+i%5, i))] = true
 	}
-	c.bad["w05"] = true
+	c.badWorkers["w05"] = true
 	c.drive(12*time.Minute, 11, broken)
 	for job := range broken {
 		require.Contains(t, c.parked[job], " good workers", "seed %d, job %s", seed, job)
@@ -184,29 +184,29 @@
 	}
 	require.Len(t, c.parked, len(broken))
 	for i := range 11 {
-		if w := worker11(i); !c.bad[w] {
+		if w := workerID(i); !c.badWorkers[w] {
 			require.Equal(t, place.WorkerReady, c.t.State(w), "seed %d, %s", seed, w)
 		}
 	}
 }
 
 // Guards against a class whose release is broken emptying the cell.
-func TestBrokenClassDoesNotEmptyTheCell(t *testing.T) {
+func TestBrokenClassDoesNotQuarantineWorkers(t *testing.T) {
 	c := New()
 	for i := range 11 {
-		c.Add(0, worker11(i))
+		c.Add(0, workerID(i))
 	}
 	for job := range 60 {
-		c.Failed(time.Duration(job)*time.Second, worker11(job/5%11), model.AttemptID{Job: model.JobID(fmt.Sprint(job)), Number: 1}, "release")
+		c.Failed(time.Duration(job)*time.Second, workerID(job/5%11), model.AttemptID{Job: model.JobID(fmt.Sprint(job)), Number: 1}, "release")
 	}
 	for i := range 11 {
-		require.Equal(t, place.WorkerReady, c.State(worker11(i)))
+		require.Equal(t, place.WorkerReady, c.State(workerID(i)))
 	}
 }
 
 // Guards against a drain, a lost link or a removal that ends a quarantine or
 // gives tasks to a worker that may not have them.
-func TestLifecycle(t *testing.T) {
+func TestWorkerStateTransitions(t *testing.T) {
 	c := New()
 	for _, id := range []model.WorkerID{"w", "x", "y", "z"} {
 		c.Add(0, id)
@@ -235,8 +235,8 @@
 	c.SetDraining(at, "w", true)
 	c.SetDraining(at, "w", false)
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
-	require.Equal(t, place.WorkerProbation, c.Tick(at + quarantine)[0].State)
-	fail(at+quarantine, "e")
+	require.Equal(t, place.WorkerProbation, c.Tick(at + quarantineTime)[0].State)
+	fail(at+quarantineTime, "e")
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
 	require.True(t, c.Remove(at, "w")[0].Removed)
 	require.Equal(t, place.WorkerDown, c.State("w"))
--- a/internal/policy/health/worker.go
+++ b/internal/policy/health/worker.go
@@ -42,21 +42,21 @@
 	leaseExpiry = 33 * time.Second
 	// quarantine bounds the waste of a worker that stays bad to one attempt
 	// in this time.
-	quarantine = 10 * time.Minute
+	quarantineTime = 10 * time.Minute
 	// quarantineJobs is how many different jobs must fail on a worker without
 	// a success in between. It leaves one of the 5 attempts that a bad worker
 	// may waste for one in flight. With 3, several broken jobs that were
 	// submitted together took good workers out.
 	quarantineJobs = 4
 	// probationTasks is how many successes end a probation.
-	probationTasks = 2
+	probationSuccesses = 2
 	// wastedLimit is the target for attempts that a bad worker may waste.
-	wastedLimit = 5
+	maxWastedAttempts = 5
 	// firstStarts is how many unproven attempts a worker without a success may
 	// have at once: all may fail, and one more may be on its way.
-	firstStarts = wastedLimit - 1
+	initialMaxUnproven = maxWastedAttempts - 1
 	// settleAfter is how long an attempt must run to count as proven.
-	settleAfter = 10 * time.Second
+	provenAfter = 10 * time.Second
 )
 
 // failure is one failed attempt on a worker.
@@ -68,18 +68,18 @@
 
 // worker is the machine's view of one worker.
 type worker struct {
-	id        model.WorkerID
-	tracker   *Tracker
-	state     chart.State
-	entered   time.Duration
-	failures  []failure // since the last success
-	successes int       // since the last failure
-	succeeded time.Duration
-	lastJob   model.JobID // of the last success
-	everDone  bool
-	starts    map[model.AttemptID]time.Duration
-	inHold    bool // quarantined or in probation, also while the link is lost
-	drain     bool
+	id             model.WorkerID
+	tracker        *Tracker
+	state          chart.State
+	enteredAt      time.Duration
+	failures       []failure // since the last success
+	successes      int       // since the last failure
+	lastSuccess    time.Duration
+	lastSuccessJob model.JobID // of the last success
+	hasSucceeded   bool
+	startedAt      map[model.AttemptID]time.Duration
+	restricted     bool // quarantined or in probation, also while the link is lost
+	drainRequested bool
 }
 
 var workerChart = chart.MustCompile(charts.Files, WorkerBinding())
@@ -92,45 +92,45 @@
 		States: stateNames(),
 		Events: []string{"taskFailed", "taskDone", "linkLost", "linkBack", "expire", "probe", "clear", "drain", "undrain", "remove"},
 		Guards: map[string]func(*worker) bool{
-			"failsEverything": func(w *worker) bool { return w.failsEverything() && w.tracker.mayHold() },
-			"blamed":          func(w *worker) bool { return w.blamed() > 0 },
-			"proven":          func(w *worker) bool { return w.successes >= probationTasks },
-			"held":            func(w *worker) bool { return w.inHold },
-			"drainAsked":      func(w *worker) bool { return w.drain },
+			"failsEverything": func(w *worker) bool { return w.tooManyFailures() && w.tracker.mayRestrict() },
+			"blamed":          func(w *worker) bool { return w.attributedFailures() > 0 },
+			"proven":          func(w *worker) bool { return w.successes >= probationSuccesses },
+			"held":            func(w *worker) bool { return w.restricted },
+			"drainAsked":      func(w *worker) bool { return w.drainRequested },
 		},
 		Actions: map[string]func(*worker){
-			"hold":     func(w *worker) { w.inHold = true },
-			"release":  func(w *worker) { w.inHold = false; w.failures = nil },
-			"askDrain": func(w *worker) { w.drain = true },
-			"endDrain": func(w *worker) { w.drain = false },
+			"hold":     func(w *worker) { w.restricted = true },
+			"release":  func(w *worker) { w.restricted = false; w.failures = nil },
+			"askDrain": func(w *worker) { w.drainRequested = true },
+			"endDrain": func(w *worker) { w.drainRequested = false },
 		},
-		Delays: map[string]time.Duration{"leaseExpiry": leaseExpiry, "quarantine": quarantine},
+		Delays: map[string]time.Duration{"leaseExpiry": leaseExpiry, "quarantine": quarantineTime},
 	}
 }
 
 // blamed counts the different jobs whose failure speaks against the worker:
 // not those that, or whose whole class, also fail on other workers.
-func (w *worker) blamed() int {
+func (w *worker) attributedFailures() int {
 	n := 0
 	for i, f := range w.failures {
 		first := true
 		for _, earlier := range w.failures[:i] {
 			first = first && earlier.job != f.job
 		}
-		if first && !w.tracker.suspectJob(w.tracker.now, f.job, w.id) && !w.tracker.suspectClass(f.class) {
+		if first && !w.tracker.failsElsewhere(w.tracker.now, f.job, w.id) && !w.tracker.classFailsElsewhere(f.class) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *worker) failsEverything() bool { return w.blamed() >= quarantineJobs }
+func (w *worker) tooManyFailures() bool { return w.attributedFailures() >= quarantineJobs }
 
 // unproven counts the attempts that neither ended nor ran long enough.
 func (w *worker) unproven(now time.Duration) int {
 	n := 0
-	for _, at := range w.starts {
-		if now-at < settleAfter {
+	for _, at := range w.startedAt {
+		if now-at < provenAfter {
 			n++
 		}
 	}
@@ -144,8 +144,8 @@
 	switch {
 	case len(w.failures) > 0:
 		return max(1, quarantineJobs-len(w.failures))
-	case w.successes >= firstStarts:
+	case w.successes >= initialMaxUnproven:
 		return 0
 	}
-	return firstStarts + w.successes
+	return initialMaxUnproven + w.successes
 }
--- a/internal/policy/interfere/control.go
+++ b/internal/policy/interfere/controller.go
@@ -60,39 +60,39 @@
 	defaultRelaxAfter = time.Second
 	// missedWindows is the part of a service class's windows that may miss the
 	// target; with three classes a host stays below 1%.
-	missedWindows  = 0.005
+	maxMissedShare = 0.005
 	confidenceGain = 0.2
-	leastBound     = 1
-	mostBound      = 4
+	minConfidence  = 1
+	maxConfidence  = 4
 	// defaultStopAfter covers two reports that lag by 10 s each.
 	defaultStopAfter = 30 * time.Second
-	leastPercent     = 5
-	percentStep      = 5
+	minLimitPercent  = 5
+	limitStepPercent = 5
 	// relaxMargin keeps a limit from swinging: it is raised only if the
 	// prediction then still is this much below the target.
-	relaxMargin = 0.01
+	raiseMargin = 0.01
 	// leastHarm is the effect up to which a batch class is left alone: less
 	// than 10% of the latency with the whole host at full load.
-	leastHarm = 0.1
+	maxHarmless = 0.1
 	// offsetGain is how fast a host's own offset follows its residuals.
 	offsetGain = 0.05
-	offsetMax  = 0.5
+	maxOffset  = 0.5
 )
 
 // Controller decides for the hosts of one cell. It has one owner.
 type Controller struct {
-	opts    Options
-	learner *Learner
-	hosts   map[model.WorkerID]*hostState
-	bounds  map[ServiceClass]float64 // confidence in standard deviations
+	opts        Options
+	learner     *Learner
+	hosts       map[model.WorkerID]*hostState
+	confidences map[ServiceClass]float64 // confidence in standard deviations
 }
 
 type hostState struct {
-	loads    map[ServiceClass]*forecast
-	offsets  map[ServiceClass]float64 // how far the host is from the model
-	history  history
-	calm     time.Duration // since when every limit could be raised; 0: not now
-	pressure time.Duration // since when throttling is not enough; 0: it is
+	loads             map[ServiceClass]*loadTracker
+	offsets           map[ServiceClass]float64 // how far the host is from the model
+	history           history
+	raisableSince     time.Duration // since when every limit could be raised; 0: not now
+	insufficientSince time.Duration // since when throttling is not enough; 0: it is
 }
 
 // New returns a controller that has learned nothing.
@@ -100,7 +100,7 @@
 	opts.Confidence = cmp.Or(opts.Confidence, defaultConfidence)
 	opts.RelaxAfter = cmp.Or(opts.RelaxAfter, defaultRelaxAfter)
 	opts.StopAfter = cmp.Or(opts.StopAfter, defaultStopAfter)
-	return &Controller{opts: opts, learner: NewLearner(), hosts: map[model.WorkerID]*hostState{}, bounds: map[ServiceClass]float64{}}
+	return &Controller{opts: opts, learner: NewLearner(), hosts: map[model.WorkerID]*hostState{}, confidences: map[ServiceClass]float64{}}
 }
 
 // Learner gives read access to the effects.
@@ -109,7 +109,7 @@
 func (c *Controller) host(id model.WorkerID) *hostState {
 	h := c.hosts[id]
 	if h == nil {
-		h = &hostState{loads: map[ServiceClass]*forecast{}, offsets: map[ServiceClass]float64{}}
+		h = &hostState{loads: map[ServiceClass]*loadTracker{}, offsets: map[ServiceClass]float64{}}
 		c.hosts[id] = h
 	}
 	return h
@@ -123,54 +123,54 @@
 // with, so it is called at least once a second while tasks run.
 func (c *Controller) Decide(now time.Duration, h Host) []Action {
 	state := c.host(h.Worker)
-	d := decision{c: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
+	decision := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
 	for _, s := range h.Services {
-		f := state.loads[s.Service]
-		if f == nil {
-			f = &forecast{}
-			state.loads[s.Service] = f
+		tracker := state.loads[s.Service]
+		if tracker == nil {
+			tracker = &loadTracker{}
+			state.loads[s.Service] = tracker
 		}
-		d.loads = append(d.loads, f.update(now, s.Forecast()))
+		decision.loads = append(decision.loads, tracker.update(now, s.Forecast()))
 	}
 	for i, t := range h.Tasks {
-		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
+		decision.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
-	state.history.add(now, &h, d.exposure())
-	enough := d.choose()
-	actions := append(d.throttle(now), d.stop(now, enough)...)
+	state.history.add(now, &h, decision.exposure())
+	sufficient := decision.chooseTargets()
+	actions := append(decision.applyTargets(now), decision.stopVictim(now, sufficient)...)
 	return actions
 }
 
 // Admit returns the limit in percent with which a task of a class may start
 // on a host without a service missing its target.
 func (c *Controller) Admit(h Host, t Task) int {
-	if c.MaxCoefficient(h.Services, t.Class) <= leastHarm {
+	if c.MaxCoefficient(h.Services, t.Class) <= maxHarmless {
 		return 100
 	}
 	h.Tasks = append(slices.Clone(h.Tasks), t)
 	state := c.host(h.Worker)
-	d := decision{c: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
+	decision := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
 	for _, s := range h.Services {
 		load := s.Forecast()
-		if f := state.loads[s.Service]; f != nil {
-			load = max(load, f.value)
+		if tracker := state.loads[s.Service]; tracker != nil {
+			load = max(load, tracker.value)
 		}
-		d.loads = append(d.loads, load)
+		decision.loads = append(decision.loads, load)
 	}
 	last := len(h.Tasks) - 1
 	for i, t := range h.Tasks {
-		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
+		decision.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
-	for d.limits[last] = 100; d.limits[last] > leastPercent && d.upper() > 0; {
-		d.limits[last] -= percentStep
+	for decision.limits[last] = 100; decision.limits[last] > minLimitPercent && decision.upperBound() > 0; {
+		decision.limits[last] -= limitStepPercent
 	}
-	return d.limits[last]
+	return decision.limits[last]
 }
 
 // bound returns the confidence for a service class.
-func (c *Controller) bound(s ServiceClass) float64 {
-	if z, ok := c.bounds[s]; ok {
-		return z
+func (c *Controller) confidence(s ServiceClass) float64 {
+	if confidence, ok := c.confidences[s]; ok {
+		return confidence
 	}
 	return c.opts.Confidence
 }
@@ -179,19 +179,19 @@
 // become as many as may: the deviation alone does not cover what the model
 // does not know.
 func (c *Controller) calibrate(s ServiceClass, missed bool) {
-	z := c.bound(s) - confidenceGain*missedWindows
+	confidence := c.confidence(s) - confidenceGain*maxMissedShare
 	if missed {
-		z += confidenceGain
+		confidence += confidenceGain
 	}
-	c.bounds[s] = max(leastBound, min(mostBound, z))
+	c.confidences[s] = max(minConfidence, min(maxConfidence, confidence))
 }
 
 // MaxCoefficient returns the greatest mean effect of a batch class on the services, 0
 // if it harms none.
 func (c *Controller) MaxCoefficient(services []ServiceLoad, class model.Class) float64 {
-	harm := 0.0
+	highest := 0.0
 	for _, s := range services {
-		harm = max(harm, c.learner.Coefficient(s.Service, class).Mean)
+		highest = max(highest, c.learner.Coefficient(s.Service, class).Mean)
 	}
-	return harm
+	return highest
 }
--- a/internal/policy/interfere/control_test.go
+++ b/internal/policy/interfere/controller_test.go
@@ -10,36 +10,36 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-var short = ServiceClass{"wick-orders", "short"}
+var shortRequests = ServiceClass{"wick-orders", "short"}
 
 // taught returns a controller that knows two batch classes: at full load the
 // noisy one adds 3 to the logarithm with the whole host, the quiet one none.
-func taught(base float64) *Controller {
+func trainedController(base float64) *Controller {
 	c := New(Options{})
 	for i := range 600 {
 		load := 0.3 + 0.7*float64(i%7)/6
 		e := Exposure{"noisy": float64(i%5) / 5, "quiet": float64(i%3) / 3}
-		y := base + 0.2*load + load*3*e["noisy"]
-		c.learner.Observe(Sample{Service: short, Load: load, Exposure: e, Target: time.Second, P99: time.Duration(math.Exp(y) * float64(time.Second))})
+		logRatio := base + 0.2*load + load*3*e["noisy"]
+		c.learner.Observe(Sample{Service: shortRequests, Load: load, Exposure: e, Target: time.Second, P99: time.Duration(math.Exp(logRatio) * float64(time.Second))})
 	}
 	return c
 }
 
-func task(job string, class model.Class, cores int64) Task {
+func newTask(job string, class model.Class, cores int64) Task {
 	return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Class: class, CPU: model.MilliCPU(cores * 1000), CPULimitPercent: 100}
 }
 
-func loaded(load float64, tasks ...Task) Host {
-	return Host{Worker: "w", CPU: 16000, Tasks: tasks, Services: []ServiceLoad{{Service: short, Arrivals: load * 100, ServiceTime: 80 * time.Millisecond, Slots: 8}}}
+func hostAtLoad(load float64, tasks ...Task) Host {
+	return Host{Worker: "w", CPU: 16000, Tasks: tasks, Services: []ServiceLoad{{Service: shortRequests, Arrivals: load * 100, ServiceTime: 80 * time.Millisecond, Slots: 8}}}
 }
 
 // Guards against throttling work that does no harm, or in the wrong order.
-func TestThrottlesTheHarmfulThatYieldFirst(t *testing.T) {
-	c := taught(-1)
-	first, second := task("first", "noisy", 4), task("second", "noisy", 4)
+func TestThrottlesHarmfulTasksInYieldOrder(t *testing.T) {
+	c := trainedController(-1)
+	first, second := newTask("first", "noisy", 4), newTask("second", "noisy", 4)
 	second.YieldRank = 1
-	require.Empty(t, c.Decide(0, loaded(0.2, first, second, task("quiet", "quiet", 8))))
-	actions := c.Decide(10*time.Second, loaded(1, first, second, task("quiet", "quiet", 8)))
+	require.Empty(t, c.Decide(0, hostAtLoad(0.2, first, second, newTask("quiet", "quiet", 8))))
+	actions := c.Decide(10*time.Second, hostAtLoad(1, first, second, newTask("quiet", "quiet", 8)))
 	require.NotEmpty(t, actions)
 	percent := map[model.JobID]int{"first": 100, "second": 100, "quiet": 100}
 	for _, a := range actions {
@@ -48,19 +48,19 @@
 	}
 	require.Equal(t, 100, percent["quiet"])
 	require.Less(t, percent["first"], percent["second"])
-	require.Less(t, c.Admit(loaded(1, first), task("new", "noisy", 8)), 50)
-	require.Equal(t, 100, c.Admit(loaded(1, first), task("new", "quiet", 8)))
+	require.Less(t, c.Admit(hostAtLoad(1, first), newTask("new", "noisy", 8)), 50)
+	require.Equal(t, 100, c.Admit(hostAtLoad(1, first), newTask("new", "quiet", 8)))
 }
 
 // Guards against limits that swing with every report, and against limits that
 // stay after the load is gone.
-func TestLimitsRiseAfterACalmTime(t *testing.T) {
-	c := taught(-1)
-	limited := task("a", "noisy", 8)
+func TestLimitsRiseAfterRelaxTime(t *testing.T) {
+	c := trainedController(-1)
+	limited := newTask("a", "noisy", 8)
 	limited.CPULimitPercent = 20
-	require.Empty(t, c.Decide(0, loaded(0.1, limited)))
-	require.Empty(t, c.Decide(time.Second, loaded(0.1, limited)))
-	actions := c.Decide(4*time.Second, loaded(0.1, limited))
+	require.Empty(t, c.Decide(0, hostAtLoad(0.1, limited)))
+	require.Empty(t, c.Decide(time.Second, hostAtLoad(0.1, limited)))
+	actions := c.Decide(4*time.Second, hostAtLoad(0.1, limited))
 	require.Len(t, actions, 1)
 	require.Equal(t, 100, actions[0].CPULimitPercent)
 }
@@ -68,13 +68,13 @@
 // Guards against evictions where a limit is enough, more than one eviction at
 // a time, an eviction of urgent work, and the wrong victim.
 func TestStopsOnlyAfterLimitsFailed(t *testing.T) {
-	c := taught(0.2) // the target is missed even without batch work
-	dear, cheap, urgent := task("dear", "noisy", 4), task("cheap", "noisy", 4), task("urgent", "noisy", 4)
+	c := trainedController(0.2) // the target is missed even without batch work
+	dear, cheap, urgent := newTask("dear", "noisy", 4), newTask("cheap", "noisy", 4), newTask("urgent", "noisy", 4)
 	dear.LostWork, cheap.LostWork, urgent.Protected = time.Hour, time.Minute, true
 	tasks := []Task{dear, cheap, urgent}
 	stops := []model.JobID{}
 	for now := time.Second; now <= 45*time.Second; now += time.Second {
-		for _, a := range c.Decide(now, loaded(1, tasks...)) {
+		for _, a := range c.Decide(now, hostAtLoad(1, tasks...)) {
 			if a.Step == StepCheckpointStop {
 				require.GreaterOrEqual(t, now, defaultStopAfter)
 				stops = append(stops, a.Attempt.Job)
@@ -89,25 +89,25 @@
 		}
 	}
 	require.Equal(t, []model.JobID{"cheap"}, stops)
-	require.Equal(t, leastPercent, tasks[2].CPULimitPercent)
+	require.Equal(t, minLimitPercent, tasks[2].CPULimitPercent)
 }
 
 // Guards against a surge that is only noticed when the lagging report shows
 // the harm.
-func TestQueueAndArrivalsLead(t *testing.T) {
+func TestForecastUsesQueueAndArrivals(t *testing.T) {
 	s := ServiceLoad{Busy: 0.2, Slots: 8, ServiceTime: 80 * time.Millisecond, Arrivals: 90}
 	require.InDelta(t, 0.9, s.Forecast(), 1e-9)
 	s.Arrivals, s.Queued = 20, 160
 	require.InDelta(t, 1, s.Forecast(), 1e-9)
 	require.InDelta(t, 0.2, ServiceLoad{Busy: 0.2, Slots: 8}.Forecast(), 1e-9)
-	f := forecast{}
+	tracker := loadTracker{}
 	for cycle := range 3 {
 		for s := range 60 {
 			load := 0.3
 			if s >= 50 {
 				load = min(0.8, 0.3+0.1*float64(s-50))
 			}
-			got := f.update(time.Duration(cycle*60+s)*time.Second, load)
+			got := tracker.update(time.Duration(cycle*60+s)*time.Second, load)
 			if cycle == 2 && s == 51 {
 				require.Greater(t, got, 0.55, "the third rise is taken to go as far as the earlier ones")
 			}
@@ -118,30 +118,30 @@
 // Guards against comparing a late report with what runs when it arrives.
 func TestReportsAreComparedWithTheirWindow(t *testing.T) {
 	c := New(Options{})
-	noisy := task("a", "noisy", 16)
+	noisy := newTask("a", "noisy", 16)
 	for cycle := range 200 {
-		at := time.Duration(cycle) * 40 * time.Second
+		start := time.Duration(cycle) * 40 * time.Second
 		runs := cycle%2 == 0
-		for s := range 40 {
-			h := loaded(0.8)
-			if runs && s < 10 || !runs && s >= 10 {
-				h.Tasks = []Task{noisy}
+		for second := range 40 {
+			host := hostAtLoad(0.8)
+			if runs && second < 10 || !runs && second >= 10 {
+				host.Tasks = []Task{noisy}
 			}
-			c.Decide(at+time.Duration(s)*time.Second, h)
+			c.Decide(start+time.Duration(second)*time.Second, host)
 		}
-		y := -1.0
+		logRatio := -1.0
 		if runs {
-			y += 0.8 * 2
+			logRatio += 0.8 * 2
 		}
-		c.Observe(Report{Worker: "w", Service: short, From: at, To: at + 10*time.Second, Target: time.Second, P99: time.Duration(math.Exp(y) * float64(time.Second))})
+		c.Observe(Report{Worker: "w", Service: shortRequests, From: start, To: start + 10*time.Second, Target: time.Second, P99: time.Duration(math.Exp(logRatio) * float64(time.Second))})
 	}
-	require.InDelta(t, 2, c.learner.Coefficient(short, "noisy").Mean, 0.5)
+	require.InDelta(t, 2, c.learner.Coefficient(shortRequests, "noisy").Mean, 0.5)
 }
 
 // Guards against a new service class that starts without what is known of the
 // batch class from other services.
-func TestNewPairStartsAtTheClassMean(t *testing.T) {
-	c := taught(-1)
+func TestNewPairStartsAtClassMean(t *testing.T) {
+	c := trainedController(-1)
 	other := ServiceClass{"permit-desk", "new"}
 	require.Greater(t, c.learner.Coefficient(other, "noisy").Mean, 1.0)
 	require.Less(t, c.learner.Coefficient(other, "quiet").Mean, 0.4)
--- a/internal/policy/interfere/decision.go
+++ b/internal/policy/interfere/decision.go
@@ -11,12 +11,12 @@
 
 // decision is the work of one Decide call.
 type decision struct {
-	c      *Controller
-	state  *hostState
-	host   *Host
-	loads  []float64 // by service
-	limits []int     // percent by task
-	target []int     // chosen limits
+	controller *Controller
+	state      *hostState
+	host       *Host
+	loads      []float64 // by service
+	limits     []int     // percent by task
+	targets    []int     // chosen limits
 }
 
 // exposure is what the limits let each class use.
@@ -30,70 +30,70 @@
 
 // worst returns the largest of the services' predictions with sign standard
 // deviations of their confidence.
-func (d *decision) worst(sign float64) float64 {
+func (d *decision) maxPrediction(sign float64) float64 {
 	e := d.exposure()
-	worst := -1e9
+	highest := -1e9
 	for i, s := range d.host.Services {
-		p := d.c.learner.Predict(s.Service, d.loads[i], e)
+		p := d.controller.learner.Predict(s.Service, d.loads[i], e)
 		p.Mean += d.state.offsets[s.Service]
-		worst = max(worst, p.Mean+sign*d.c.bound(s.Service)*p.Deviation)
+		highest = max(highest, p.Mean+sign*d.controller.confidence(s.Service)*p.Deviation)
 	}
-	return worst
+	return highest
 }
 
-func (d *decision) upper() float64 {
-	return d.worst(1)
+func (d *decision) upperBound() float64 {
+	return d.maxPrediction(1)
 }
 
 // choose sets target to the highest limits that keep the bound: tasks that
 // yield first, and among them the most harmful, give way first. It reports
 // whether the lowest limits suffice for the mean prediction.
-func (d *decision) choose() (enough bool) {
+func (d *decision) chooseTargets() (sufficient bool) {
 	present := slices.Clone(d.limits)
 	for i := range d.limits {
 		d.limits[i] = 100
 	}
-	over := d.upper() > 0
-	for _, i := range d.order() {
-		if !over {
+	exceeded := d.upperBound() > 0
+	for _, i := range d.throttleOrder() {
+		if !exceeded {
 			break
 		}
-		d.limits[i] = leastPercent
-		if over = d.upper() > 0; over {
+		d.limits[i] = minLimitPercent
+		if exceeded = d.upperBound() > 0; exceeded {
 			continue
 		}
-		for d.limits[i]+percentStep <= 100 {
-			d.limits[i] += percentStep
-			if d.upper() > 0 {
-				d.limits[i] -= percentStep
+		for d.limits[i]+limitStepPercent <= 100 {
+			d.limits[i] += limitStepPercent
+			if d.upperBound() > 0 {
+				d.limits[i] -= limitStepPercent
 				break
 			}
 		}
 	}
-	d.target = slices.Clone(d.limits)
-	enough = !over || d.worst(-1) <= 0
+	d.targets = slices.Clone(d.limits)
+	sufficient = !exceeded || d.maxPrediction(-1) <= 0
 	copy(d.limits, present)
-	return enough
+	return sufficient
 }
 
 // order lists the tasks that harm a service, by who gives way first.
-func (d *decision) order() []int {
-	harm := map[model.Class]float64{}
+func (d *decision) throttleOrder() []int {
+	coefficients := map[model.Class]float64{}
 	for _, t := range d.host.Tasks {
-		if _, ok := harm[t.Class]; !ok {
-			harm[t.Class] = d.c.MaxCoefficient(d.host.Services, t.Class)
+		if _, ok := coefficients[t.Class]; !ok {
+			coefficients[t.Class] = d.controller.MaxCoefficient(d.host.Services, t.Class)
 		}
 	}
 	order := make([]int, 0, len(d.host.Tasks))
 	for i, t := range d.host.Tasks {
-		if harm[t.Class] > leastHarm {
+		if coefficients[t.Class] > maxHarmless {
 			order = append(order, i)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		x, y := d.host.Tasks[a], d.host.Tasks[b]
 		return cmp.Or(compareBool(x.Protected, y.Protected), cmp.Compare(x.YieldRank, y.YieldRank),
-			cmp.Compare(harm[y.Class], harm[x.Class]), cmp.Compare(x.LostWork, y.LostWork))
+			cmp.Compare(coefficients[y.Class], coefficients[x.Class]), cmp.Compare(x.LostWork, y.LostWork))
 	})
 	return order
 }
@@ -109,73 +109,73 @@
 }
 
 // throttle lowers limits at once and raises them after a calm time.
-func (d *decision) throttle(now time.Duration) []Action {
+func (d *decision) applyTargets(now time.Duration) []Action {
 	var actions []Action
-	raise := false
+	raisable := false
 	for i, t := range d.host.Tasks {
 		switch {
-		case d.target[i] < d.limits[i]:
-			actions = append(actions, d.action(i, "the predicted p99 of a service on the host exceeds its target"))
-			d.limits[i] = d.target[i]
-		case d.target[i] > d.limits[i] && !t.Stopping:
-			raise = true
+		case d.targets[i] < d.limits[i]:
+			actions = append(actions, d.throttleAction(i, "the predicted p99 of a service on the host exceeds its target"))
+			d.limits[i] = d.targets[i]
+		case d.targets[i] > d.limits[i] && !t.Stopping:
+			raisable = true
 		}
 	}
-	if len(actions) > 0 || !raise {
-		d.state.calm = 0
+	if len(actions) > 0 || !raisable {
+		d.state.raisableSince = 0
 		return actions
 	}
-	if d.state.calm == 0 {
-		d.state.calm = now
+	if d.state.raisableSince == 0 {
+		d.state.raisableSince = now
 	}
-	if now-d.state.calm < d.c.opts.RelaxAfter {
+	if now-d.state.raisableSince < d.controller.opts.RelaxAfter {
 		return nil
 	}
-	return d.raise()
+	return d.raiseLimits()
 }
 
 // raise moves limits up to their target while the bound keeps a margin.
-func (d *decision) raise() []Action {
+func (d *decision) raiseLimits() []Action {
 	var actions []Action
 	for i, t := range d.host.Tasks {
-		if d.target[i] <= d.limits[i] || t.Stopping {
+		if d.targets[i] <= d.limits[i] || t.Stopping {
 			continue
 		}
-		before := d.limits[i]
-		d.limits[i] = d.target[i]
-		if d.upper() > -relaxMargin && len(d.host.Services) > 0 {
-			d.limits[i] = before
+		present := d.limits[i]
+		d.limits[i] = d.targets[i]
+		if d.upperBound() > -raiseMargin && len(d.host.Services) > 0 {
+			d.limits[i] = present
 			continue
 		}
-		actions = append(actions, d.action(i, "the services have room again"))
+		actions = append(actions, d.throttleAction(i, "the services have room again"))
 	}
 	return actions
 }
 
-func (d *decision) action(i int, reason string) Action {
-	return Action{Attempt: d.host.Tasks[i].Attempt, Step: StepThrottle, CPULimitPercent: d.target[i], Reason: reason}
+func (d *decision) throttleAction(i int, reason string) Action {
+	return Action{Attempt: d.host.Tasks[i].Attempt, Step: StepThrottle, CPULimitPercent: d.targets[i], Reason: reason}
 }
 
 // stop chooses one victim when the lowest limits have not been enough for a
 // time; after it, the time starts again.
-func (d *decision) stop(now time.Duration, enough bool) []Action {
+func (d *decision) stopVictim(now time.Duration, sufficient bool) []Action {
 	for _, t := range d.host.Tasks {
 		if t.Stopping {
-			enough = true // wait for its effect
+			sufficient = true // wait for its effect
 		}
 	}
-	if enough {
-		d.state.pressure = 0
+	if sufficient {
+		d.state.insufficientSince = 0
 		return nil
 	}
-	if d.state.pressure == 0 {
-		d.state.pressure = now
+	if d.state.insufficientSince == 0 {
+		d.state.insufficientSince = now
 	}
-	if now-d.state.pressure < d.c.opts.StopAfter {
+	if now-d.state.insufficientSince < d.controller.opts.StopAfter {
 		return nil
 	}
 	victim := -1
-	for _, i := range d.order() {
+	for _, i := range d.throttleOrder() {
 		if !d.host.Tasks[i].Protected && (victim < 0 || yieldsBefore(d.host.Tasks[i], d.host.Tasks[victim])) {
 			victim = i
 		}
@@ -183,9 +183,9 @@
 	if victim < 0 {
 		return nil
 	}
-	d.state.pressure = 0
+	d.state.insufficientSince = 0
 	return []Action{{Attempt: d.host.Tasks[victim].Attempt, Step: StepCheckpointStop,
-		Reason: fmt.Sprintf("a service on the host misses its target although harmful tasks are limited to %d%%", leastPercent)}}
+		Reason: fmt.Sprintf("a service on the host misses its target although harmful tasks are limited to %d%%", minLimitPercent)}}
 }
 
 // yieldsBefore orders victims: yields-first, then the least lost work.
--- a/internal/policy/interfere/history.go
+++ b/internal/policy/interfere/history.go
@@ -7,47 +7,47 @@
 )
 
 // keepHistory covers a report that lags by several times the usual 10 s.
-const keepHistory = 2 * time.Minute
+const historyDuration = 2 * time.Minute
 
 // history is what a host's services were exposed to, for reports that come
 // later.
 type history struct {
-	entries []moment
+	entries []historyEntry
 }
 
-type moment struct {
+type historyEntry struct {
 	at       time.Duration
 	exposure Exposure
 	loads    map[ServiceClass]float64
 }
 
 func (h *history) add(now time.Duration, host *Host, e Exposure) {
-	m := moment{now, e, make(map[ServiceClass]float64, len(host.Services))}
+	entry := historyEntry{now, e, make(map[ServiceClass]float64, len(host.Services))}
 	for _, s := range host.Services {
-		m.loads[s.Service] = s.Forecast()
+		entry.loads[s.Service] = s.Forecast()
 	}
-	h.entries = append(h.entries, m)
-	old := 0
-	for old < len(h.entries) && h.entries[old].at < now-keepHistory {
-		old++
+	h.entries = append(h.entries, entry)
+	expired := 0
+	for expired < len(h.entries) && h.entries[expired].at < now-historyDuration {
+		expired++
 	}
-	if old > len(h.entries)/2 {
-		h.entries = append(h.entries[:0], h.entries[old:]...)
+	if expired > len(h.entries)/2 {
+		h.entries = append(h.entries[:0], h.entries[expired:]...)
 	}
 }
 
 // worst returns the load and exposure at the moment between two times for
 // which predict is highest: the p99 of a window is that of its worst moment.
 // ok is false when nothing is known of the window.
-func (h *history) worst(s ServiceClass, from, to time.Duration, predict func(load float64, e Exposure) float64) (load float64, e Exposure, ok bool) {
+func (h *history) highestPrediction(s ServiceClass, from, to time.Duration, predict func(load float64, e Exposure) float64) (load float64, e Exposure, ok bool) {
 	highest := 0.0
 	for i := range h.entries {
-		m := &h.entries[i]
-		if m.at < from || m.at >= to {
+		entry := &h.entries[i]
+		if entry.at < from || entry.at >= to {
 			continue
 		}
-		if p := predict(m.loads[s], m.exposure); !ok || p > highest {
-			highest, load, e, ok = p, m.loads[s], m.exposure, true
+		if p := predict(entry.loads[s], entry.exposure); !ok || p > highest {
+			highest, load, e, ok = p, entry.loads[s], entry.exposure, true
 		}
 	}
 	return load, e, ok
@@ -65,8 +65,8 @@
 // Observe learns from a report. It compares the measurement with what ran in
 // the measured window, not with what runs now.
 func (c *Controller) Observe(r Report) {
-	h := c.host(r.Worker)
-	load, exposure, ok := h.history.worst(r.Service, r.From, r.To, func(load float64, e Exposure) float64 {
+	state := c.host(r.Worker)
+	load, exposure, ok := state.history.highestPrediction(r.Service, r.From, r.To, func(load float64, e Exposure) float64 {
 		return c.learner.Predict(r.Service, load, e).Mean
 	})
 	if !ok || r.P99 <= 0 {
@@ -74,7 +74,7 @@
 	}
 	c.calibrate(r.Service, r.P99 > r.Target)
 	residual := c.learner.Observe(Sample{Service: r.Service, P99: r.P99, Target: r.Target, Load: load, Exposure: exposure})
-	o := h.offsets[r.Service]
-	o += offsetGain * (residual - o)
-	h.offsets[r.Service] = max(-offsetMax, min(offsetMax, o))
+	offset := state.offsets[r.Service]
+	offset += offsetGain * (residual - offset)
+	state.offsets[r.Service] = max(-maxOffset, min(maxOffset, offset))
 }
--- a/internal/policy/interfere/learner.go
+++ b/internal/policy/interfere/learner.go
@@ -39,19 +39,19 @@
 	baseTerms = 4 // 1, load, load² and load·(sum of the effects)²
 	// priorEffect is what an unknown batch class is taken to do to the
 	// logarithm at full load and with the whole host; unknown is harmful.
-	priorEffect = 0.5
+	priorCoefficient = 0.5
 	// pairDeviation is how far a pair may be from its class's mean, and
 	// classDeviation how far a class may be from priorEffect.
-	pairDeviation  = 0.7
-	classDeviation = 0.7
-	baseDeviation  = 3.0
-	curveDeviation = 0.3
-	firstNoise     = 0.15 // standard deviation before anything was measured
-	leastNoise     = 0.03
-	noiseGain      = 0.01
+	pairDeviation      = 0.7
+	classDeviation     = 0.7
+	baseDeviation      = 3.0
+	quadraticDeviation = 0.3
+	initialNoise       = 0.15 // standard deviation before anything was measured
+	minNoise           = 0.03
+	noiseGain          = 0.01
 	// forget gives a memory of 5,000 samples, 75 minutes of 11 workers that
 	// report every 10 s.
-	forget = 0.9998
+	sampleDecay = 0.9998
 	// refreshAfter samples the posterior is computed again.
 	refreshAfter = 8
 	// nearTarget is the distance from the target at which a sample counts half.
@@ -63,38 +63,38 @@
 // linear regression of ln(p99/target) on the load and on load·exposure of
 // each batch class, whose prior is the batch class's mean over the services.
 type Learner struct {
-	classes  map[model.Class]int
-	services map[ServiceClass]*regression
-	means    []float64 // by class index
+	classIndex map[model.Class]int
+	services   map[ServiceClass]*regression
+	classMeans []float64 // by class index
 }
 
 type regression struct {
-	info  symmetric // Σ x·xᵀ/noise²
-	sum   []float64 // Σ x·y/noise²
-	cov   symmetric // posterior
-	mean  []float64 // posterior
-	noise float64   // variance of one sample
-	fresh int       // samples since the posterior was computed; -1: never
-	x     []float64 // scratch
+	information  symmetric // Σ x·xᵀ/noise²
+	weightedSum  []float64 // Σ x·y/noise²
+	covariance   symmetric // posterior
+	mean         []float64 // posterior
+	noise        float64   // variance of one sample
+	sinceRefresh int       // samples since the posterior was computed; -1: never
+	features     []float64 // scratch
 }
 
 // NewLearner returns a learner without samples.
 func NewLearner() *Learner {
-	return &Learner{classes: map[model.Class]int{}, services: map[ServiceClass]*regression{}}
+	return &Learner{classIndex: map[model.Class]int{}, services: map[ServiceClass]*regression{}}
 }
 
 // class returns the index of a batch class and makes room for a new one.
 func (l *Learner) class(c model.Class) int {
-	i, ok := l.classes[c]
+	i, ok := l.classIndex[c]
 	if ok {
 		return i
 	}
-	i = len(l.classes)
-	l.classes[c] = i
-	l.means = append(l.means, priorEffect)
+	i = len(l.classIndex)
+	l.classIndex[c] = i
+	l.classMeans = append(l.classMeans, priorCoefficient)
 	for _, r := range l.services {
-		r.info, r.sum, r.x = r.info.grown(), append(r.sum, 0), append(r.x, 0)
-		r.fresh = -1
+		r.information, r.weightedSum, r.features = r.information.extended(), append(r.weightedSum, 0), append(r.features, 0)
+		r.sinceRefresh = -1
 	}
 	return i
 }
@@ -102,26 +102,26 @@
 func (l *Learner) service(s ServiceClass) *regression {
 	r := l.services[s]
 	if r == nil {
-		n := baseTerms + len(l.classes)
-		r = &regression{info: newSymmetric(n), sum: make([]float64, n), x: make([]float64, n), noise: firstNoise * firstNoise, fresh: -1}
+		n := baseTerms + len(l.classIndex)
+		r = &regression{information: newSymmetric(n), weightedSum: make([]float64, n), features: make([]float64, n), noise: initialNoise * initialNoise, sinceRefresh: -1}
 		l.services[s] = r
 	}
 	return r
 }
 
 // features fills the regression's scratch vector.
-func (l *Learner) features(r *regression, load float64, e Exposure) []float64 {
-	clear(r.x)
-	r.x[0], r.x[1], r.x[2] = 1, load, load*load
-	sum := 0.0
-	for c, part := range e {
-		i := l.classes[c]
-		r.x[baseTerms+i] = load * part
-		sum += l.means[i] * part
+func (l *Learner) fillFeatures(r *regression, load float64, e Exposure) []float64 {
+	clear(r.features)
+	r.features[0], r.features[1], r.features[2] = 1, load, load*load
+	total := 0.0
+	for c, share := range e {
+		i := l.classIndex[c]
+		r.features[baseTerms+i] = load * share
+		total += l.classMeans[i] * share
 	}
 	// Effects of several tasks do not simply add up.
-	r.x[3] = load * sum * sum
-	return r.x
+	r.features[3] = load * total * total
+	return r.features
 }
 
 // Observe learns from a sample and returns by how much it was above the
@@ -135,20 +135,20 @@
 	}
 	r := l.service(s.Service)
 	predicted := l.Predict(s.Service, s.Load, s.Exposure)
-	y := math.Log(float64(s.P99) / float64(s.Target))
-	residual = y - predicted.Mean
-	weight := 1 / (1 + (y/nearTarget)*(y/nearTarget))
-	if known := predicted.Deviation*predicted.Deviation < 2*r.noise; known {
+	logRatio := math.Log(float64(s.P99) / float64(s.Target))
+	residual = logRatio - predicted.Mean
+	weight := 1 / (1 + (logRatio/nearTarget)*(logRatio/nearTarget))
+	if converged := predicted.Deviation*predicted.Deviation < 2*r.noise; converged {
 		r.noise += noiseGain * weight * (residual*residual - r.noise)
-		r.noise = max(r.noise, leastNoise*leastNoise)
+		r.noise = max(r.noise, minNoise*minNoise)
 	}
-	x := l.features(r, s.Load, s.Exposure)
-	r.info.addOuter(forget, weight/r.noise, x)
+	x := l.fillFeatures(r, s.Load, s.Exposure)
+	r.information.addOuter(sampleDecay, weight/r.noise, x)
 	for i := range x {
-		r.sum[i] = r.sum[i]*forget + weight/r.noise*x[i]*y
+		r.weightedSum[i] = r.weightedSum[i]*sampleDecay + weight/r.noise*x[i]*logRatio
 	}
-	if r.fresh >= 0 {
-		r.fresh++
+	if r.sinceRefresh >= 0 {
+		r.sinceRefresh++
 	}
 	return residual
 }
@@ -160,11 +160,11 @@
 		l.class(c)
 	}
 	r := l.service(s)
-	if r.fresh < 0 || r.fresh >= refreshAfter {
+	if r.sinceRefresh < 0 || r.sinceRefresh >= refreshAfter {
 		l.refresh(r)
 	}
-	x := l.features(r, load, e)
-	return Estimate{dot(r.mean, x), math.Sqrt(max(0, r.cov.quadratic(x)) + r.noise)}
+	x := l.fillFeatures(r, load, e)
+	return Estimate{dot(r.mean, x), math.Sqrt(max(0, r.covariance.quadratic(x)) + r.noise)}
 }
 
 // Coefficient estimates a pair: the change of ln(p99/target) at full load if the
@@ -172,56 +172,56 @@
 func (l *Learner) Coefficient(s ServiceClass, c model.Class) Estimate {
 	i := baseTerms + l.class(c)
 	r := l.service(s)
-	if r.fresh < 0 {
+	if r.sinceRefresh < 0 {
 		l.refresh(r)
 	}
-	return Estimate{r.mean[i], math.Sqrt(max(0, r.cov.at(i, i)))}
+	return Estimate{r.mean[i], math.Sqrt(max(0, r.covariance.at(i, i)))}
 }
 
 // refresh computes the posterior of one service class with the present means
 // of the batch classes as its prior.
 func (l *Learner) refresh(r *regression) {
-	n := r.info.n
+	n := r.information.n
 	precision := newSymmetric(n)
-	copy(precision.v, r.info.v)
-	target := make([]float64, n)
-	copy(target, r.sum)
+	copy(precision.v, r.information.v)
+	rightSide := make([]float64, n)
+	copy(rightSide, r.weightedSum)
 	for i := range n {
-		p, m := 1/(baseDeviation*baseDeviation), 0.0
+		priorPrecision, priorMean := 1/(baseDeviation*baseDeviation), 0.0
 		if i == baseTerms-1 {
-			p = 1 / (curveDeviation * curveDeviation)
+			priorPrecision = 1 / (quadraticDeviation * quadraticDeviation)
 		}
 		if i >= baseTerms {
-			p, m = 1/(pairDeviation*pairDeviation), l.means[i-baseTerms]
+			priorPrecision, priorMean = 1/(pairDeviation*pairDeviation), l.classMeans[i-baseTerms]
 		}
-		precision.v[i*n+i] += p
-		target[i] += p * m
+		precision.v[i*n+i] += priorPrecision
+		rightSide[i] += priorPrecision * priorMean
 	}
-	r.cov = precision.inverse()
+	r.covariance = precision.inverse()
 	r.mean = make([]float64, n)
 	for i := range n {
-		r.mean[i] = dot(r.cov.v[i*n:(i+1)*n], target)
+		r.mean[i] = dot(r.covariance.v[i*n:(i+1)*n], rightSide)
 	}
-	r.fresh = 0
-	l.pool()
+	r.sinceRefresh = 0
+	l.poolClassMeans()
 }
 
 // pool computes the mean of each batch class over the services, shrunk to
 // priorEffect by how little is known.
-func (l *Learner) pool() {
-	for c := range l.means {
+func (l *Learner) poolClassMeans() {
+	for c := range l.classMeans {
 		weight := 1 / (classDeviation * classDeviation)
-		sum := weight * priorEffect
+		sum := weight * priorCoefficient
 		for _, r := range l.services {
 			i := baseTerms + c
-			if r.fresh < 0 || i >= len(r.mean) {
+			if r.sinceRefresh < 0 || i >= len(r.mean) {
 				continue
 			}
-			known := 1 - r.cov.at(i, i)/(pairDeviation*pairDeviation) // 0: only the prior
-			w := max(0, known) / (pairDeviation * pairDeviation)
-			sum += w * r.mean[i]
-			weight += w
+			known := 1 - r.covariance.at(i, i)/(pairDeviation*pairDeviation) // 0: only the prior
+			precision := max(0, known) / (pairDeviation * pairDeviation)
+			sum += precision * r.mean[i]
+			weight += precision
 		}
-		l.means[c] = sum / weight
+		l.classMeans[c] = sum / weight
 	}
 }
--- a/internal/policy/interfere/load.go
+++ b/internal/policy/interfere/load.go
@@ -15,7 +15,7 @@
 
 // drainWithin is how quickly a queue is meant to be worked off; it turns a
 // queue length into a load.
-const drainWithin = 2 * time.Second
+const queueDrainTime = 2 * time.Second
 
 // Forecast returns the share of the slots that the service will use: what it
 // used lately, or what is arriving and queued now if that is more.
@@ -24,29 +24,29 @@
 		return s.Busy
 	}
 	seconds := s.ServiceTime.Seconds()
-	demand := s.Arrivals*seconds + s.Queued*seconds/drainWithin.Seconds()
-	coming := min(1, demand/float64(s.Slots))
+	demand := s.Arrivals*seconds + s.Queued*seconds/queueDrainTime.Seconds()
+	expected := min(1, demand/float64(s.Slots))
 	if s.Arrivals == 0 && s.Queued == 0 {
 		return s.Busy // no signal from the entries
 	}
-	return coming
+	return expected
 }
 
 // forecast follows the load of a service on a host: a rise at once, a fall
 // slowly, because a surge comes in several waves. When a rise begins, it takes
 // the load to go as far as earlier rises went.
-type forecast struct {
-	value  float64
-	recent [riseSpan]float64 // loads of the last updates, the newest first
-	at     time.Duration
-	known  bool
+type loadTracker struct {
+	value       float64
+	recent      [riseSpan]float64 // loads of the last updates, the newest first
+	updatedAt   time.Duration
+	initialized bool
 
-	rising   bool
-	since    time.Duration
-	from     float64 // load before the rise
-	peak     float64
-	typical  float64 // how far rises go
-	reserved float64 // load that room is kept for during the rise
+	rising       bool
+	risingSince  time.Duration
+	startLoad    float64 // load before the rise
+	peakLoad     float64
+	typicalRise  float64 // how far rises go
+	reservedLoad float64 // load that room is kept for during the rise
 }
 
 const (
@@ -56,47 +56,47 @@
 	riseSpan = 3
 	// leastRise is the rise over riseSpan that counts: 2.5 times the deviation
 	// of the difference when single seconds vary by 0.02.
-	leastRise = 0.07
+	minRise = 0.07
 	// riseTime is how long room is kept for a rise that has begun.
-	riseTime = 6 * time.Second
+	riseReserveTime = 6 * time.Second
 	// riseGain is how fast the typical rise follows the rises.
 	riseGain = 0.3
 )
 
 // update returns the load to decide for.
-func (f *forecast) update(now time.Duration, load float64) float64 {
-	passed := now - f.at
-	f.at = now
-	if !f.known {
-		f.value, f.known = load, true
+func (f *loadTracker) update(now time.Duration, load float64) float64 {
+	elapsed := now - f.updatedAt
+	f.updatedAt = now
+	if !f.initialized {
+		f.value, f.initialized = load, true
 		for i := range f.recent {
 			f.recent[i] = load
 		}
 	}
-	f.rise(now, load)
+	f.trackRise(now, load)
 	copy(f.recent[1:], f.recent[:])
 	f.recent[0] = load
-	if ahead := max(load, f.reserved); ahead >= f.value {
-		f.value = ahead
+	if target := max(load, f.reservedLoad); target >= f.value {
+		f.value = target
 	} else {
-		f.value += (ahead - f.value) * min(1, float64(passed)/float64(fallTime))
+		f.value += (target - f.value) * min(1, float64(elapsed)/float64(fallTime))
 	}
 	return f.value
 }
 
 // rise detects the begin and end of a rise and learns how far it went.
-func (f *forecast) rise(now time.Duration, load float64) {
-	before := f.recent[riseSpan-1]
-	if !f.rising && load-before > leastRise {
-		f.rising, f.since, f.from, f.peak = true, now, before, load
-		f.reserved = min(1, before+f.typical)
+func (f *loadTracker) trackRise(now time.Duration, load float64) {
+	earlier := f.recent[riseSpan-1]
+	if !f.rising && load-earlier > minRise {
+		f.rising, f.risingSince, f.startLoad, f.peakLoad = true, now, earlier, load
+		f.reservedLoad = min(1, earlier+f.typicalRise)
 	}
 	if !f.rising {
 		return
 	}
-	f.peak = max(f.peak, load)
-	if now-f.since >= riseTime {
-		f.rising, f.reserved = false, 0
-		f.typical += riseGain * (f.peak - f.from - f.typical)
+	f.peakLoad = max(f.peakLoad, load)
+	if now-f.risingSince >= riseReserveTime {
+		f.rising, f.reservedLoad = false, 0
+		f.typicalRise += riseGain * (f.peakLoad - f.startLoad - f.typicalRise)
 	}
 }
--- a/internal/policy/interfere/solve.go
+++ b/internal/policy/interfere/matrix.go
@@ -24,7 +24,7 @@
 }
 
 // grown returns a copy with one more row and column of zeros.
-func (m symmetric) grown() symmetric {
+func (m symmetric) extended() symmetric {
 	g := newSymmetric(m.n + 1)
 	for i := range m.n {
 		copy(g.v[i*g.n:i*g.n+m.n], m.v[i*m.n:(i+1)*m.n])
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -15,60 +15,60 @@
 // learner's model: another power of the load, saturation and host offsets.
 
 const (
-	reportWindow = 10 // seconds
-	reportLag    = 10 // seconds after the window's end
-	fillTo       = 0.75
-	lostOnStop   = 20 // seconds of work that an eviction loses
+	reportWindow   = 10 // seconds
+	reportLag      = 10 // seconds after the window's end
+	fillShare      = 0.75
+	maxLostSeconds = 20 // seconds of work that an eviction loses
 )
 
 var simClasses = []model.Class{"short", "post", "list"}
 
 // truth is what the policies do not see.
-type truth struct {
-	effects    map[model.Class]map[model.Class]float64 // service class, batch class
-	base, rise map[model.Class]float64
-	offsets    []map[model.Class]float64 // by host
+type groundTruth struct {
+	coefficients map[model.Class]map[model.Class]float64 // service class, batch class
+	base, rise   map[model.Class]float64
+	offsets      []map[model.Class]float64 // by host
 }
 
-func newTruth(rng *rand.Rand, hosts int, base, rise float64) *truth {
-	tr := &truth{effects: map[model.Class]map[model.Class]float64{}, base: map[model.Class]float64{}, rise: map[model.Class]float64{}}
+func newGroundTruth(rng *rand.Rand, hosts int, base, rise float64) *groundTruth {
+	truth := &groundTruth{coefficients: map[model.Class]map[model.Class]float64{}, base: map[model.Class]float64{}, rise: map[model.Class]float64{}}
 	means := []float64{5, 2.4, 1.2, 0.4, 0.1, 3.6} // of measure.Classes
 	sensitivity := []float64{1, 0.7, 0.4}
 	for i, s := range simClasses {
-		tr.effects[s] = map[model.Class]float64{}
-		tr.base[s], tr.rise[s] = base, rise
+		truth.coefficients[s] = map[model.Class]float64{}
+		truth.base[s], truth.rise[s] = base, rise
 		for j, c := range measure.Classes {
-			tr.effects[s][c] = means[j] * sensitivity[i] * math.Exp(0.3*rng.NormFloat64())
+			truth.coefficients[s][c] = means[j] * sensitivity[i] * math.Exp(0.3*rng.NormFloat64())
 		}
 	}
 	for range hosts {
-		o := map[model.Class]float64{}
+		offset := map[model.Class]float64{}
 		for _, s := range simClasses {
-			o[s] = 0.05 * rng.NormFloat64()
+			offset[s] = 0.05 * rng.NormFloat64()
 		}
-		tr.offsets = append(tr.offsets, o)
+		truth.offsets = append(truth.offsets, offset)
 	}
-	return tr
+	return truth
 }
 
 // excess is ln(p99/target) without noise.
-func (tr *truth) excess(host int, s model.Class, load float64, e Exposure) float64 {
+func (tr *groundTruth) logRatio(host int, s model.Class, load float64, e Exposure) float64 {
 	sum := 0.0
 	for _, c := range measure.Classes { // in order: map order changes the last bits
-		sum += tr.effects[s][c] * e[c]
+		sum += tr.coefficients[s][c] * e[c]
 	}
 	return tr.base[s] + tr.offsets[host][s] + tr.rise[s]*load*load*load + math.Pow(load, 1.3)*sum/(1+0.2*sum)
 }
 
 type simTask struct {
 	Task
-	left float64 // core-seconds
+	remaining float64 // core-seconds
 }
 
 type simHost struct {
 	Host
-	tasks []*simTask
-	worst map[model.Class]float64 // in the present window
+	tasks     []*simTask
+	windowMax map[model.Class]float64 // in the present window
 }
 
 // simPolicy acts on one host each second.
@@ -79,54 +79,54 @@
 }
 
 type sim struct {
-	dep    measure.Deployment
-	truth  *truth
-	load   func(host, second int) float64
-	rng    *rand.Rand
-	noise  *rand.Rand
-	mix    *measure.Mix
-	hosts  []*simHost
-	back   []*simTask
-	policy simPolicy
-	due    map[int][]func()
+	deployment measure.Deployment
+	truth      *groundTruth
+	load       func(host, runSecond int) float64
+	rng        *rand.Rand
+	noise      *rand.Rand
+	mix        *measure.Mix
+	hosts      []*simHost
+	backlog    []*simTask
+	policy     simPolicy
+	scheduled  map[int][]func()
 
-	windows, inside   int
-	work              float64
-	stops, throttles  int
-	measureFrom, next int
-	giveUp            int // ends the run after so many missed windows; 0: never
+	windows, windowsInside int
+	work                   float64
+	stops, throttles       int
+	measureFrom, lastJob   int
+	maxMissed              int // ends the run after so many missed windows; 0: never
 }
 
-func newSim(dep measure.Deployment, seed uint64, base, rise float64, load func(int, int) float64) *sim {
-	s := &sim{dep: dep, load: load, rng: rand.New(rand.NewPCG(seed, 2)), noise: rand.New(rand.NewPCG(seed, 3)),
-		mix: measure.NewMix(seed, dep.Workers[0].Capacity), due: map[int][]func(){}}
-	s.truth = newTruth(rand.New(rand.NewPCG(seed, 1)), len(dep.Workers), base, rise)
-	for _, w := range dep.Workers {
-		s.hosts = append(s.hosts, &simHost{Host: Host{Worker: w.ID, CPU: w.Capacity.CPU}, worst: map[model.Class]float64{}})
+func newSim(deployment measure.Deployment, seed uint64, base, rise float64, load func(int, int) float64) *sim {
+	s := &sim{deployment: deployment, load: load, rng: rand.New(rand.NewPCG(seed, 2)), noise: rand.New(rand.NewPCG(seed, 3)),
+		mix: measure.NewMix(seed, deployment.Workers[0].Capacity), scheduled: map[int][]func(){}}
+	s.truth = newGroundTruth(rand.New(rand.NewPCG(seed, 1)), len(deployment.Workers), base, rise)
+	for _, w := range deployment.Workers {
+		s.hosts = append(s.hosts, &simHost{Host: Host{Worker: w.ID, CPU: w.Capacity.CPU}, windowMax: map[model.Class]float64{}})
 	}
 	return s
 }
 
 // fill starts tasks from the backlog while they fit.
-func (s *sim) fill(now, i int, h *simHost) {
+func (s *sim) startTasks(now, i int, h *simHost) {
 	used := model.MilliCPU(0)
 	for _, t := range h.tasks {
 		used += t.CPU
 	}
 	for range 4 {
-		if len(s.back) == 0 {
-			j := s.mix.Job()
-			s.next++
-			s.back = append(s.back, &simTask{Task: Task{Attempt: model.AttemptID{Job: j.Spec.ID, Number: 1}, Class: j.Spec.Class, CPU: j.Spec.Resources.CPU},
-				left: j.Runtime.Seconds() * 3 * float64(j.Spec.Resources.CPU) / 1000})
+		if len(s.backlog) == 0 {
+			job := s.mix.Job()
+			s.lastJob++
+			s.backlog = append(s.backlog, &simTask{Task: Task{Attempt: model.AttemptID{Job: job.Spec.ID, Number: 1}, Class: job.Spec.Class, CPU: job.Spec.Resources.CPU},
+				remaining: job.Runtime.Seconds() * 3 * float64(job.Spec.Resources.CPU) / 1000})
 		}
-		t := s.back[0]
-		if float64(used+t.CPU) > fillTo*float64(h.CPU) {
+		t := s.backlog[0]
+		if float64(used+t.CPU) > fillShare*float64(h.CPU) {
 			return
 		}
-		s.back = s.back[1:]
+		s.backlog = s.backlog[1:]
 		t.CPULimitPercent, t.LostWork = 100, 0
-		t.CPULimitPercent = s.policy.admit(i, s.view(i, h, s.load(i, max(0, now-1))), t.Task)
+		t.CPULimitPercent = s.policy.admit(i, s.hostView(i, h, s.load(i, max(0, now-1))), t.Task)
 		used += t.CPU
 		h.tasks = append(h.tasks, t)
 	}
@@ -140,83 +140,83 @@
 	return e
 }
 
-func (s *sim) run(learn, measured int) {
-	s.measureFrom = learn
-	for now := range learn + measured {
-		if s.giveUp > 0 && s.windows-s.inside > s.giveUp {
+func (s *sim) run(learnSeconds, measuredSeconds int) {
+	s.measureFrom = learnSeconds
+	for now := range learnSeconds + measuredSeconds {
+		if s.maxMissed > 0 && s.windows-s.windowsInside > s.maxMissed {
 			return
 		}
-		for _, f := range s.due[now] {
+		for _, f := range s.scheduled[now] {
 			f()
 		}
-		delete(s.due, now)
+		delete(s.scheduled, now)
 		for i, h := range s.hosts {
-			s.fill(now, i, h)
-			s.second(now, i, h)
+			s.startTasks(now, i, h)
+			s.runSecond(now, i, h)
 		}
 	}
 }
 
-func (s *sim) second(now, i int, h *simHost) {
-	load, e := s.load(i, now), h.exposure()
+func (s *sim) runSecond(now, i int, h *simHost) {
+	load, exposure := s.load(i, now), h.exposure()
 	for _, c := range simClasses {
-		x := s.truth.excess(i, c, load, e)
-		if w, ok := h.worst[c]; !ok || x > w {
-			h.worst[c] = x
+		logRatio := s.truth.logRatio(i, c, load, exposure)
+		if highest, ok := h.windowMax[c]; !ok || logRatio > highest {
+			h.windowMax[c] = logRatio
 		}
 	}
-	var left []*simTask
+	var remaining []*simTask
 	for _, t := range h.tasks {
 		done := float64(t.CPU) / 1000 * float64(t.CPULimitPercent) / 100
-		t.left -= done
-		t.LostWork = min(lostOnStop, t.LostWork/time.Second+1) * time.Second
+		t.remaining -= done
+		t.LostWork = min(maxLostSeconds, t.LostWork/time.Second+1) * time.Second
 		if now >= s.measureFrom {
 			s.work += done
 		}
-		if t.left > 0 {
-			left = append(left, t)
+		if t.remaining > 0 {
+			remaining = append(remaining, t)
 		}
 	}
-	h.tasks = left
+	h.tasks = remaining
 	if (now+1)%reportWindow == 0 {
-		s.window(now, i, h)
+		s.endWindow(now, i, h)
 	}
-	s.act(now, i, h)
+	s.runPolicy(now, i, h)
 }
 
 // window ends a measured window and schedules its lagging report.
-func (s *sim) window(now, i int, h *simHost) {
+func (s *sim) endWindow(now, i int, h *simHost) {
 	from, to := time.Duration(now+1-reportWindow)*time.Second, time.Duration(now+1)*time.Second
-	good := true
+	inside := true
 	for _, c := range simClasses {
-		x := h.worst[c] + 0.05*s.noise.NormFloat64()
-		good = good && x <= 0
-		r := Report{Worker: h.Worker, Service: ServiceClass{s.dep.Service, c}, From: from, To: to,
-			Target: 100 * time.Millisecond, P99: time.Duration(math.Exp(x) * 100 * float64(time.Millisecond))}
-		s.due[now+reportLag] = append(s.due[now+reportLag], func() { s.policy.report(now+reportLag, r, i) })
+		logRatio := h.windowMax[c] + 0.05*s.noise.NormFloat64()
+		inside = inside && logRatio <= 0
+		report := Report{Worker: h.Worker, Service: ServiceClass{s.deployment.Service, c}, From: from, To: to,
+			Target: 100 * time.Millisecond, P99: time.Duration(math.Exp(logRatio) * 100 * float64(time.Millisecond))}
+		s.scheduled[now+reportLag] = append(s.scheduled[now+reportLag], func() { s.policy.report(now+reportLag, report, i) })
 	}
 	if now >= s.measureFrom {
 		s.windows++
-		if good {
-			s.inside++
+		if inside {
+			s.windowsInside++
 		}
 	}
-	h.worst = map[model.Class]float64{}
+	h.windowMax = map[model.Class]float64{}
 }
 
 // act lets the policy see the load of the second that ended, as the entries
 // report their demand; its steps take effect in the next second.
-func (s *sim) act(now, i int, h *simHost) {
-	for _, a := range s.policy.step(now, i, s.view(i, h, s.load(i, now)), s.load(i, now+1)) {
+func (s *sim) runPolicy(now, i int, h *simHost) {
+	for _, a := range s.policy.step(now, i, s.hostView(i, h, s.load(i, now)), s.load(i, now+1)) {
 		s.apply(now, h, a)
 	}
 }
 
 // view is what a policy sees of a host.
-func (s *sim) view(i int, h *simHost, load float64) Host {
+func (s *sim) hostView(i int, h *simHost, load float64) Host {
 	view := h.Host
 	for _, c := range simClasses {
-		view.Services = append(view.Services, ServiceLoad{Service: ServiceClass{s.dep.Service, c}, Arrivals: load * 8 / 0.02,
+		view.Services = append(view.Services, ServiceLoad{Service: ServiceClass{s.deployment.Service, c}, Arrivals: load * 8 / 0.02,
 			ServiceTime: 20 * time.Millisecond, Slots: 8, Busy: load})
 	}
 	for _, t := range h.tasks {
@@ -238,8 +238,8 @@
 			return
 		}
 		lost := float64(t.LostWork/time.Second) * float64(t.CPU) / 1000
-		t.left += lost
-		s.back = append(s.back, t)
+		t.remaining += lost
+		s.backlog = append(s.backlog, t)
 		h.tasks = append(h.tasks[:k:k], h.tasks[k+1:]...)
 		if now >= s.measureFrom {
 			s.work -= lost
@@ -249,14 +249,14 @@
 	}
 }
 
-func (s *sim) insideShare() float64 { return float64(s.inside) / float64(s.windows) }
+func (s *sim) insideShare() float64 { return float64(s.windowsInside) / float64(s.windows) }
 
 func (s *sim) String() string {
 	return fmt.Sprintf("inside %.4f of %d windows, work %.0f core-seconds, %d stops, %d throttle steps", s.insideShare(), s.windows, s.work, s.stops, s.throttles)
 }
 
 // surges is Nilegate's load: quiet, with surges that rise within 5 s.
-func surges(seed uint64, seconds int) func(int, int) float64 {
+func surgingLoad(seed uint64, seconds int) func(int, int) float64 {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	level := make([]float64, seconds+2)
 	for t := 0; t < len(level); {
@@ -268,16 +268,16 @@
 			level[t] = 0.35 + (peak-0.35)*min(up, down)
 		}
 	}
-	return jitter(seed, level, 0.02)
+	return withJitter(seed, level, 0.02)
 }
 
 // steady is Wick's load: slow changes, with short bursts on single hosts.
-func steady(seed uint64, seconds int) func(int, int) float64 {
+func steadyLoad(seed uint64, seconds int) func(int, int) float64 {
 	level := make([]float64, seconds+2)
 	for t := range level {
 		level[t] = 0.5 + 0.1*math.Sin(float64(t)/900)
 	}
-	base := jitter(seed, level, 0.02)
+	base := withJitter(seed, level, 0.02)
 	return func(host, t int) float64 {
 		since := (t + host*13) % (150 + 7*host) // a burst rises within 5 s and lasts 15 s
 		if since < 15 {
@@ -288,12 +288,12 @@
 }
 
 // jitter varies a level by host and second.
-func jitter(seed uint64, level []float64, by float64) func(int, int) float64 {
+func withJitter(seed uint64, level []float64, amplitude float64) func(int, int) float64 {
 	return func(host, t int) float64 {
-		x := (seed*1000+uint64(host))*1_000_003 + uint64(t)
-		x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64
-		x = (x ^ x>>27) * 0x94d049bb133111eb
-		uniform := float64((x^x>>31)>>11) / (1 << 53)
-		return max(0, min(1, level[min(t, len(level)-1)]+by*3.46*(uniform-0.5)))
+		hash := (seed*1000+uint64(host))*1_000_003 + uint64(t)
+		hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9 // splitmix64
+		hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+		uniform := float64((hash^hash>>31)>>11) / (1 << 53)
+		return max(0, min(1, level[min(t, len(level)-1)]+amplitude*3.46*(uniform-0.5)))
 	}
 }
