--- a/internal/policy/place/ledger.go
+++ b/internal/policy/place/ledger.go
@@ -9,21 +9,22 @@
 )
 
 // Ledger charges attempts to the workers of a cell. An attempt is charged
-// with the larger of its declared size and its measured peak from its
-// reservation until its end is certain: also while it stops and while its
-// outcome is unknown. The controller is its only owner.
+// with the larger of its declared size and its measured peak, from its
+// reservation until its end is confirmed, which includes the time in which it
+// stops or its outcome is unknown. A ledger is not safe for concurrent use;
+// the controller owns it.
 type Ledger struct {
 	accounts map[model.WorkerID]*account
 	charges  map[model.AttemptID]*account
 	teams    map[model.Team]model.Resources
-	ids      []model.WorkerID // ascending
+	ids      []model.WorkerID // of accounts, ascending
 	workers  []Worker
 }
 
 // account is one worker with its charged attempts.
 type account struct {
 	Worker
-	removed bool // removed, but attempts may still run there
+	removed bool // the worker was removed, but attempts may still run on it
 }
 
 // NewLedger returns a ledger without workers.
@@ -31,8 +32,9 @@
 	return &Ledger{accounts: map[model.WorkerID]*account{}, charges: map[model.AttemptID]*account{}, teams: map[model.Team]model.Resources{}}
 }
 
-// SetWorker adds a worker or replaces what is known of it. reserved is kept
-// for its backend server; services are the labels of the services it has.
+// SetWorker adds a worker or replaces its description. reserved is set aside
+// for its backend server. services holds the labels of each service that has
+// a backend server on the worker.
 func (l *Ledger) SetWorker(w model.Worker, reserved model.Resources, services []model.Labels) {
 	a := l.accounts[w.ID]
 	if a == nil {
@@ -48,7 +50,7 @@
 	a.Revision++
 }
 
-// SetState records whether a worker may get new tasks.
+// SetState records the state of a worker. It ignores unknown workers.
 func (l *Ledger) SetState(id model.WorkerID, s WorkerState) {
 	if a := l.accounts[id]; a != nil && a.State != s {
 		a.State = s
@@ -56,7 +58,8 @@
 	}
 }
 
-// SetUnproven records how many unproven attempts a worker has and may have.
+// SetUnproven records how many unproven attempts a worker has and how many it
+// may have; a limit of 0 is no limit. It ignores unknown workers.
 func (l *Ledger) SetUnproven(id model.WorkerID, unproven, limit int) {
 	if a := l.accounts[id]; a != nil && (a.Unproven != unproven || a.MaxUnproven != limit) {
 		a.Unproven, a.MaxUnproven = unproven, limit
@@ -73,7 +76,7 @@
 	}
 }
 
-// collect forgets a removed worker without attempts.
+// deleteIfUnused deletes the account of a removed worker without attempts.
 func (l *Ledger) deleteIfUnused(a *account) {
 	if !a.removed || len(a.Tasks) > 0 {
 		return
@@ -84,7 +87,7 @@
 	}
 }
 
-// Policy is the configuration and claims that a reservation is checked with.
+// Policy holds the configuration and the claims that Reserve checks.
 type Policy struct {
 	Rules  *Rules
 	Quotas map[model.Team]model.Resources
@@ -92,15 +95,15 @@
 }
 
 // Reserve verifies an assignment against the present state and charges the
-// task when the result is ReasonNone. It is the only way to charge an attempt
-// that does not already run.
+// task when the result is ReasonNone. Attempts that already run are charged
+// by Adopt; no other method charges an attempt.
 func (l *Ledger) Reserve(a Assignment, t Task, p Policy) Reason {
 	account := l.accounts[a.Worker]
 	if account == nil || account.removed {
 		return ReasonUnknownWorker
 	}
 	if l.charges[t.Attempt] != nil {
-		return ReasonNone // a repeated reservation is the same one
+		return ReasonNone // the attempt is charged already; Reserve is idempotent
 	}
 	var claimed model.Resources
 	for _, c := range p.Claims {
@@ -117,8 +120,8 @@
 	return ReasonNone
 }
 
-// Adopt charges an attempt that was found on a worker, whether it fits or
-// not. It returns false when the worker is not known.
+// Adopt charges an attempt that already runs on a worker, whether it fits or
+// not. It returns false when the worker is unknown.
 func (l *Ledger) Adopt(worker model.WorkerID, t Task) bool {
 	a := l.accounts[worker]
 	if a != nil && l.charges[t.Attempt] == nil {
@@ -127,6 +130,7 @@
 	return a != nil
 }
 
+// charge adds a task to an account.
 func (l *Ledger) charge(a *account, t Task) {
 	t.Size = t.Size.Max(model.Resources{})
 	a.Tasks = append(a.Tasks, t)
@@ -134,15 +138,17 @@
 	l.addCharge(a, t.Team, t.Size)
 }
 
+// addCharge changes the charges of an account and a team by size, which may
+// be negative.
 func (l *Ledger) addCharge(a *account, team model.Team, size model.Resources) {
 	a.Charged = a.Charged.Add(size)
 	l.teams[team] = l.teams[team].Add(size)
 	a.Revision++
 }
 
-// RecordUsage records a measured use of an attempt and raises its charge if the
-// use is a new peak. A charge never falls: the next measurement is late, and
-// the use may return.
+// RecordUsage raises the charge of an attempt if its measured usage is a new
+// peak. It never lowers a charge: measurements lag, and the usage may rise
+// again before the next one.
 func (l *Ledger) RecordUsage(id model.AttemptID, u model.Usage) {
 	a, t := l.find(id)
 	if t == nil {
@@ -154,15 +160,15 @@
 	}
 }
 
-// SetLostWork records the work that an eviction of the attempt would now lose.
+// SetLostWork records the work that evicting the attempt now would lose.
 func (l *Ledger) SetLostWork(id model.AttemptID, lost time.Duration) {
 	if _, t := l.find(id); t != nil {
 		t.LostWork = lost
 	}
 }
 
-// MarkStopping records that an attempt was told to stop or that its outcome is
-// unknown. It stays charged.
+// MarkStopping records that a stop was requested for an attempt or that its
+// outcome is unknown. The attempt stays charged.
 func (l *Ledger) MarkStopping(id model.AttemptID) {
 	if a, t := l.find(id); t != nil && !t.Stopping {
 		t.Stopping = true
@@ -170,9 +176,9 @@
 	}
 }
 
-// Release ends the charge of an attempt whose end is certain, and returns
-// the charge, which is the size to plan the job's next attempt with. ok is
-// false when the attempt is not charged.
+// Release ends the charge of an attempt whose end is confirmed, and returns
+// the charge: the size with which to plan the job's next attempt. ok is false
+// when the attempt is not charged.
 func (l *Ledger) Release(id model.AttemptID) (size model.Resources, ok bool) {
 	account, t := l.find(id)
 	if t == nil {
@@ -189,6 +195,8 @@
 	return size, true
 }
 
+// find returns the account and the task of an attempt, or nil, nil when the
+// attempt is not charged.
 func (l *Ledger) find(id model.AttemptID) (*account, *Task) {
 	a := l.charges[id]
 	if a == nil {
@@ -202,8 +210,9 @@
 	return nil, nil
 }
 
-// Workers returns the workers for a snapshot in the order of their ids. The
-// slices belong to the ledger: they are valid until its next change.
+// Workers returns the workers for a snapshot in ascending order of their IDs.
+// The caller must not modify the result, which is valid until the next change
+// of the ledger.
 func (l *Ledger) Workers() []Worker {
 	l.workers = l.workers[:0]
 	for _, id := range l.ids {
@@ -214,7 +223,8 @@
 	return l.workers
 }
 
-// Worker returns one worker under the conditions of Workers.
+// Worker returns one worker, subject to the same conditions as Workers. ok is
+// false when the worker is unknown or was removed.
 func (l *Ledger) Worker(id model.WorkerID) (Worker, bool) {
 	a := l.accounts[id]
 	if a == nil || a.removed {
@@ -223,18 +233,18 @@
 	return a.Worker, true
 }
 
-// TeamUse returns the charges by team. The map belongs to the ledger.
+// TeamUse returns the charges by team. The caller must not modify the map.
 func (l *Ledger) TeamUse() map[model.Team]model.Resources { return l.teams }
 
 // Overload is a worker whose charges exceed its capacity because tasks use
 // more than they declared.
 type Overload struct {
 	Worker model.WorkerID
-	Excess model.Resources // positive where the capacity is exceeded, else 0
+	Excess model.Resources // charges above the capacity, 0 where they do not exceed it
 }
 
-// Overloads lists the overloaded workers, the greatest part of the capacity
-// first.
+// Overloads lists the overloaded workers in descending order of their excess
+// relative to their capacity.
 func (l *Ledger) Overloads() []Overload {
 	var out []Overload
 	for _, id := range l.ids {
--- a/internal/policy/place/ledger_test.go
+++ b/internal/policy/place/ledger_test.go
@@ -10,7 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// ledgerModel drives a ledger and keeps its own record of what runs where.
+// ledgerModel is the reference model of the property test: it applies random
+// operations to a ledger and records the expected charges.
 type ledgerModel struct {
 	ledger         *Ledger
 	planner        *Planner
@@ -55,7 +56,7 @@
 	m.planned = m.planned[max(0, len(m.planned)-16):]
 }
 
-// reserve applies plans that may be older than the latest changes.
+// reserve applies assignments that may be older than the latest changes.
 func (m *ledgerModel) reserve(t *rapid.T) {
 	for _, a := range m.planned {
 		id := model.AttemptID{Job: a.Job, Number: 1}
@@ -80,7 +81,8 @@
 	}
 }
 
-// attempt draws any attempt number, also one that never ran or has ended.
+// drawAttempt draws the ID of any attempt, including one that never ran or has
+// ended.
 func (m *ledgerModel) drawAttempt(t *rapid.T) model.AttemptID {
 	return model.AttemptID{Job: model.JobID(fmt.Sprint(rapid.IntRange(1, m.lastJob+1).Draw(t, "job"))), Number: 1}
 }
@@ -146,9 +148,10 @@
 	}
 }
 
-// Guards against any order of plans, late reservations, reports, stops,
-// unknown outcomes and repeated messages that gives a worker more than it has
-// (G1), frees room of a task that may still run, or loses a charge.
+// Guards against an order of plans, late reservations, reports, stops, unknown
+// outcomes and repeated messages that charges a worker with more than its
+// capacity (G1), frees the resources of a task that may still run, or loses a
+// charge.
 func TestLedgerNeverExceedsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerModel(t)
@@ -159,8 +162,8 @@
 	})
 }
 
-// Guards against a cell whose tasks use more than they declared without
-// anybody noticing.
+// Guards against workers that are not reported although their tasks use more
+// than they declared and exceed the capacity.
 func TestOverloads(t *testing.T) {
 	l := NewLedger()
 	for _, id := range []string{"a", "b"} {
--- a/internal/policy/place/order.go
+++ b/internal/policy/place/order.go
@@ -9,13 +9,13 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// budget is a team's quota and use.
+// budget is a team's usage and quota.
 type budget struct {
 	usage, quota model.Resources
 	hasQuota     bool
 }
 
-// allows reports whether the quota leaves room for size.
+// allows reports whether size more fits the quota.
 func (b *budget) allows(size model.Resources) bool {
 	return !b.hasQuota || b.usage.Add(size).Fits(b.quota)
 }
@@ -24,11 +24,12 @@
 type teamQueue struct {
 	team  model.Team
 	jobs  []*Job
-	ratio float64 // use relative to quota, in whole steps of fairStep
+	ratio float64 // usage relative to quota, rounded to multiples of fairStep
 	*budget
 }
 
-// teamHeap orders teams by use relative to quota.
+// teamHeap is a heap of teams by usage relative to quota; ties go to the team
+// with the earlier job. It implements heap.Interface.
 type teamHeap []*teamQueue
 
 func (h teamHeap) Len() int { return len(h) }
@@ -49,8 +50,7 @@
 	return last
 }
 
-// budgets returns the quota and use of each team with waiting jobs. The
-// ratio of a team without a quota is relative to the whole cell.
+// budgets returns the usage and quota of each team with waiting jobs.
 func budgets(s *Snapshot) map[model.Team]*budget {
 	all := map[model.Team]*budget{}
 	for i := range s.Jobs {
@@ -63,8 +63,9 @@
 	return all
 }
 
-// offer calls try for each job that keep selects, the team with the least use
-// relative to its quota first, each team's jobs in submission order.
+// forEachJob calls try for each job for which include returns true. The next
+// job is always that of the team with the least usage relative to its quota;
+// the jobs of a team follow in submission order.
 func forEachJob(s *Snapshot, cellCapacity model.Resources, budgets map[model.Team]*budget, include func(*Job) bool, try func(*Job, *budget)) {
 	queues := map[model.Team]*teamQueue{}
 	var teams teamHeap
@@ -105,10 +106,12 @@
 	}
 }
 
-// leastFairStep is the step of use relative to quota while the cell is empty.
+// minFairStep is the lower bound of fairStep; it applies while the cell is
+// nearly empty.
 const minFairStep = 0.05
 
-// relative returns the use relative to the quota, or to the whole cell.
+// usageRatio returns the team's dominant share of its quota, or of the whole
+// cell if it has no quota.
 func (b *budget) usageRatio(cellCapacity model.Resources) float64 {
 	if b.hasQuota {
 		return dominantShare(b.usage, b.quota)
@@ -116,10 +119,10 @@
 	return dominantShare(b.usage, cellCapacity)
 }
 
-// fairStep returns the difference of use relative to quota that counts: the
-// mean of the teams, so that a team is ahead or behind when it is half a mean
-// from the others. Without steps old large jobs lost their turn to young
-// small ones of other teams, and packing lost 1.6%.
+// fairStep returns the step to which usage ratios are rounded before they are
+// compared: the mean ratio of the teams, so that a team takes precedence only
+// when it is about half a mean below the others. Without rounding, large jobs
+// were overtaken by later small jobs of other teams, and packing was 1.6% worse.
 func fairStep(teams teamHeap, cellCapacity model.Resources) float64 {
 	sum := 0.0
 	for _, q := range teams {
--- a/internal/policy/place/packing_test.go
+++ b/internal/policy/place/packing_test.go
@@ -15,19 +15,21 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// chooser decides the starts of a round.
+// chooser decides which jobs a round starts and where.
 type chooser interface {
 	choose(l *place.Ledger, jobs []place.Job) []place.Assignment
 }
 
+// plannerChooser is the planner under test.
 type plannerChooser struct{ planner *place.Planner }
 
 func (c plannerChooser) choose(l *place.Ledger, jobs []place.Job) []place.Assignment {
 	return c.planner.Plan(place.Snapshot{Workers: l.Workers(), Jobs: jobs, TeamUse: l.TeamUse()}).Assignments
 }
 
-// firstFit is the baseline: jobs in submission order, each on the first
-// worker with room, and nothing overtakes a job that does not fit.
+// firstFit is the baseline: it places jobs in submission order, each on the
+// first worker that it fits. Without backfill no job overtakes one that does
+// not fit.
 type firstFit struct{ backfill bool }
 
 func (f firstFit) choose(l *place.Ledger, jobs []place.Job) []place.Assignment {
@@ -50,11 +52,13 @@
 	return assignments
 }
 
+// taskEnd is the time at which an attempt ends.
 type taskEnd struct {
 	at time.Duration
 	id model.AttemptID
 }
 
+// taskEnds implements heap.Interface, the earliest end first.
 type taskEnds []taskEnd
 
 func (e taskEnds) Len() int           { return len(e) }
@@ -67,7 +71,7 @@
 	return last
 }
 
-// packing is a run of a cell with a queue that never empties.
+// packingRun simulates a cell with a queue that is never empty.
 type packingRun struct {
 	t           *testing.T
 	ledger      *place.Ledger
@@ -118,7 +122,8 @@
 	p.queue = remaining
 }
 
-// use adds what the cell runs for a time and checks every worker.
+// recordUsage checks every worker's capacity and, if measured, adds the usage
+// of the cell's tasks over the given time.
 func (p *packingRun) recordUsage(seconds int64, measured bool) {
 	for _, w := range p.ledger.Workers() {
 		require.True(p.t, w.Charged.Fits(w.Capacity), "worker %s is over capacity", w.ID)
@@ -129,9 +134,10 @@
 	}
 }
 
-// pack runs a backlog for an hour after ten minutes of start, and returns the
-// use of the scarcer dimension relative to the offline bound: no placement,
-// even with all jobs known in advance, runs more than the whole capacity.
+// measurePacking runs a backlog for an hour after ten minutes of warm-up. It
+// returns the usage of the scarcer resource relative to the offline bound, and
+// the longest wait of a started job. The offline bound is the whole capacity:
+// no placement uses more, even with all jobs known in advance.
 func measurePacking(t *testing.T, deployment measure.Deployment, c chooser, seed uint64) (usageShare float64, longestWait time.Duration) {
 	const warmUpSeconds, endSeconds = 600, 4200
 	run := newPackingRun(t, deployment, c)
@@ -150,9 +156,9 @@
 	return max(cpu, memory), run.longestWait
 }
 
-// Guards against packing that wastes workers, against a worker over its
-// capacity, and against a job that never gets its turn. Bound: 95% of the
-// offline bound (docs/design.md section 5.5).
+// Guards against placement that leaves capacity unused or exceeds the capacity
+// of a worker. Bound: 95% of the offline bound (docs/design.md section 5.5).
+// The longest wait is logged to show whether jobs starve.
 func TestPackingTarget(t *testing.T) {
 	seeds := uint64(1)
 	if os.Getenv("BAMBOOSCALE_MEASURE") != "" {
@@ -171,7 +177,8 @@
 	}
 }
 
-// benchCell fills a cell with tasks and returns it with its waiting jobs.
+// benchCell returns the ledger of a cell filled with tasks, and the mix from
+// which to draw further jobs.
 func benchCell(b *testing.B, workers, tasks int) (*place.Ledger, *measure.Mix) {
 	deployment := measure.Cell(workers)
 	ledger := place.NewLedger()
@@ -204,9 +211,9 @@
 	return place.Job{Spec: j.Spec, Size: j.Spec.Resources, Labels: labels, SubmitOrder: uint64(order)}
 }
 
-// BenchmarkDecision measures one start: plan, verify, reserve and, to keep
-// the cell as full, the release of an older attempt. A round starts up to 58
-// tasks, a tenth of a second of the peak of 580 starts/s.
+// BenchmarkDecision measures the cost of one start: plan, verify, reserve and
+// release an older attempt, so that the cell stays equally full. A round
+// starts up to 58 tasks: the peak of 580 starts/s for 0.1 s.
 func BenchmarkDecision(b *testing.B) {
 	const maxRoundStarts = 58
 	for _, c := range []struct{ workers, tasks int }{{11, 207}, {690, 13000}} {
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -12,10 +12,12 @@
 
 const gibibyte = 1 << 30
 
+// resources returns an amount of processors and memory.
 func resources(cores, gibibytes int64) model.Resources {
 	return model.Resources{CPU: model.MilliCPU(cores * 1000), Memory: model.Bytes(gibibytes * gibibyte)}
 }
 
+// newWorker returns a ready worker that is charged with the tasks.
 func newWorker(id string, size model.Resources, tasks ...Task) Worker {
 	w := Worker{Worker: model.Worker{ID: model.WorkerID(id), Rack: model.Rack("r-" + id), DataCentre: "dye-yard", Capacity: size}}
 	for i, t := range tasks {
@@ -32,6 +34,7 @@
 	return Job{Spec: model.JobSpec{ID: model.JobID(id), Team: "braid", Class: "priming"}, Labels: l, Size: size}
 }
 
+// inSubmitOrder numbers the jobs in their order and returns them.
 func inSubmitOrder(list ...Job) []Job {
 	for i := range list {
 		list[i].SubmitOrder = uint64(i)
@@ -39,6 +42,7 @@
 	return list
 }
 
+// placements returns the worker of each assigned job.
 func placements(p Plan) map[model.JobID]model.WorkerID {
 	out := map[model.JobID]model.WorkerID{}
 	for _, a := range p.Assignments {
@@ -47,6 +51,7 @@
 	return out
 }
 
+// reasons returns the reason of each job that was not placed.
 func reasons(p Plan) map[model.JobID]Reason {
 	out := map[model.JobID]Reason{}
 	for _, v := range p.Unplaced {
@@ -63,8 +68,8 @@
 	return []NamedSelector{{"rule", model.Selector{Kind: model.MayShare, Subject: subject, Object: object}}}
 }
 
-// Guards against a filter that misses a reason, sees only one direction of a
-// selector, or disagrees between Plan, Explain and Verify.
+// Guards against a filter that misses a reason, applies a selector in one
+// direction only, or gives different results in Plan, Explain and Verify.
 func TestFilters(t *testing.T) {
 	noisy, quiet := model.Labels{"class": "noisy"}, model.Labels{"class": "quiet"}
 	small, size := resources(1, 1), resources(16, 60)
@@ -132,8 +137,8 @@
 	}
 }
 
-// Guards against two tasks placed in one round that must stay apart or
-// together exceed the worker.
+// Guards against a round that ignores its own assignments, and so places two
+// tasks on a worker that must stay apart or together exceed its capacity.
 func TestRoundCountsItsOwnPlacements(t *testing.T) {
 	l := model.Labels{"class": "noisy"}
 	s := Snapshot{Workers: []Worker{newWorker("a", resources(16, 60)), newWorker("b", resources(16, 60))},
@@ -149,8 +154,8 @@
 	require.Len(t, New(Options{}).Plan(s).Assignments, 2)
 }
 
-// Guards against urgent work behind other work, a team that starves another,
-// and reordering within a team.
+// Guards against urgent jobs that are placed after others, a team that starves
+// another team, and jobs of a team that are placed out of order.
 func TestOrder(t *testing.T) {
 	job := func(id string, team model.Team, urgent bool) Job {
 		j := newJob(id, resources(1, 1), nil)
@@ -174,8 +179,9 @@
 	require.Len(t, p.Assignments, 6)
 }
 
-// Guards against an impossible job that waits silently or blocks others, and
-// against calling jobs impossible before any worker is known.
+// Guards against a job too large for every worker that waits without a reason
+// or delays other jobs, and against jobs that are reported as impossible
+// before any worker is known.
 func TestImpossibleJobsAreReportedInFirstRound(t *testing.T) {
 	full := newWorker("a", resources(16, 60), Task{Size: resources(14, 50)})
 	full.Reserved, full.Charged = resources(1, 1), full.Charged.Add(resources(1, 1))
@@ -187,7 +193,8 @@
 	require.Equal(t, ReasonWorkerState, New(Options{}).Plan(s).Unplaced[0].Reason)
 }
 
-// Guards against a stream of small jobs that starves a large one for ever.
+// Guards against a stream of small jobs that starves a large job because each
+// takes the resources that another one has freed.
 func TestLargeJobDoesNotStarve(t *testing.T) {
 	p := New(Options{ReserveAfter: 5})
 	large := newJob("big", resources(16, 60), nil)
@@ -207,7 +214,7 @@
 		}
 		if round == 8 {
 			require.Equal(t, ReasonReserved, p.Explain(s, list[4].Spec.ID)[0].Reason)
-			require.Contains(t, plan.Unplaced[0].Text(), "worker a is kept free")
+			require.Contains(t, plan.Unplaced[0].Text(), "worker a is reserved")
 		}
 		for _, a := range plan.Assignments {
 			running = append(running, Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Size: a.Size})
@@ -219,8 +226,8 @@
 	require.Less(t, round, 20)
 }
 
-// Guards against room that victims free going to other work than the urgent
-// job they were evicted for.
+// Guards against resources that victims free and that other jobs take before
+// the urgent job for which the victims were evicted.
 func TestClaimReservesResources(t *testing.T) {
 	urgent := newJob("u", resources(8, 8), nil)
 	urgent.Spec.Urgent = true
@@ -233,8 +240,8 @@
 	require.Equal(t, ReasonResources, Verify(w, Assignment{Worker: "a", Size: resources(4, 4)}, &Rules{}, TeamBudget{}, resources(6, 8)))
 }
 
-// Guards against evicting the wrong work, more than is needed, or for work
-// that is not more urgent.
+// Guards against victims chosen in the wrong order, more victims than are
+// needed, and evictions for a job that is not urgent or fits no worker.
 func TestVictims(t *testing.T) {
 	task := func(job, class string, cores int64, lost time.Duration) Task {
 		return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Labels: model.Labels{"class": class}, Size: resources(cores, 1), LostWork: lost}
@@ -260,14 +267,14 @@
 	require.Equal(t, Preemption{"b", []model.AttemptID{{Job: "dye", Number: 1}}}, choice)
 	s.Workers[1].Tasks[1].Stopping = true
 	choice, _ = Victims(s, job)
-	require.Equal(t, Preemption{"b", []model.AttemptID{}}, choice, "a stopping task frees the room")
+	require.Equal(t, Preemption{"b", []model.AttemptID{}}, choice, "a stopping task frees enough")
 	job.Size = resources(17, 1)
 	_, ok = Victims(s, job)
 	require.False(t, ok)
 }
 
-// Guards against a planner that keeps placements which the caller did not
-// apply, or misses a change of a worker that has a new revision.
+// Guards against a planner whose cache keeps assignments that the caller did
+// not apply, or misses a worker's change to a new revision.
 func TestPlanFollowsWorkerRevisions(t *testing.T) {
 	p := New(Options{})
 	w := newWorker("a", resources(16, 60))
@@ -283,8 +290,8 @@
 	require.Empty(t, p.Plan(s).Assignments)
 }
 
-// Guards against a retry on the worker on which the job failed, and against a
-// job that waits for ever in a cell without another worker.
+// Guards against a job that is retried on the worker on which it failed, and
+// against one that waits for ever because the cell has no other worker.
 func TestAvoid(t *testing.T) {
 	j := newJob("j", resources(8, 8), nil)
 	j.Avoid = []model.WorkerID{"a"}
@@ -297,8 +304,8 @@
 	require.Len(t, New(Options{}).Plan(s).Assignments, 1)
 }
 
-// Guards against tasks of a class that all land in one rack although others
-// are as good.
+// Guards against tasks of a class that are all placed in one rack although
+// workers in other racks fit as well.
 func TestSpread(t *testing.T) {
 	s := Snapshot{}
 	for i := range 6 {
--- a/internal/policy/place/planner.go
+++ b/internal/policy/place/planner.go
@@ -7,12 +7,13 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Options bound a planner's rounds. Zero values take the defaults.
+// Options limits the work of a planner's rounds. Fields that are 0 take their
+// defaults.
 type Options struct {
-	MaxStarts          int // assignments of one round; default 1024
-	Candidates         int // workers scored for one job, the tightest first; default 64
-	ReserveAfter       int // rounds without a place after which a worker is kept for a job; default 100
-	MaxReservedWorkers int // workers kept at once; default 1 for each 32 workers, at least 1
+	MaxStarts          int // maximum number of assignments in a round; default 1024
+	Candidates         int // maximum number of workers scored for a job, those with the least free processors first; default 64
+	ReserveAfter       int // rounds without a placement after which a worker is reserved for a job; default 100
+	MaxReservedWorkers int // maximum number of workers reserved at once; default 1 for each 32 workers, at least 1
 }
 
 const (
@@ -20,29 +21,31 @@
 	defaultCandidates     = 64
 	defaultReserveAfter   = 100
 	workersPerReservation = 32
-	// keptShare is the part of the time for which workers are kept. Kept all
-	// the time, one of 11 workers cost 3% of the throughput.
+	// reservedTimeShare is the share of the rounds in which workers may be
+	// reserved. One of 11 workers reserved all the time cost 3% of the
+	// throughput.
 	reservedTimeShare = 0.1
 )
 
-// Planner plans the rounds of one cell. It remembers what it derived from the
-// workers and for how long jobs have waited, so it has one owner. A new
-// planner gives the same plans, but the waits start again.
+// Planner plans the rounds of one cell. It caches what it derives from the
+// workers and counts the rounds that each job has waited, so it is not safe
+// for concurrent use. A new planner makes the same plans, except that it
+// counts the waits and reserves workers from the beginning.
 type Planner struct {
 	opts              Options
 	round             uint64
 	rules             *Rules
 	views             map[model.WorkerID]*view
-	byFree            []*view // ascending by free processors, then by id
+	byFree            []*view // ascending by available processors, then by ID
 	domains           *domains
 	waits             map[model.JobID]*waitRecord
 	scratch           profile
-	needsSort         bool // byFree has to be sorted again
+	needsSort         bool // byFree is out of order or incomplete
 	cellCapacity      model.Resources
-	reservationCredit float64 // rounds for which workers may still be kept
+	reservationCredit float64 // remaining rounds in which a worker may be reserved
 }
 
-// New returns a planner that has seen no round.
+// New returns a planner with an empty cache.
 func New(opts Options) *Planner {
 	opts.MaxStarts = cmp.Or(opts.MaxStarts, defaultMaxStarts)
 	opts.Candidates = cmp.Or(opts.Candidates, defaultCandidates)
@@ -51,9 +54,9 @@
 		waits: map[model.JobID]*waitRecord{}, reservationCredit: float64(opts.ReserveAfter)}
 }
 
-// Plan places the jobs of one round. Jobs with a claim or a kept worker are
-// tried first, then urgent jobs, then the others; a job that finds no place
-// does not hold up those behind it.
+// Plan places the jobs of one round. Jobs with a claim or a reserved worker
+// are tried first, then urgent jobs, then the others. A job that cannot be
+// placed does not delay the jobs after it.
 func (p *Planner) Plan(s Snapshot) Plan {
 	p.update(&s)
 	r := &round{planner: p, snapshot: &s, unplaced: map[jobKey]Verdict{}, claims: map[model.JobID]Claim{}, triedFirst: map[model.JobID]bool{}}
@@ -73,7 +76,7 @@
 	return r.plan
 }
 
-// load brings the views up to date with the snapshot.
+// update brings the views up to date with the snapshot.
 func (p *Planner) update(s *Snapshot) {
 	p.round++
 	if !p.rules.compiledFrom(s.Selectors) {
@@ -96,6 +99,7 @@
 	p.sort()
 }
 
+// updateWorker replaces the view of a worker unless its revision is the same.
 func (p *Planner) updateWorker(w *Worker) {
 	v := p.views[w.ID]
 	if v != nil && v.revision == w.Revision && w.Revision != 0 {
@@ -121,6 +125,7 @@
 	p.domains.add(v, class, 1)
 }
 
+// removeCounts subtracts the tasks of a view from the domains.
 func (p *Planner) removeCounts(v *view) {
 	for _, c := range v.classes {
 		p.domains.add(v, c, -1)
@@ -128,6 +133,8 @@
 	p.needsSort = true
 }
 
+// updateClaims sets the claimed resources of the views and clears their
+// reservations.
 func (p *Planner) updateClaims(claims []Claim) {
 	for _, v := range p.views {
 		if v.claimed != (model.Resources{}) {
@@ -142,6 +149,7 @@
 	}
 }
 
+// byAvailable compares views by available processors, then by ID.
 func byAvailable(a, b *view) int {
 	if c := cmp.Compare(a.available().CPU, b.available().CPU); c != 0 {
 		return c
@@ -161,7 +169,8 @@
 	p.needsSort = false
 }
 
-// take charges a placed job to the view. The view's revision is forgotten,
+// charge charges a placed job, whose profile is in scratch, to the view and
+// moves the view to its new position in byFree. It clears the revision,
 // because the caller may not apply the assignment.
 func (p *Planner) charge(v *view, class int, size model.Resources) {
 	old, _ := slices.BinarySearchFunc(p.byFree, v, byAvailable)
--- a/internal/policy/place/preempt.go
+++ b/internal/policy/place/preempt.go
@@ -7,19 +7,19 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Preemption is the worker that an urgent job takes and what is evicted for
-// it. Without victims, tasks that already stop free enough.
+// Preemption is the worker for an urgent job and the attempts to evict from
+// it. Victims is empty when the tasks that already stop free enough.
 type Preemption struct {
 	Worker  model.WorkerID
 	Victims []model.AttemptID
 }
 
-// Victims chooses what to evict for an urgent job that fits nowhere. Work
-// that a yields-first selector names yields first, in the order of the
-// selectors, then work that is not long-running, then the least lost work.
-// Urgent work is never evicted, and nothing is evicted for a job that is not
-// urgent or whose team's quota leaves no room. ok is false when no choice of
-// victims makes room.
+// Victims chooses the attempts to evict for an urgent job that fits no worker.
+// Tasks that match a yields-first selector are evicted first, in the order of
+// the selectors, then tasks that are not long-running, then those that lose
+// the least work. Urgent tasks are never evicted, and nothing is evicted for a
+// job that is not urgent or would exceed its team's quota. ok is false when no
+// set of victims frees enough resources on one worker.
 func Victims(s Snapshot, job Job) (choice Preemption, ok bool) {
 	quota, limited := s.Quotas[job.Spec.Team]
 	team := budget{s.TeamUse[job.Spec.Team], quota, limited}
@@ -43,6 +43,7 @@
 	return choice, ok
 }
 
+// victimSelector chooses the victims for one job.
 type victimSelector struct {
 	rules   *Rules
 	job     *Job
@@ -50,18 +51,19 @@
 	claimed map[model.WorkerID]model.Resources
 }
 
-// harm rates a set of victims: the one that yields last decides.
+// evictionCost rates a set of victims. Its fields are compared in their order.
 type evictionCost struct {
-	maxYieldRank int // of the victim that yields last, -1 without victims
-	longRunning  int // long-running victims
-	lostWork     int64
-	victims      int
+	maxYieldRank int   // highest YieldRank of the victims, -1 without victims
+	longRunning  int   // number of long-running victims
+	lostWork     int64 // nanoseconds
+	victims      int   // number of victims
 }
 
 func (h evictionCost) compare(o evictionCost) int {
 	return cmp.Or(cmp.Compare(h.maxYieldRank, o.maxYieldRank), cmp.Compare(h.longRunning, o.longRunning), cmp.Compare(h.lostWork, o.lostWork), cmp.Compare(h.victims, o.victims))
 }
 
+// compareVictims orders tasks by preference for eviction, the preferred first.
 func (e *victimSelector) compareVictims(a, b Task) int {
 	longRunning := func(t Task) int {
 		if t.LongRunning {
@@ -73,7 +75,8 @@
 		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(b.Size.CPU, a.Size.CPU), cmp.Compare(a.Attempt.Job, b.Attempt.Job))
 }
 
-// worker returns the victims on one worker, none when they cannot make room.
+// selectOn returns the victims on one worker and their cost. The last result
+// is false when the job does not fit even if all candidates are evicted.
 func (e *victimSelector) selectOn(w *Worker) ([]Task, evictionCost, bool) {
 	if w.State != WorkerReady {
 		return nil, evictionCost{}, false
@@ -101,8 +104,9 @@
 	return e.dropUnneeded(&remaining, candidates, n)
 }
 
-// spare drops the victims that are not needed: a later victim can make an
-// earlier one unnecessary. It spares the dearest first.
+// dropUnneeded removes the victims that are not needed, the least preferred
+// first: a later victim can make an earlier one unnecessary. The victims are
+// the first n candidates; remaining holds the tasks that are not evicted.
 func (e *victimSelector) dropUnneeded(remaining *Worker, candidates []Task, n int) ([]Task, evictionCost, bool) {
 	victims, kept := candidates[:n:n], slices.Clone(candidates[n:])
 	for i := len(victims) - 1; i >= 0; i-- {
@@ -114,7 +118,8 @@
 	return victims, e.cost(victims), true
 }
 
-// fits reports whether the job fits when the first n of the tasks are gone.
+// fitsWithout reports whether the job fits when the first n of the tasks are
+// evicted and the others stay.
 func (e *victimSelector) fitsWithout(w *Worker, tasks []Task, n int) bool {
 	remaining := *w
 	for _, t := range tasks[:n] {
--- a/internal/policy/place/reason.go
+++ b/internal/policy/place/reason.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason says why a worker was not chosen for a job, or why a job waits.
+// Reason is why a worker was not chosen for a job, or why a job waits.
 type Reason uint8
 
-// Reasons.
+// Reasons. Their order is that of reasonNames.
 const (
 	ReasonNone Reason = iota
 	ReasonResources
@@ -13,18 +13,18 @@
 	ReasonMayShare
 	ReasonMustStayApart
 	ReasonQuota
-	ReasonImpossible    // fits no worker even when it is empty
-	ReasonRoundLimit    // the round placed the limit of tasks
-	ReasonReserved      // the worker is kept for a job that waited too long
-	ReasonUnknownWorker // the worker is not known
-	ReasonUnproven      // the worker must first prove that it can run what it has
-	ReasonAvoid         // the job failed on the worker
+	ReasonImpossible    // the job exceeds the size of every empty worker
+	ReasonRoundLimit    // the round reached Options.MaxStarts
+	ReasonReserved      // the worker is reserved for another job that has waited long
+	ReasonUnknownWorker // the worker does not exist or was removed
+	ReasonUnproven      // the worker has its limit of unproven attempts
+	ReasonAvoid         // the job failed on the worker and could run on another one
 )
 
 var reasonNames = [...]string{"none", "resources", "worker-state", "may-share", "must-stay-apart",
 	"quota", "impossible", "round", "kept", "gone", "unproven", "avoid"}
 
-// String is the reason's name in the operators' API.
+// String returns the reason's name in the operators' API.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -32,12 +32,12 @@
 	return "unknown"
 }
 
-// MarshalText writes the reason's name.
+// MarshalText returns the reason's name; it never fails.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 var stateNames = [...]string{"ready", "suspect", "down", "draining", "quarantined", "probation"}
 
-// String is the state's name, which is also its name in charts/worker.scxml.
+// String returns the state's name, which is the same as in charts/worker.scxml.
 func (s WorkerState) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -51,17 +51,18 @@
 	case ReasonImpossible:
 		return "fits no worker even when it is empty; declare a smaller size"
 	case ReasonQuota:
-		return "the team's quota leaves no room for the job"
+		return "the job would exceed its team's quota"
 	case ReasonRoundLimit:
-		return "the round already started its limit of tasks; the next round continues"
+		return "the round reached its limit of started tasks; the job is tried again in the next round"
 	}
-	text := fmt.Sprintf("no worker has a place now (%s), %d rounds so far", v.counts(), v.Rounds)
+	text := fmt.Sprintf("no worker can take the job now (%s), %d rounds so far", v.counts(), v.Rounds)
 	if v.ReservedWorker != "" {
-		text += fmt.Sprintf("; worker %s is kept free for it", v.ReservedWorker)
+		text += fmt.Sprintf("; worker %s is reserved for it", v.ReservedWorker)
 	}
 	return text
 }
 
+// counts formats the number of workers for each reason.
 func (v Verdict) counts() string {
 	text := ""
 	for r := ReasonNone; int(r) < len(reasonNames); r++ {
--- a/internal/policy/place/reserve.go
+++ b/internal/policy/place/reserve.go
@@ -7,17 +7,18 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// wait is how long a job has found no place.
+// waitRecord counts the rounds in which a job was not placed and holds the
+// worker that is reserved for it.
 type waitRecord struct {
 	rounds          int
-	lastRound       uint64         // round in which the job last waited
-	worker          model.WorkerID // empty: none
-	reservedAtRound int            // value of rounds when the worker was chosen
+	lastRound       uint64         // last round in which the job waited
+	worker          model.WorkerID // reserved for the job; empty if none is
+	reservedAtRound int            // value of rounds when the worker was reserved
 }
 
-// keep chooses workers that get no further work until the jobs that have
-// waited longest fit, so that a stream of small jobs cannot starve a large
-// one. An urgent job may still use a kept worker.
+// reserveWorkers reserves workers for the jobs that have waited longest.
+// Reserved workers get no other work until the job fits, so that a stream of
+// small jobs cannot starve a large one. Urgent jobs may still use them.
 func (p *Planner) reserveWorkers(s *Snapshot) {
 	limit := cmp.Or(p.opts.MaxReservedWorkers, max(1, len(p.byFree)/workersPerReservation))
 	var due []*Job
@@ -54,15 +55,16 @@
 	}
 }
 
-// stays reports whether a kept worker remains the choice. After as many
-// rounds as it took to get one, the choice is made again, because a task on
-// the worker may run very long.
+// stillReserved reports whether the job keeps its reserved worker. After
+// ReserveAfter rounds another worker is chosen, because a task on the present
+// one may run very long.
 func (p *Planner) stillReserved(w *waitRecord) bool {
 	v := p.views[w.worker]
 	return v != nil && !v.reserved && v.state == WorkerReady && w.rounds-w.reservedAtRound < p.opts.ReserveAfter
 }
 
-// nearest returns the worker that needs the least more room for the job.
+// nearestFit returns the worker on which the job lacks the smallest dominant
+// share of resources, or nil if no worker can be reserved for it.
 func (p *Planner) nearestFit(j *Job) *view {
 	var best *view
 	var minShare float64
@@ -72,7 +74,7 @@
 			continue
 		}
 		if reason, _ := p.rules.conflict(&v.services, &p.scratch); reason != ReasonNone {
-			continue // no task's end can lift it
+			continue // services stay, so the conflict does too
 		}
 		missing := j.Size.Sub(v.available()).Max(model.Resources{})
 		if share := dominantShare(missing, v.capacity); best == nil || share < minShare {
@@ -82,13 +84,15 @@
 	return best
 }
 
-// count notes the jobs that found no place in this round and forgets others.
+// recordWaits counts the round for the jobs that could not be placed, and
+// deletes the records of all other jobs.
 func (p *Planner) recordWaits(waiting []Verdict) {
 	for i := range waiting {
 		w := p.waits[waiting[i].Job]
 		switch waiting[i].Reason {
 		case ReasonImpossible, ReasonQuota, ReasonRoundLimit, ReasonWorkerState:
-			// Keeping a worker would not help, but the wait so far counts.
+			// A reserved worker would not help, so the round does not count,
+			// but the earlier ones still do.
 			if w != nil {
 				w.lastRound = p.round
 			}
--- a/internal/policy/place/round.go
+++ b/internal/policy/place/round.go
@@ -7,25 +7,25 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// round is the work of one Plan call.
+// round is the state of one Plan call.
 type round struct {
 	planner    *Planner
 	snapshot   *Snapshot
 	plan       Plan
 	unplaced   map[jobKey]Verdict
 	claims     map[model.JobID]Claim
-	triedFirst map[model.JobID]bool // tried as a job with a claim or a kept worker
+	triedFirst map[model.JobID]bool // jobs with a claim or a reserved worker
 }
 
-// failKey identifies jobs that the filters cannot tell apart. Within a round
-// room only shrinks and rules only gain occupants, so what found no place
-// once finds none later.
+// jobKey identifies jobs that the filters treat alike. Within a round, free
+// resources only shrink and the rules only see more work, so once a job
+// cannot be placed, later jobs with the same key cannot be placed either.
 type jobKey struct {
 	size            model.Resources
 	subject, object string
 }
 
-// first reports whether a job has a claim or a kept worker.
+// hasReservation reports whether a job has a claim or a reserved worker.
 func (r *round) hasReservation(job model.JobID) bool {
 	if _, ok := r.claims[job]; ok {
 		return true
@@ -34,7 +34,8 @@
 	return w != nil && w.worker != ""
 }
 
-// tryKept tries the worker that is kept for the job before the others.
+// tryReserved tries the worker that is claimed or reserved for the job before
+// the others.
 func (r *round) tryReserved(j *Job, b *budget) {
 	r.triedFirst[j.Spec.ID] = true
 	claim, claimed := r.claims[j.Spec.ID]
@@ -45,7 +46,7 @@
 	v := r.planner.views[worker]
 	if v != nil && b.allows(j.Size) && len(r.plan.Assignments) < r.planner.opts.MaxStarts {
 		r.planner.rules.fillProfile(&r.planner.scratch, j.Labels)
-		// The claim becomes the task's charge, or room that others may use.
+		// The claimed resources are available to the job that holds the claim.
 		available := v.available().Add(claim.Size)
 		if reason, _ := v.check(r.planner.rules, &r.planner.scratch, j.Size, available); reason == ReasonNone {
 			r.planner.releaseReservation(v, claim.Size, !claimed)
@@ -56,12 +57,14 @@
 	r.try(j, b)
 }
 
-// release returns a claim's room to a view, or the kept worker to all.
+// releaseReservation ends a claim of the given size on a view and, if
+// ownWorker is true, the reservation of the worker.
 func (p *Planner) releaseReservation(v *view, size model.Resources, ownWorker bool) {
 	v.claimed, v.reserved = v.claimed.Sub(size), v.reserved && !ownWorker
 	slices.SortFunc(p.byFree, byAvailable)
 }
 
+// try assigns the job to the best worker or records why it is not placed.
 func (r *round) try(j *Job, b *budget) {
 	if verdict, ok := r.rejectEarly(j, b); ok {
 		r.addUnplaced(j, verdict)
@@ -85,7 +88,8 @@
 	r.addUnplaced(j, verdict)
 }
 
-// refusal gives the verdicts that need no look at each worker.
+// rejectEarly returns the verdict for a job that can be rejected without
+// running the filters on each worker. ok is false if the job cannot.
 func (r *round) rejectEarly(j *Job, b *budget) (Verdict, bool) {
 	switch {
 	case r.planner.impossible(j.Size):
@@ -98,6 +102,7 @@
 	return Verdict{}, false
 }
 
+// addUnplaced records that the job was not placed.
 func (r *round) addUnplaced(j *Job, v Verdict) {
 	v.Job = j.Spec.ID
 	if w := r.planner.waits[v.Job]; w != nil {
@@ -106,6 +111,7 @@
 	r.plan.Unplaced = append(r.plan.Unplaced, v)
 }
 
+// assign places the job on the worker. The profile of the job is in scratch.
 func (r *round) assign(j *Job, b *budget, v *view) {
 	b.usage = b.usage.Add(j.Size)
 	r.planner.charge(v, r.planner.domains.class(j.Spec.Team, j.Spec.Class), j.Size)
@@ -113,8 +119,8 @@
 		Assignment{Job: j.Spec.ID, Worker: v.id, Team: j.Spec.Team, Size: j.Size, Labels: j.Labels})
 }
 
-// impossible reports whether a size fits no worker even when it is empty.
-// Without any worker nothing is known, so nothing is impossible.
+// impossible reports whether a size exceeds every worker even when it is
+// empty. It is false while no worker is known.
 func (p *Planner) impossible(size model.Resources) bool {
 	for _, v := range p.byFree {
 		if size.Fits(v.emptyCapacity) {
@@ -124,8 +130,8 @@
 	return len(p.byFree) > 0
 }
 
-// avoid returns the workers that the job avoids: none when they are the only
-// ones that could hold it.
+// avoid returns the workers that the job avoids, or nil when they are the only
+// ones that are large enough for it.
 func (p *Planner) avoid(j *Job) []model.WorkerID {
 	if len(j.Avoid) == 0 {
 		return nil
@@ -138,9 +144,10 @@
 	return nil
 }
 
-// best returns the cheapest of the first candidates that pass the filters, in
-// ascending order of free processors; nil when none passes. The profile of
-// the job is in scratch.
+// best returns the worker with the lowest cost, or nil when none passes the
+// filters. It scores the first Options.Candidates workers that pass, in
+// ascending order of available processors. The profile of the job is in
+// scratch.
 func (p *Planner) best(j *Job, avoid []model.WorkerID) *view {
 	class := p.domains.class(j.Spec.Team, j.Spec.Class)
 	from, _ := slices.BinarySearchFunc(p.byFree, j.Size.CPU, func(v *view, cpu model.MilliCPU) int {
@@ -166,8 +173,9 @@
 	return best
 }
 
-// tally counts the workers by reason for a job that found no place, and gives
-// the most frequent one of those that accept tasks as the job's reason.
+// diagnose returns the verdict for a job that no worker can take: the number
+// of workers by reason, and as the job's reason the most frequent one other
+// than the state of the worker.
 func (p *Planner) diagnose(j *Job, avoid []model.WorkerID) Verdict {
 	var counts, rules [len(reasonNames)]int
 	for _, w := range p.byFree {
@@ -195,7 +203,8 @@
 	return v
 }
 
-// reject is check with kept workers; the profile of the job is in scratch.
+// checkWithReservations is check, except that reserved workers reject jobs
+// that are not urgent. The profile of the job is in scratch.
 func (p *Planner) checkWithReservations(v *view, urgent bool, size model.Resources) (Reason, int) {
 	if v.reserved && !urgent && v.accepts() {
 		return ReasonReserved, -1
@@ -203,7 +212,7 @@
 	return v.check(p.rules, &p.scratch, size, v.available())
 }
 
-// bytesOf encodes a rule set as a map key.
+// encodeRuleSet encodes a rule set for use in a map key.
 func encodeRuleSet(s ruleSet) []byte {
 	b := make([]byte, 0, 8*len(s))
 	for _, w := range s {
--- a/internal/policy/place/rules.go
+++ b/internal/policy/place/rules.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Rules are the compiled selectors of a configuration. They are immutable.
+// Rules holds the compiled selectors of a configuration. It is immutable.
 type Rules struct {
 	source      []NamedSelector
 	list        []rule
@@ -19,17 +19,18 @@
 	findings    finding.List
 }
 
+// rule is a compiled may-share or must-stay-apart selector.
 type rule struct {
 	name            string
 	kind            model.SelectorKind
 	subject, object labels.Selector
-	// hosts: the object may also select hosts. A selector that requires no
-	// label would match every host, so it selects work only.
+	// matchesHosts is true if the object also selects hosts. A selector that
+	// requires no label would match every host, so it selects work only.
 	matchesHosts bool
 }
 
-// CompileRules parses selectors. A selector that does not parse is left out
-// and is a finding.
+// CompileRules parses selectors. It ignores selectors that do not parse and
+// returns a finding for each of their defects.
 func CompileRules(selectors []NamedSelector) (*Rules, finding.List) {
 	r := &Rules{source: selectors}
 	for _, s := range selectors {
@@ -58,7 +59,7 @@
 	return r, r.findings
 }
 
-// same reports whether the rules were compiled from equal selectors.
+// compiledFrom reports whether the rules were compiled from equal selectors.
 func (r *Rules) compiledFrom(selectors []NamedSelector) bool {
 	if r == nil || len(r.source) != len(selectors) {
 		return false
@@ -71,8 +72,9 @@
 	return true
 }
 
-// YieldRank is the index of the first yields-first selector that matches, or
-// their number: lower yields earlier.
+// YieldRank returns the index of the first yields-first selector that matches
+// the labels, or the number of these selectors if none does. Work with a lower
+// rank is throttled and evicted first.
 func (r *Rules) YieldRank(l model.Labels) int {
 	for i, s := range r.yieldsFirst {
 		if s.Matches(l) {
@@ -82,7 +84,7 @@
 	return len(r.yieldsFirst)
 }
 
-// profile is what the rules say of one piece of work.
+// profile holds the rules that select one task or service.
 type profile struct {
 	subject, object ruleSet // rules whose subject or object selects the work
 }
@@ -93,7 +95,7 @@
 	return p
 }
 
-// fill overwrites a profile of the same rules.
+// fillProfile overwrites p, which must come from the same rules.
 func (r *Rules) fillProfile(p *profile, l model.Labels) {
 	clear(p.subject)
 	clear(p.object)
@@ -107,7 +109,7 @@
 	}
 }
 
-// host returns the rules whose object selects a host with these labels.
+// hostRules returns the rules whose object selects a host with these labels.
 func (r *Rules) hostRules(l model.Labels) ruleSet {
 	set := newRuleSet(len(r.list))
 	for i := range r.list {
@@ -118,12 +120,15 @@
 	return set
 }
 
-// occupancy is what the rules say of all the work on a worker.
+// occupancy summarises the profiles of all work on a worker: the rules whose
+// object selects the host, and the rules whose subject or object selects any
+// or all of the work.
 type occupancy struct {
 	host                             ruleSet
 	anySubject, anyObject, allObject ruleSet
 }
 
+// newOccupancy returns the occupancy of a worker without work.
 func (r *Rules) newOccupancy(host ruleSet) occupancy {
 	o := occupancy{host, newRuleSet(len(r.list)), newRuleSet(len(r.list)), newRuleSet(len(r.list))}
 	for i := range o.allObject {
@@ -144,10 +149,11 @@
 	}
 }
 
-// conflict returns the reason why work may not join a worker's work, and the
-// index of the rule. May-share: the work on a worker that the rule's object
-// selects may share it with anybody; elsewhere the subject shares only with
-// work that the object selects. Both kinds bind whichever piece came first.
+// conflict returns the reason why work may not join the work on a worker, and
+// the index of the rule; it returns ReasonNone, -1 if it may. On hosts that
+// the object of a may-share rule selects, the subject may share with any work;
+// on other hosts only with work that the object selects. Rules of both kinds
+// apply regardless of which work was placed first.
 func (r *Rules) conflict(o *occupancy, p *profile) (Reason, int) {
 	for i := range o.host {
 		apart := r.apart[i] & (p.subject[i]&(o.anyObject[i]|o.host[i]) | o.anySubject[i]&p.object[i])
@@ -162,7 +168,7 @@
 	return ReasonNone, -1
 }
 
-// ruleSet is a set of rule indexes.
+// ruleSet is a bit set of rule indexes.
 type ruleSet []uint64
 
 func newRuleSet(rules int) ruleSet { return make(ruleSet, (rules+63)/64) }
--- a/internal/policy/place/types.go
+++ b/internal/policy/place/types.go
@@ -1,6 +1,6 @@
-// Package place decides which worker runs which task. It is pure: a plan is a
-// function of a snapshot and of the rounds that the planner has seen, which
-// the caller verifies and applies.
+// Package place decides which worker runs which task. It does no input or
+// output and reads no clock: a plan depends only on the snapshot and on the
+// earlier rounds of the planner. The caller verifies and applies it.
 package place
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// WorkerState says whether a worker may get new tasks.
+// WorkerState determines whether a worker may get new tasks.
 type WorkerState uint8
 
-// States of a worker, as its chart and the health policy give them.
+// States of a worker. Their values and names are those of charts/worker.scxml.
 const (
 	WorkerReady WorkerState = iota
 	WorkerSuspect
@@ -27,19 +27,19 @@
 type Worker struct {
 	model.Worker
 	State WorkerState
-	// Charged is what the ledger counts: for each attempt that runs, stops or
-	// has an unknown outcome, the larger of declared and measured size, plus
-	// Reserved.
+	// Charged is Reserved plus, for each attempt that runs, stops or has an
+	// unknown outcome, the larger of its declared size and measured peak.
 	Charged  model.Resources
-	Reserved model.Resources // of the backend server, included in Charged
+	Reserved model.Resources // set aside for the backend server, included in Charged
 	Tasks    []Task          // attempts charged to the worker
 	Services []model.Labels  // labels of the services with a backend server here
-	// Unproven attempts have neither ended nor run long enough to show that
-	// the worker can run tasks. There are at most MaxUnproven; 0 is no bound.
+	// Unproven is the number of attempts that have neither ended nor run long
+	// enough to show that the worker can run tasks. No attempt is started
+	// while it is MaxUnproven or more; a MaxUnproven of 0 is no limit.
 	Unproven, MaxUnproven int
-	// Revision changes whenever another field changes. The planner keeps what
-	// it derived from a worker while the revision is the same; 0 makes it
-	// derive everything again.
+	// Revision changes whenever another field changes. The planner caches what
+	// it derives from a worker while the revision stays the same; 0 disables
+	// the cache.
 	Revision uint64
 }
 
@@ -52,22 +52,23 @@
 	Size        model.Resources
 	Urgent      bool
 	LongRunning bool
-	Stopping    bool          // it was told to stop, or its outcome is unknown
-	LostWork    time.Duration // work that an eviction now would lose
+	Stopping    bool          // a stop was requested, or the outcome is unknown
+	LostWork    time.Duration // work that evicting the attempt now would lose
 }
 
-// Job is a job that waits for a place.
+// Job is a job that waits to be placed.
 type Job struct {
 	Spec        model.JobSpec
 	Labels      model.Labels // spec labels with "team" and "class" added
 	Size        model.Resources
-	SubmitOrder uint64 // submission order: lower was submitted earlier
-	// Avoid lists workers on which the job failed. They are used only when
-	// the job fits no other worker.
+	SubmitOrder uint64 // lower values were submitted earlier
+	// Avoid lists workers on which the job failed. They are used only when no
+	// other worker is large enough for the job.
 	Avoid []model.WorkerID
 }
 
-// Claim keeps room on a worker for an urgent job whose victims are stopping.
+// Claim sets aside resources on a worker for an urgent job whose victims are
+// stopping.
 type Claim struct {
 	Job    model.JobID
 	Worker model.WorkerID
@@ -84,13 +85,13 @@
 	Claims    []Claim
 }
 
-// NamedSelector is a selector of the configuration.
+// NamedSelector is a selector of the configuration with its name.
 type NamedSelector struct {
 	Name string
 	model.Selector
 }
 
-// Assignment places a job on a worker. It carries what Verify needs.
+// Assignment places a job on a worker. It holds everything that Verify needs.
 type Assignment struct {
 	Job    model.JobID
 	Worker model.WorkerID
@@ -99,26 +100,27 @@
 	Labels model.Labels
 }
 
-// Verdict is the result for one job that was not placed.
+// Verdict says why a job was not placed.
 type Verdict struct {
 	Job      model.JobID `json:"job"`
 	Reason   Reason      `json:"reason"`
 	Selector string      `json:"selector,omitempty"` // name of the selector, for selector reasons
-	// Workers counts the workers by reason; verdicts share it, so it is
-	// read-only.
+	// Workers is the number of workers by reason. Verdicts share the map, so
+	// it is read-only.
 	Workers        map[Reason]int `json:"workers,omitempty"`
-	Rounds         int            `json:"rounds"`         // number of rounds in which the job found no place
-	ReservedWorker model.WorkerID `json:"kept,omitempty"` // the worker kept free for the job, if any
+	Rounds         int            `json:"rounds"`         // number of rounds in which no worker could take the job
+	ReservedWorker model.WorkerID `json:"kept,omitempty"` // reserved for the job; empty if none is
 }
 
 // Plan is the result of a round.
 type Plan struct {
 	Assignments []Assignment
 	Unplaced    []Verdict
-	Findings    finding.List // selectors that do not parse; they are not applied
+	Findings    finding.List // defects of selectors that do not parse; these are ignored
 }
 
-// Explanation is what one worker means for a job. ReasonNone: it would take it.
+// Explanation says whether one worker could take a job now. Reason is
+// ReasonNone if it could.
 type Explanation struct {
 	Worker   model.WorkerID `json:"worker"`
 	Reason   Reason         `json:"reason"`
--- a/internal/policy/place/verify.go
+++ b/internal/policy/place/verify.go
@@ -7,7 +7,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// TeamBudget is a team's use and quota at the time of a verification.
+// TeamBudget is a team's usage and quota at the time of a verification.
 type TeamBudget struct {
 	Use     model.Resources
 	Quota   model.Resources
@@ -15,7 +15,8 @@
 }
 
 // Verify checks an assignment against the newest state of its worker and
-// team. claimed is the room on the worker that claims keep for other jobs.
+// team and returns ReasonNone if it holds. claimed is the amount of resources
+// that claims set aside for other jobs on the worker.
 func Verify(w Worker, a Assignment, rules *Rules, team TeamBudget, claimed model.Resources) Reason {
 	if w.ID != a.Worker {
 		return ReasonUnknownWorker
@@ -31,12 +32,13 @@
 	return reason
 }
 
-// Explain says for each worker whether it would take the job now. It is nil
-// when the job does not wait in the snapshot.
+// Explain returns for each worker whether it could take the job now. It
+// returns nil when the job does not wait in the snapshot.
 func Explain(s Snapshot, job model.JobID) []Explanation { return New(Options{}).Explain(s, job) }
 
-// Explain is the function of that name with the workers that the planner
-// keeps for other jobs.
+// Explain returns for each worker whether it could take the job now, taking
+// into account the workers that the planner reserved. It returns nil when the
+// job does not wait in the snapshot.
 func (p *Planner) Explain(s Snapshot, job model.JobID) []Explanation {
 	var j *Job
 	for i := range s.Jobs {
@@ -71,7 +73,7 @@
 	switch {
 	case !j.Size.Fits(v.emptyCapacity):
 		r.Reason = ReasonImpossible
-		r.Text = fmt.Sprintf("needs %s, the empty worker has %s", amounts(j.Size), amounts(v.emptyCapacity))
+		r.Text = fmt.Sprintf("needs %s; the empty worker has %s", amounts(j.Size), amounts(v.emptyCapacity))
 	case !team.allows(j.Size):
 		r.Reason = ReasonQuota
 		r.Text = fmt.Sprintf("team %s uses %s of %s; the job needs %s", j.Spec.Team, amounts(team.usage), amounts(team.quota), amounts(j.Size))
@@ -79,7 +81,7 @@
 		r.Reason, r.Text = ReasonAvoid, "the job failed on the worker"
 	case reason == ReasonNone && reserved && holder != j.Spec.ID && !j.Spec.Urgent:
 		r.Reason = ReasonReserved
-		r.Text = fmt.Sprintf("the worker is kept free for job %s, which has waited %d rounds", holder, p.waits[holder].rounds)
+		r.Text = fmt.Sprintf("the worker is reserved for job %s, which has waited %d rounds", holder, p.waits[holder].rounds)
 	default:
 		r.Reason = reason
 		if rule >= 0 {
@@ -90,6 +92,7 @@
 	return r
 }
 
+// reservedFor returns the job for which a worker is reserved.
 func (p *Planner) reservedFor(w model.WorkerID) (model.JobID, bool) {
 	for id, wait := range p.waits {
 		if wait.worker == w {
@@ -99,6 +102,7 @@
 	return "", false
 }
 
+// text explains a reason of view.check to an operator.
 func (v *view) text(reason Reason, selector string, size model.Resources) string {
 	switch reason {
 	case ReasonWorkerState:
@@ -109,11 +113,11 @@
 	case ReasonResources:
 		return fmt.Sprintf("needs %s, free are %s", amounts(size), amounts(v.available()))
 	case ReasonUnproven:
-		return fmt.Sprintf("%d attempts on the worker have yet to prove that it can run tasks", v.unproven)
+		return fmt.Sprintf("%d attempts on the worker have not yet run long enough to prove that it can run tasks", v.unproven)
 	case ReasonMayShare, ReasonMustStayApart:
 		return fmt.Sprintf("selector %s (%s) excludes the work on the worker", selector, reason)
 	}
-	return "would take the job"
+	return "can take the job"
 }
 
 func amounts(r model.Resources) string {
--- a/internal/policy/place/view.go
+++ b/internal/policy/place/view.go
@@ -4,27 +4,27 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// view is what the planner derives from one worker.
+// view holds what the planner derives from one worker.
 type view struct {
 	id               model.WorkerID
 	revision         uint64
-	lastRound        uint64 // round in which the worker was last in the snapshot
+	lastRound        uint64 // last round in which the snapshot contained the worker
 	capacity         model.Resources
 	emptyCapacity    model.Resources // capacity without the backend server's reservation
 	free             model.Resources
-	claimed          model.Resources // part of free that claims keep
+	claimed          model.Resources // part of free that claims set aside
 	state            WorkerState
 	tasks            int
 	unproven         int
-	maxUnproven      int       // bound of unproven, 0 for none
-	services         occupancy // of the services, which stay
+	maxUnproven      int       // limit of unproven, 0 for none
+	services         occupancy // of the services only, which do not end as tasks do
 	work             occupancy // of the services and tasks
 	rack, dataCentre int       // indexes of the domains in planner.domains
 	classes          []int
-	reserved         bool // for a job that waited too long
+	reserved         bool // the worker is reserved for a job that has waited long
 }
 
-// available is the room for a job without a claim.
+// available returns the resources that a job without a claim may use.
 func (v *view) available() model.Resources { return v.free.Sub(v.claimed) }
 
 // accepts reports whether the state of the worker allows one more task.
@@ -32,7 +32,7 @@
 	return v.state == WorkerReady || v.state == WorkerProbation && v.tasks == 0
 }
 
-// newView derives everything but the domains and classes.
+// newView returns the view of a worker without its domains and classes.
 func newView(w *Worker, r *Rules) *view {
 	v := &view{
 		id: w.ID, revision: w.Revision, capacity: w.Capacity, emptyCapacity: w.Capacity.Sub(w.Reserved),
@@ -53,8 +53,9 @@
 	return v
 }
 
-// check is the filter that Plan, Verify and Explain share. room is what the
-// job may use. The second result is the index of the rule, or -1.
+// check is the filter that Plan, Verify and Explain share. available is the
+// amount of resources that the job may use. The second result is the index of
+// the rule that rejects the job, or -1.
 func (v *view) check(r *Rules, p *profile, size, available model.Resources) (Reason, int) {
 	if !v.accepts() {
 		return ReasonWorkerState, -1
@@ -68,8 +69,8 @@
 	return r.conflict(&v.work, p)
 }
 
-// domains numbers racks and data centres and counts each class's tasks in
-// them, for the spread score.
+// domains assigns indexes to racks and data centres and counts the tasks of
+// each class in them, so that cost can spread a class over the domains.
 type domains struct {
 	index   map[string]int
 	classes map[classKey]int
@@ -86,6 +87,7 @@
 	return &domains{index: map[string]int{}, classes: map[classKey]int{}}
 }
 
+// domain returns the index of a rack or data centre and adds a new one.
 func (d *domains) domain(kind, name string) int {
 	key := kind + "/" + name
 	i, ok := d.index[key]
@@ -96,6 +98,7 @@
 	return i
 }
 
+// class returns the index of a class and adds a new one.
 func (d *domains) class(team model.Team, class model.Class) int {
 	key := classKey{team, class}
 	i, ok := d.classes[key]
@@ -108,7 +111,7 @@
 	return i
 }
 
-// add changes the count of a class on a worker by n.
+// add changes the count of a class in the domains of a worker by n.
 func (d *domains) add(v *view, class int, n int32) {
 	row := d.counts[class]
 	for len(row) < len(d.index) {
@@ -120,7 +123,8 @@
 	d.totals[class] += n
 }
 
-// share is the part of the class's tasks in a domain, between 0 and 1.
+// share returns the share of the tasks of a class that run in a domain,
+// between 0 and 1.
 func (d *domains) share(class, domain int) float64 {
 	row := d.counts[class]
 	if domain >= len(row) || d.totals[class] == 0 {
