--- a/internal/policy/interfere/controller.go
+++ b/internal/policy/interfere/controller.go
@@ -13,14 +13,14 @@
 	Attempt         model.AttemptID
 	Class           model.Class
 	CPU             model.MilliCPU
-	CPULimitPercent int // present throttle; 100 is none
-	YieldRank       int // index of the first yields-first selector that matches
-	LostWork        time.Duration
-	Protected       bool // urgent work: throttled last and never stopped
-	Stopping        bool // was told to stop; still runs
+	CPULimitPercent int           // present limit in percent of CPU; 100 and 0 are no limit
+	YieldRank       int           // index of the first yields-first selector that matches
+	LostWork        time.Duration // work that stopping the task now would lose
+	Protected       bool          // urgent: throttled last and never stopped
+	Stopping        bool          // a stop was requested, but the task still runs
 }
 
-// Host is a worker with a service and batch tasks.
+// Host is the present state of a worker with its services and batch tasks.
 type Host struct {
 	Worker   model.WorkerID
 	CPU      model.MilliCPU // capacity
@@ -28,16 +28,16 @@
 	Tasks    []Task
 }
 
-// Step is what to do with a task.
+// Step is a kind of action on a task.
 type Step uint8
 
 // Steps, from mild to severe.
 const (
-	StepThrottle       Step = iota // limit to Percent; 100 removes the limit
-	StepCheckpointStop             // checkpoint, commit, stop
+	StepThrottle       Step = iota // set the limit to CPULimitPercent; 100 removes it
+	StepCheckpointStop             // write a checkpoint, commit it and stop the task
 )
 
-// Action is one step for one task.
+// Action is a step for one task. CPULimitPercent applies to StepThrottle.
 type Action struct {
 	Attempt         model.AttemptID
 	Step            Step
@@ -45,21 +45,22 @@
 	Reason          string
 }
 
-// Options of a controller. Zero values take the defaults.
+// Options holds the parameters of a controller. Fields that are 0 take their
+// defaults.
 type Options struct {
-	// Confidence is the number of standard deviations of the bound that a
-	// prediction must keep below the target at first. It then follows the
-	// missed windows.
+	// Confidence is the initial number of standard deviations by which a
+	// prediction must stay below the target; default 2. The controller then
+	// adjusts it to the share of windows that miss the target.
 	Confidence float64
-	RelaxAfter time.Duration // a limit is raised after so long without need
-	StopAfter  time.Duration // a task is stopped after so long at its lowest limit
+	RelaxAfter time.Duration // time for which a limit must be unnecessary before it is raised; default 1 s
+	StopAfter  time.Duration // time for which the lowest limits must be insufficient before a task is stopped; default 30 s
 }
 
 const (
 	defaultConfidence = 2
 	defaultRelaxAfter = time.Second
-	// missedWindows is the part of a service class's windows that may miss the
-	// target; with three classes a host stays below 1%.
+	// maxMissedShare is the share of a service class's windows that may miss
+	// the target. A host with three classes then misses less than 1%.
 	maxMissedShare = 0.005
 	confidenceGain = 0.2
 	minConfidence  = 1
@@ -68,34 +69,38 @@
 	defaultStopAfter = 30 * time.Second
 	minLimitPercent  = 5
 	limitStepPercent = 5
-	// relaxMargin keeps a limit from swinging: it is raised only if the
-	// prediction then still is this much below the target.
+	// raiseMargin prevents limits from oscillating: a limit is raised only if
+	// the predicted ln(p99/target) stays below 0 by this much.
 	raiseMargin = 0.01
-	// leastHarm is the effect up to which a batch class is left alone: less
-	// than 10% of the latency with the whole host at full load.
-	maxHarmless = 0.1
-	// offsetGain is how fast a host's own offset follows its residuals.
+	// maxHarmlessCoefficient is the coefficient up to which a batch class is not
+	// throttled. It adds about 10% to the latency when the class has the whole
+	// host at full load.
+	maxHarmlessCoefficient = 0.1
+	// offsetGain is the weight of a new residual in a host's offset, and
+	// maxOffset the limit of the offset's magnitude.
 	offsetGain = 0.05
 	maxOffset  = 0.5
 )
 
-// Controller decides for the hosts of one cell. It has one owner.
+// Controller decides for the hosts of one cell. It is not safe for concurrent
+// use.
 type Controller struct {
 	opts        Options
 	learner     *Learner
 	hosts       map[model.WorkerID]*hostState
-	confidences map[ServiceClass]float64 // confidence in standard deviations
+	confidences map[ServiceClass]float64 // in standard deviations
 }
 
+// hostState is what a controller keeps for a host.
 type hostState struct {
 	loads             map[ServiceClass]*loadTracker
-	offsets           map[ServiceClass]float64 // how far the host is from the model
+	offsets           map[ServiceClass]float64 // smoothed residuals: the host's difference from the model
 	history           history
-	raisableSince     time.Duration // since when every limit could be raised; 0: not now
-	insufficientSince time.Duration // since when throttling is not enough; 0: it is
+	raisableSince     time.Duration // when limits became raisable; 0 if none is
+	insufficientSince time.Duration // when the lowest limits became insufficient; 0 if they suffice
 }
 
-// New returns a controller that has learned nothing.
+// New returns a controller without samples.
 func New(opts Options) *Controller {
 	opts.Confidence = cmp.Or(opts.Confidence, defaultConfidence)
 	opts.RelaxAfter = cmp.Or(opts.RelaxAfter, defaultRelaxAfter)
@@ -103,7 +108,7 @@
 	return &Controller{opts: opts, learner: NewLearner(), hosts: map[model.WorkerID]*hostState{}, confidences: map[ServiceClass]float64{}}
 }
 
-// Learner gives read access to the effects.
+// Learner returns the learner, from which the caller may read coefficients.
 func (c *Controller) Learner() *Learner { return c.learner }
 
 func (c *Controller) host(id model.WorkerID) *hostState {
@@ -115,12 +120,12 @@
 	return h
 }
 
-// Remove forgets a worker; the effects stay.
+// Remove deletes the state of a worker. The coefficients stay.
 func (c *Controller) Remove(id model.WorkerID) { delete(c.hosts, id) }
 
-// Decide returns the steps for the tasks of a host, none when all may stay as
-// they are. The exposure that it sees is what later reports are compared
-// with, so it is called at least once a second while tasks run.
+// Decide returns the actions for the tasks of a host. It also records the
+// exposure and load with which later reports are compared, so it must be
+// called at least once a second while tasks run.
 func (c *Controller) Decide(now time.Duration, h Host) []Action {
 	state := c.host(h.Worker)
 	decision := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
@@ -141,10 +146,11 @@
 	return actions
 }
 
-// Admit returns the limit in percent with which a task of a class may start
-// on a host without a service missing its target.
+// Admit returns the highest limit in percent with which a task may start on a
+// host so that the services are predicted to meet their targets, or
+// minLimitPercent if none is low enough. A harmless task gets 100.
 func (c *Controller) Admit(h Host, t Task) int {
-	if c.MaxCoefficient(h.Services, t.Class) <= maxHarmless {
+	if c.MaxCoefficient(h.Services, t.Class) <= maxHarmlessCoefficient {
 		return 100
 	}
 	h.Tasks = append(slices.Clone(h.Tasks), t)
@@ -167,7 +173,8 @@
 	return decision.limits[last]
 }
 
-// bound returns the confidence for a service class.
+// confidence returns the number of standard deviations by which a prediction
+// for a service class must stay below the target.
 func (c *Controller) confidence(s ServiceClass) float64 {
 	if confidence, ok := c.confidences[s]; ok {
 		return confidence
@@ -175,9 +182,9 @@
 	return c.opts.Confidence
 }
 
-// calibrate moves the confidence so that the windows that miss the target
-// become as many as may: the deviation alone does not cover what the model
-// does not know.
+// calibrate adjusts the confidence so that the share of windows that miss the
+// target approaches maxMissedShare. The deviation of a prediction alone does
+// not cover the errors of the model.
 func (c *Controller) calibrate(s ServiceClass, missed bool) {
 	confidence := c.confidence(s) - confidenceGain*maxMissedShare
 	if missed {
@@ -186,8 +193,8 @@
 	c.confidences[s] = max(minConfidence, min(maxConfidence, confidence))
 }
 
-// MaxCoefficient returns the greatest mean effect of a batch class on the services, 0
-// if it harms none.
+// MaxCoefficient returns the largest mean coefficient of a batch class for the
+// services, or 0 if none is positive.
 func (c *Controller) MaxCoefficient(services []ServiceLoad, class model.Class) float64 {
 	highest := 0.0
 	for _, s := range services {
--- a/internal/policy/interfere/controller_test.go
+++ b/internal/policy/interfere/controller_test.go
@@ -12,8 +12,9 @@
 
 var shortRequests = ServiceClass{"wick-orders", "short"}
 
-// taught returns a controller that knows two batch classes: at full load the
-// noisy one adds 3 to the logarithm with the whole host, the quiet one none.
+// trainedController returns a controller with samples of two batch classes:
+// noisy has the coefficient 3, quiet the coefficient 0. base is
+// ln(p99/target) without load.
 func trainedController(base float64) *Controller {
 	c := New(Options{})
 	for i := range 600 {
@@ -29,11 +30,13 @@
 	return Task{Attempt: model.AttemptID{Job: model.JobID(job), Number: 1}, Class: class, CPU: model.MilliCPU(cores * 1000), CPULimitPercent: 100}
 }
 
+// hostAtLoad returns a host with 16 cores whose service has the given load.
 func hostAtLoad(load float64, tasks ...Task) Host {
 	return Host{Worker: "w", CPU: 16000, Tasks: tasks, Services: []ServiceLoad{{Service: shortRequests, Arrivals: load * 100, ServiceTime: 80 * time.Millisecond, Slots: 8}}}
 }
 
-// Guards against throttling work that does no harm, or in the wrong order.
+// Guards against throttling harmless tasks, and against throttling tasks of a
+// higher yield rank first.
 func TestThrottlesHarmfulTasksInYieldOrder(t *testing.T) {
 	c := trainedController(-1)
 	first, second := newTask("first", "noisy", 4), newTask("second", "noisy", 4)
@@ -52,8 +55,8 @@
 	require.Equal(t, 100, c.Admit(hostAtLoad(1, first), newTask("new", "quiet", 8)))
 }
 
-// Guards against limits that swing with every report, and against limits that
-// stay after the load is gone.
+// Guards against limits that oscillate because they are raised at once, and
+// against limits that stay after the load has fallen.
 func TestLimitsRiseAfterRelaxTime(t *testing.T) {
 	c := trainedController(-1)
 	limited := newTask("a", "noisy", 8)
@@ -65,10 +68,10 @@
 	require.Equal(t, 100, actions[0].CPULimitPercent)
 }
 
-// Guards against evictions where a limit is enough, more than one eviction at
-// a time, an eviction of urgent work, and the wrong victim.
+// Guards against evictions before limits were tried for StopAfter, more than
+// one eviction at a time, evictions of urgent tasks, and the wrong victim.
 func TestStopsOnlyAfterLimitsFailed(t *testing.T) {
-	c := trainedController(0.2) // the target is missed even without batch work
+	c := trainedController(0.2) // the service misses its target even without batch tasks
 	dear, cheap, urgent := newTask("dear", "noisy", 4), newTask("cheap", "noisy", 4), newTask("urgent", "noisy", 4)
 	dear.LostWork, cheap.LostWork, urgent.Protected = time.Hour, time.Minute, true
 	tasks := []Task{dear, cheap, urgent}
@@ -92,8 +95,8 @@
 	require.Equal(t, minLimitPercent, tasks[2].CPULimitPercent)
 }
 
-// Guards against a surge that is only noticed when the lagging report shows
-// the harm.
+// Guards against a surge that is detected only by the lagging report of a
+// missed target, although arrivals and queues at the entries show it earlier.
 func TestForecastUsesQueueAndArrivals(t *testing.T) {
 	s := ServiceLoad{Busy: 0.2, Slots: 8, ServiceTime: 80 * time.Millisecond, Arrivals: 90}
 	require.InDelta(t, 0.9, s.Forecast(), 1e-9)
@@ -109,13 +112,14 @@
 			}
 			got := tracker.update(time.Duration(cycle*60+s)*time.Second, load)
 			if cycle == 2 && s == 51 {
-				require.Greater(t, got, 0.55, "the third rise is taken to go as far as the earlier ones")
+				require.Greater(t, got, 0.55, "the third rise is expected to go as far as the earlier ones")
 			}
 		}
 	}
 }
 
-// Guards against comparing a late report with what runs when it arrives.
+// Guards against a late report that is compared with the tasks at its arrival
+// instead of those in its window, which gives wrong coefficients.
 func TestReportsAreComparedWithTheirWindow(t *testing.T) {
 	c := New(Options{})
 	noisy := newTask("a", "noisy", 16)
@@ -138,8 +142,8 @@
 	require.InDelta(t, 2, c.learner.Coefficient(shortRequests, "noisy").Mean, 0.5)
 }
 
-// Guards against a new service class that starts without what is known of the
-// batch class from other services.
+// Guards against a new service class whose coefficients do not start at the
+// means of the batch classes over the other services.
 func TestNewPairStartsAtClassMean(t *testing.T) {
 	c := trainedController(-1)
 	other := ServiceClass{"permit-desk", "new"}
--- a/internal/policy/interfere/decision.go
+++ b/internal/policy/interfere/decision.go
@@ -9,17 +9,17 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// decision is the work of one Decide call.
+// decision is the state of one Decide or Admit call.
 type decision struct {
 	controller *Controller
 	state      *hostState
 	host       *Host
-	loads      []float64 // by service
-	limits     []int     // percent by task
-	targets    []int     // chosen limits
+	loads      []float64 // by index of the service
+	limits     []int     // present limits in percent, by index of the task
+	targets    []int     // chosen limits in percent, by index of the task
 }
 
-// exposure is what the limits let each class use.
+// exposure returns the exposure of the services under the limits.
 func (d *decision) exposure() Exposure {
 	e := Exposure{}
 	for i, t := range d.host.Tasks {
@@ -28,8 +28,8 @@
 	return e
 }
 
-// worst returns the largest of the services' predictions with sign standard
-// deviations of their confidence.
+// maxPrediction returns the largest prediction of ln(p99/target) of the
+// services: the mean plus sign times the confidence in standard deviations.
 func (d *decision) maxPrediction(sign float64) float64 {
 	e := d.exposure()
 	highest := -1e9
@@ -41,13 +41,14 @@
 	return highest
 }
 
+// upperBound returns the largest upper bound of the services' predictions.
 func (d *decision) upperBound() float64 {
 	return d.maxPrediction(1)
 }
 
-// choose sets target to the highest limits that keep the bound: tasks that
-// yield first, and among them the most harmful, give way first. It reports
-// whether the lowest limits suffice for the mean prediction.
+// chooseTargets sets targets to the highest limits for which no upper bound
+// exceeds a target. It limits the tasks in throttleOrder. It returns false if
+// even the lower bounds of the predictions exceed a target at these limits.
 func (d *decision) chooseTargets() (sufficient bool) {
 	present := slices.Clone(d.limits)
 	for i := range d.limits {
@@ -76,7 +77,9 @@
 	return sufficient
 }
 
-// order lists the tasks that harm a service, by who gives way first.
+// throttleOrder returns the indexes of the harmful tasks in the order in which
+// they are throttled: urgent tasks last, then by yield rank, then the largest
+// coefficient first, then the least lost work first.
 func (d *decision) throttleOrder() []int {
 	coefficients := map[model.Class]float64{}
 	for _, t := range d.host.Tasks {
@@ -86,7 +89,7 @@
 	}
 	order := make([]int, 0, len(d.host.Tasks))
 	for i, t := range d.host.Tasks {
-		if coefficients[t.Class] > maxHarmless {
+		if coefficients[t.Class] > maxHarmlessCoefficient {
 			order = append(order, i)
 		}
 	}
@@ -98,6 +101,7 @@
 	return order
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -108,7 +112,8 @@
 	return 1
 }
 
-// throttle lowers limits at once and raises them after a calm time.
+// applyTargets lowers limits at once. It raises them after they were raisable
+// for Options.RelaxAfter.
 func (d *decision) applyTargets(now time.Duration) []Action {
 	var actions []Action
 	raisable := false
@@ -134,7 +139,8 @@
 	return d.raiseLimits()
 }
 
-// raise moves limits up to their target while the bound keeps a margin.
+// raiseLimits raises each limit to its target if the upper bound then stays
+// below 0 by raiseMargin.
 func (d *decision) raiseLimits() []Action {
 	var actions []Action
 	for i, t := range d.host.Tasks {
@@ -147,21 +153,23 @@
 			d.limits[i] = present
 			continue
 		}
-		actions = append(actions, d.throttleAction(i, "the services have room again"))
+		actions = append(actions, d.throttleAction(i, "the services on the host meet their targets without the lower limit"))
 	}
 	return actions
 }
 
+// throttleAction returns the action that sets a task's limit to its target.
 func (d *decision) throttleAction(i int, reason string) Action {
 	return Action{Attempt: d.host.Tasks[i].Attempt, Step: StepThrottle, CPULimitPercent: d.targets[i], Reason: reason}
 }
 
-// stop chooses one victim when the lowest limits have not been enough for a
-// time; after it, the time starts again.
+// stopVictim stops one task when the lowest limits were insufficient for
+// Options.StopAfter. The time starts again after each stop, and while a task
+// is stopping.
 func (d *decision) stopVictim(now time.Duration, sufficient bool) []Action {
 	for _, t := range d.host.Tasks {
 		if t.Stopping {
-			sufficient = true // wait for its effect
+			sufficient = true // wait until its end takes effect
 		}
 	}
 	if sufficient {
@@ -188,7 +196,8 @@
 		Reason: fmt.Sprintf("a service on the host misses its target although harmful tasks are limited to %d%%", minLimitPercent)}}
 }
 
-// yieldsBefore orders victims: yields-first, then the least lost work.
+// yieldsBefore reports whether a is stopped before b: by yield rank, then by
+// the least lost work.
 func yieldsBefore(a, b Task) bool {
 	return cmp.Or(cmp.Compare(a.YieldRank, b.YieldRank), cmp.Compare(a.LostWork, b.LostWork)) < 0
 }
--- a/internal/policy/interfere/history.go
+++ b/internal/policy/interfere/history.go
@@ -6,21 +6,24 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// keepHistory covers a report that lags by several times the usual 10 s.
+// historyDuration covers reports that lag by several times the usual 10 s.
 const historyDuration = 2 * time.Minute
 
-// history is what a host's services were exposed to, for reports that come
-// later.
+// history records the loads and exposures on a host, with which reports of
+// past windows are compared.
 type history struct {
 	entries []historyEntry
 }
 
+// historyEntry is the state of a host at one time.
 type historyEntry struct {
 	at       time.Duration
 	exposure Exposure
 	loads    map[ServiceClass]float64
 }
 
+// add appends an entry and removes the entries older than historyDuration
+// when they are more than half.
 func (h *history) add(now time.Duration, host *Host, e Exposure) {
 	entry := historyEntry{now, e, make(map[ServiceClass]float64, len(host.Services))}
 	for _, s := range host.Services {
@@ -36,9 +39,9 @@
 	}
 }
 
-// worst returns the load and exposure at the moment between two times for
-// which predict is highest: the p99 of a window is that of its worst moment.
-// ok is false when nothing is known of the window.
+// highestPrediction returns the load and exposure of the entry in [from, to)
+// for which predict is highest, because the worst moment of a window
+// determines its p99. ok is false when no entry is in the window.
 func (h *history) highestPrediction(s ServiceClass, from, to time.Duration, predict func(load float64, e Exposure) float64) (load float64, e Exposure, ok bool) {
 	highest := 0.0
 	for i := range h.entries {
@@ -57,13 +60,14 @@
 type Report struct {
 	Worker   model.WorkerID
 	Service  ServiceClass
-	From, To time.Duration // the measured window
+	From, To time.Duration // measured window [From, To)
 	P99      time.Duration
 	Target   time.Duration
 }
 
-// Observe learns from a report. It compares the measurement with what ran in
-// the measured window, not with what runs now.
+// Observe updates the coefficients with a report. It compares the measurement
+// with the load and exposure of the measured window, not the present ones. It
+// ignores reports without a P99 or of windows that are not in the history.
 func (c *Controller) Observe(r Report) {
 	state := c.host(r.Worker)
 	load, exposure, ok := state.history.highestPrediction(r.Service, r.From, r.To, func(load float64, e Exposure) float64 {
--- a/internal/policy/interfere/learner.go
+++ b/internal/policy/interfere/learner.go
@@ -1,8 +1,9 @@
-// Package interfere decides when batch tasks slow a service on the same host,
-// and which task to throttle or to stop. It learns the effect of each pair
-// of service class and batch class from lagging measurements and acts on the
-// load that leading signals announce. It is pure: times are durations on the
-// owner's monotonic clock.
+// Package interfere decides which batch tasks to throttle or to stop because
+// they slow a service on the same host. It estimates an interference
+// coefficient for each pair of service class and batch class from lagging
+// measurements, and decides for the load that is forecast from the arrivals
+// and queues at the entries. It does no input or output and reads no clock:
+// times are durations on the caller's monotonic clock.
 package interfere
 
 import (
@@ -12,69 +13,76 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// ServiceClass is a class of a service's requests with its own target.
+// ServiceClass is a class of a service's requests with its own latency target.
 type ServiceClass struct {
 	Service model.Service
 	Class   model.Class
 }
 
-// Exposure is what a service shared its host with: for each batch class the
-// part of the host's processors that its tasks could use, after throttling.
+// Exposure holds, for each batch class on a service's host, the share of the
+// host's processors that the tasks of the class may use under their limits.
 type Exposure map[model.Class]float64
 
 // Sample is one measurement of a service class on a host.
 type Sample struct {
 	Service  ServiceClass
 	P99      time.Duration
-	Target   time.Duration // of P99
-	Load     float64       // share of the slots in use, at the worst moment
+	Target   time.Duration // for P99
+	Load     float64       // share of the slots in use, at the worst moment of the window
 	Exposure Exposure      // at the same moment
 }
 
-// Estimate is a prediction of ln(p99/target): the service is inside its
-// target while it is negative.
+// Estimate is an estimate with its standard deviation: of ln(p99/target),
+// which is negative while the service meets its target, or of a coefficient.
 type Estimate struct{ Mean, Deviation float64 }
 
 const (
-	baseTerms = 4 // 1, load, load² and load·(sum of the effects)²
-	// priorEffect is what an unknown batch class is taken to do to the
-	// logarithm at full load and with the whole host; unknown is harmful.
+	baseTerms = 4 // 1, load, load² and load·(Σ coefficient·exposure)²
+	// priorCoefficient is the coefficient assumed for an unknown batch class,
+	// which counts as harmful until it was measured.
 	priorCoefficient = 0.5
-	// pairDeviation is how far a pair may be from its class's mean, and
-	// classDeviation how far a class may be from priorEffect.
+	// Standard deviations of the priors: of a pair's coefficient around the
+	// mean of its batch class, of that mean around priorCoefficient, of the
+	// first three base terms and of the quadratic one.
 	pairDeviation      = 0.7
 	classDeviation     = 0.7
 	baseDeviation      = 3.0
 	quadraticDeviation = 0.3
-	initialNoise       = 0.15 // standard deviation before anything was measured
+	initialNoise       = 0.15 // standard deviation of one sample before the first measurement
 	minNoise           = 0.03
 	noiseGain          = 0.01
-	// forget gives a memory of 5,000 samples, 75 minutes of 11 workers that
-	// report every 10 s.
+	// sampleDecay is the factor by which each sample reduces the weight of
+	// earlier ones. It averages over about 5,000 samples: 75 minutes of 11
+	// workers that report every 10 s.
 	sampleDecay = 0.9998
-	// refreshAfter samples the posterior is computed again.
+	// refreshAfter is the number of samples after which the posterior is
+	// computed again.
 	refreshAfter = 8
-	// nearTarget is the distance from the target at which a sample counts half.
-	// The law is not linear; it has to be right where decisions are made.
+	// nearTarget is the distance of ln(p99/target) from 0 at which a sample has
+	// half the weight. The true relation is not linear, so the fit favours
+	// samples near the target, where decisions are made.
 	nearTarget = 0.4
 )
 
-// Learner holds the effects of all pairs: for each service class a Bayesian
-// linear regression of ln(p99/target) on the load and on load·exposure of
-// each batch class, whose prior is the batch class's mean over the services.
+// Learner estimates the interference coefficients of all pairs of service
+// class and batch class. For each service class it keeps a Bayesian linear
+// regression of ln(p99/target) on the load and on load·exposure of each batch
+// class. The prior of a coefficient is the mean of its batch class over the
+// services. A Learner is not safe for concurrent use.
 type Learner struct {
 	classIndex map[model.Class]int
 	services   map[ServiceClass]*regression
 	classMeans []float64 // by class index
 }
 
+// regression is the regression of one service class.
 type regression struct {
 	information  symmetric // Σ x·xᵀ/noise²
 	weightedSum  []float64 // Σ x·y/noise²
 	covariance   symmetric // posterior
 	mean         []float64 // posterior
 	noise        float64   // variance of one sample
-	sinceRefresh int       // samples since the posterior was computed; -1: never
+	sinceRefresh int       // samples since the posterior was computed; -1 if it has to be computed
 	features     []float64 // scratch
 }
 
@@ -83,7 +91,8 @@
 	return &Learner{classIndex: map[model.Class]int{}, services: map[ServiceClass]*regression{}}
 }
 
-// class returns the index of a batch class and makes room for a new one.
+// class returns the index of a batch class. It extends all regressions by a
+// new one.
 func (l *Learner) class(c model.Class) int {
 	i, ok := l.classIndex[c]
 	if ok {
@@ -99,6 +108,7 @@
 	return i
 }
 
+// service returns the regression of a service class, a new one if necessary.
 func (l *Learner) service(s ServiceClass) *regression {
 	r := l.services[s]
 	if r == nil {
@@ -109,7 +119,7 @@
 	return r
 }
 
-// features fills the regression's scratch vector.
+// fillFeatures fills and returns the regression's scratch vector.
 func (l *Learner) fillFeatures(r *regression, load float64, e Exposure) []float64 {
 	clear(r.features)
 	r.features[0], r.features[1], r.features[2] = 1, load, load*load
@@ -119,13 +129,14 @@
 		r.features[baseTerms+i] = load * share
 		total += l.classMeans[i] * share
 	}
-	// Effects of several tasks do not simply add up.
+	// The effects of several tasks are not additive.
 	r.features[3] = load * total * total
 	return r.features
 }
 
-// Observe learns from a sample and returns by how much it was above the
-// prediction.
+// Observe updates the regression with a sample and returns the difference of
+// ln(p99/target) from its prediction. It ignores samples without a P99 or a
+// target.
 func (l *Learner) Observe(s Sample) (residual float64) {
 	if s.P99 <= 0 || s.Target <= 0 {
 		return 0
@@ -153,8 +164,8 @@
 	return residual
 }
 
-// Predict estimates a service class at a load with an exposure. The deviation
-// includes the noise of one window.
+// Predict estimates ln(p99/target) of a service class at a load and an
+// exposure. The deviation includes the noise of one measured window.
 func (l *Learner) Predict(s ServiceClass, load float64, e Exposure) Estimate {
 	for c := range e {
 		l.class(c)
@@ -206,8 +217,8 @@
 	l.poolClassMeans()
 }
 
-// pool computes the mean of each batch class over the services, shrunk to
-// priorEffect by how little is known.
+// poolClassMeans computes the mean coefficient of each batch class over the
+// services. The less is known, the closer it is to priorCoefficient.
 func (l *Learner) poolClassMeans() {
 	for c := range l.classMeans {
 		weight := 1 / (classDeviation * classDeviation)
@@ -217,7 +228,7 @@
 			if r.sinceRefresh < 0 || i >= len(r.mean) {
 				continue
 			}
-			known := 1 - r.covariance.at(i, i)/(pairDeviation*pairDeviation) // 0: only the prior
+			known := 1 - r.covariance.at(i, i)/(pairDeviation*pairDeviation) // 0 if only the prior is known
 			precision := max(0, known) / (pairDeviation * pairDeviation)
 			sum += precision * r.mean[i]
 			weight += precision
--- a/internal/policy/interfere/load.go
+++ b/internal/policy/interfere/load.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// ServiceLoad is what is known now of a service class on a host. Busy lags;
-// the other fields come from the entries and lead.
+// ServiceLoad is the present load of a service class on a host. Busy comes
+// from lagging reports; Arrivals and Queued come from the entries and show a
+// change before Busy does.
 type ServiceLoad struct {
 	Service     ServiceClass
-	Busy        float64       // share of slots in use in the newest report
-	Arrivals    float64       // requests a second that the entries send here
-	Queued      float64       // this host's part of the entries' queues
+	Busy        float64       // share of the slots in use, from the newest report
+	Arrivals    float64       // requests per second that the entries send to the host
+	Queued      float64       // requests in the entries' queues for this host
 	ServiceTime time.Duration // mean
 	Slots       int
 }
 
-// drainWithin is how quickly a queue is meant to be worked off; it turns a
+// queueDrainTime is the time in which a queue should be served. It converts a
 // queue length into a load.
 const queueDrainTime = 2 * time.Second
 
-// Forecast returns the share of the slots that the service will use: what it
-// used lately, or what is arriving and queued now if that is more.
+// Forecast returns the share of the slots that the present arrivals and queue
+// will use, at most 1. It returns Busy when the entries report neither or the
+// number of slots is unknown.
 func (s ServiceLoad) Forecast() float64 {
 	if s.Slots <= 0 {
 		return s.Busy
@@ -32,9 +34,9 @@
 	return expected
 }
 
-// forecast follows the load of a service on a host: a rise at once, a fall
-// slowly, because a surge comes in several waves. When a rise begins, it takes
-// the load to go as far as earlier rises went.
+// loadTracker smooths the load of a service on a host. It follows a rise at
+// once and a fall slowly, because a surge comes in several waves. At the start
+// of a rise it assumes that the load rises as far as it did in earlier rises.
 type loadTracker struct {
 	value       float64
 	recent      [riseSpan]float64 // loads of the last updates, the newest first
@@ -43,27 +45,29 @@
 
 	rising       bool
 	risingSince  time.Duration
-	startLoad    float64 // load before the rise
+	startLoad    float64 // before the rise
 	peakLoad     float64
-	typicalRise  float64 // how far rises go
-	reservedLoad float64 // load that room is kept for during the rise
+	typicalRise  float64 // running average of peakLoad - startLoad
+	reservedLoad float64 // load expected at the peak of the present rise, 0 without one
 }
 
 const (
 	// fallTime is the time constant of a falling load.
 	fallTime = 4 * time.Second
-	// riseSpan updates, which are about a second apart, show a rise.
+	// riseSpan is the number of updates, about a second apart, over which a
+	// rise is detected.
 	riseSpan = 3
-	// leastRise is the rise over riseSpan that counts: 2.5 times the deviation
-	// of the difference when single seconds vary by 0.02.
+	// minRise is the smallest rise over riseSpan that is detected: 2.5 times
+	// the standard deviation of the difference when single seconds vary by 0.02.
 	minRise = 0.07
-	// riseTime is how long room is kept for a rise that has begun.
+	// riseReserveTime is how long the expected peak is assumed after the start
+	// of a rise.
 	riseReserveTime = 6 * time.Second
-	// riseGain is how fast the typical rise follows the rises.
+	// riseGain is the weight of a new rise in typicalRise.
 	riseGain = 0.3
 )
 
-// update returns the load to decide for.
+// update adds a load and returns the load for which to decide.
 func (f *loadTracker) update(now time.Duration, load float64) float64 {
 	elapsed := now - f.updatedAt
 	f.updatedAt = now
@@ -84,7 +88,8 @@
 	return f.value
 }
 
-// rise detects the begin and end of a rise and learns how far it went.
+// trackRise detects the start of a rise, ends it after riseReserveTime and
+// updates typicalRise.
 func (f *loadTracker) trackRise(now time.Duration, load float64) {
 	earlier := f.recent[riseSpan-1]
 	if !f.rising && load-earlier > minRise {
--- a/internal/policy/interfere/matrix.go
+++ b/internal/policy/interfere/matrix.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// grown returns a copy with one more row and column of zeros.
+// extended returns a copy with one more row and column of zeros.
 func (m symmetric) extended() symmetric {
 	g := newSymmetric(m.n + 1)
 	for i := range m.n {
@@ -32,8 +32,8 @@
 	return g
 }
 
-// inverse returns the inverse of a positive definite matrix by its Cholesky
-// factor. A pivot that rounding made too small is raised.
+// inverse returns the inverse of a positive definite matrix, computed from its
+// Cholesky factor. A pivot that is too small because of rounding is raised.
 func (m symmetric) inverse() symmetric {
 	n := m.n
 	l := newSymmetric(n)
@@ -53,7 +53,7 @@
 	return l.invertFactor()
 }
 
-// invertFactor returns (L·Lᵀ)⁻¹ for the lower triangle L.
+// invertFactor returns (L·Lᵀ)⁻¹, where L is the lower triangle of m.
 func (m symmetric) invertFactor() symmetric {
 	n := m.n
 	out := newSymmetric(n)
@@ -97,6 +97,7 @@
 	return sum
 }
 
+// dot returns the dot product of two vectors.
 func dot(a, b []float64) float64 {
 	sum := 0.0
 	for i := range a {
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -10,20 +10,21 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// The synthetic world: 11 hosts of a deployment, each with an instance of its
-// service and batch tasks from an endless backlog. Its law differs from the
-// learner's model: another power of the load, saturation and host offsets.
+// The simulation: the hosts of a deployment, each with an instance of its
+// service and batch tasks from an endless backlog. Its latency model differs
+// from the learner's in the power of the load, saturation and host offsets.
 
 const (
 	reportWindow   = 10 // seconds
 	reportLag      = 10 // seconds after the window's end
 	fillShare      = 0.75
-	maxLostSeconds = 20 // seconds of work that an eviction loses
+	maxLostSeconds = 20 // seconds of work that an eviction loses at most
 )
 
 var simClasses = []model.Class{"short", "post", "list"}
 
-// truth is what the policies do not see.
+// groundTruth is the true latency model, which the policies under test do not
+// see.
 type groundTruth struct {
 	coefficients map[model.Class]map[model.Class]float64 // service class, batch class
 	base, rise   map[model.Class]float64
@@ -51,7 +52,7 @@
 	return truth
 }
 
-// excess is ln(p99/target) without noise.
+// logRatio returns ln(p99/target) without noise.
 func (tr *groundTruth) logRatio(host int, s model.Class, load float64, e Exposure) float64 {
 	sum := 0.0
 	for _, c := range measure.Classes { // in order: map order changes the last bits
@@ -71,11 +72,11 @@
 	windowMax map[model.Class]float64 // in the present window
 }
 
-// simPolicy acts on one host each second.
+// simPolicy is called for each host once a second.
 type simPolicy interface {
 	report(now int, r Report, host int)
 	step(now int, host int, h Host, next float64) []Action
-	admit(host int, h Host, t Task) int // the limit to start with
+	admit(host int, h Host, t Task) int // returns the limit in percent at the start
 }
 
 type sim struct {
@@ -107,7 +108,7 @@
 	return s
 }
 
-// fill starts tasks from the backlog while they fit.
+// startTasks starts up to four tasks from the backlog while they fit.
 func (s *sim) startTasks(now, i int, h *simHost) {
 	used := model.MilliCPU(0)
 	for _, t := range h.tasks {
@@ -140,6 +141,7 @@
 	return e
 }
 
+// run simulates the learning time, then the measured time, both in seconds.
 func (s *sim) run(learnSeconds, measuredSeconds int) {
 	s.measureFrom = learnSeconds
 	for now := range learnSeconds + measuredSeconds {
@@ -157,6 +159,7 @@
 	}
 }
 
+// runSecond simulates one second of a host.
 func (s *sim) runSecond(now, i int, h *simHost) {
 	load, exposure := s.load(i, now), h.exposure()
 	for _, c := range simClasses {
@@ -184,7 +187,7 @@
 	s.runPolicy(now, i, h)
 }
 
-// window ends a measured window and schedules its lagging report.
+// endWindow ends a measured window and schedules its lagging report.
 func (s *sim) endWindow(now, i int, h *simHost) {
 	from, to := time.Duration(now+1-reportWindow)*time.Second, time.Duration(now+1)*time.Second
 	inside := true
@@ -204,15 +207,15 @@
 	h.windowMax = map[model.Class]float64{}
 }
 
-// act lets the policy see the load of the second that ended, as the entries
-// report their demand; its steps take effect in the next second.
+// runPolicy calls the policy with the load of the second that ended, as the
+// entries report it. The actions take effect in the next second.
 func (s *sim) runPolicy(now, i int, h *simHost) {
 	for _, a := range s.policy.step(now, i, s.hostView(i, h, s.load(i, now)), s.load(i, now+1)) {
 		s.apply(now, h, a)
 	}
 }
 
-// view is what a policy sees of a host.
+// hostView returns what a policy sees of a host.
 func (s *sim) hostView(i int, h *simHost, load float64) Host {
 	view := h.Host
 	for _, c := range simClasses {
@@ -225,6 +228,7 @@
 	return view
 }
 
+// apply applies an action to a host.
 func (s *sim) apply(now int, h *simHost, a Action) {
 	for k, t := range h.tasks {
 		if t.Attempt != a.Attempt {
@@ -255,7 +259,7 @@
 	return fmt.Sprintf("inside %.4f of %d windows, work %.0f core-seconds, %d stops, %d throttle steps", s.insideShare(), s.windows, s.work, s.stops, s.throttles)
 }
 
-// surges is Nilegate's load: quiet, with surges that rise within 5 s.
+// surgingLoad is Nilegate's load: low, with surges that rise within 5 s.
 func surgingLoad(seed uint64, seconds int) func(int, int) float64 {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	level := make([]float64, seconds+2)
@@ -271,7 +275,7 @@
 	return withJitter(seed, level, 0.02)
 }
 
-// steady is Wick's load: slow changes, with short bursts on single hosts.
+// steadyLoad is Wick's load: slow changes, with short bursts on single hosts.
 func steadyLoad(seed uint64, seconds int) func(int, int) float64 {
 	level := make([]float64, seconds+2)
 	for t := range level {
@@ -287,7 +291,8 @@
 	}
 }
 
-// jitter varies a level by host and second.
+// withJitter varies a level by host and second, with a standard deviation of
+// amplitude.
 func withJitter(seed uint64, level []float64, amplitude float64) func(int, int) float64 {
 	return func(host, t int) float64 {
 		hash := (seed*1000+uint64(host))*1_000_003 + uint64(t)
--- a/internal/policy/interfere/targets_test.go
+++ b/internal/policy/interfere/targets_test.go
@@ -13,7 +13,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// learned is the project's policy.
+// learnedPolicy is the policy under test.
 type learnedPolicy struct{ controller *Controller }
 
 func (p learnedPolicy) report(_ int, r Report, _ int) { p.controller.Observe(r) }
@@ -23,7 +23,7 @@
 
 func (p learnedPolicy) admit(_ int, h Host, t Task) int { return p.controller.Admit(h, t) }
 
-// none never acts.
+// noPolicy never acts.
 type noPolicy struct{}
 
 func (noPolicy) report(int, Report, int)               {}
@@ -31,10 +31,10 @@
 
 func (noPolicy) admit(int, Host, Task) int { return 100 }
 
-// threshold is the fixed-threshold baseline: a measured p99 above the target
-// halves the limits of all tasks down to 25%, then evicts the largest task;
-// below 70% it removes the limits. It waits for a report of a window that
-// began after its last step.
+// thresholdPolicy is the baseline with fixed thresholds. When a measured p99
+// exceeds its target it halves the limits of all tasks, down to 25%, and then
+// evicts the largest task; when all are at 70% or less it removes the limits.
+// It waits for a report of a window that began after its last step.
 type thresholdPolicy struct {
 	highestRatio map[int]map[ServiceClass]float64
 	lastStep     map[int]int
@@ -81,8 +81,9 @@
 	return actions
 }
 
-// oracle knows the law and the load of the next second, and never stops work.
-// The margin is for the noise of a window, which it does not know.
+// oraclePolicy knows the latency model and the load of the next second, and
+// never stops tasks. The margin covers the noise of a window, which it does
+// not know.
 type oraclePolicy struct {
 	sim    *sim
 	margin float64
@@ -154,8 +155,8 @@
 	return s
 }
 
-// oracle runs the oracle with the smallest margin that keeps the services
-// inside their targets as required of the policy.
+// runOracle runs the oracle with the smallest margin with which the services
+// meet their targets in as many windows as the policy under test must.
 func (sc scenario) runOracle(seed uint64) *sim {
 	for margin := 0.0; ; margin += 0.02 {
 		s := sc.run(seed, func(s *sim) simPolicy {
@@ -168,8 +169,9 @@
 	}
 }
 
-// Guards against harm to services, needless evictions and needless loss of
-// batch throughput. The bounds are those of docs/design.md section 5.5.
+// Guards against services that miss their targets because of batch work, and
+// against unnecessary evictions and loss of batch throughput. The bounds are
+// those of docs/design.md section 5.5.
 func TestInterferenceTargets(t *testing.T) {
 	seeds := []uint64{1}
 	if os.Getenv("BAMBOOSCALE_MEASURE") != "" {
@@ -182,8 +184,9 @@
 	}
 }
 
-// Guards against the same where the harmful batch classes are the greatest
-// part of the backlog and 35% of the windows miss their target without steps.
+// Guards against the same failures when the harmful batch classes are the
+// largest part of the backlog and, without throttling, 35% of the windows miss
+// their targets.
 func TestInterferenceTargetsUnderSevereLoad(t *testing.T) {
 	for _, sc := range scenarios() {
 		sc.compare(t, 5)
