--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -13,7 +13,7 @@
 	"github.com/bambooscale/bambooscale/internal/policy/place"
 )
 
-// cell drives a tracker with starts that respect its decisions.
+// testCell simulates a cell that starts tasks as its tracker allows.
 type testCell struct {
 	t               *Tracker
 	rng             *rand.Rand
@@ -23,19 +23,19 @@
 	tasks           map[model.WorkerID]int // running tasks
 	wasted          map[model.WorkerID]int
 	goodQuarantined map[model.WorkerID]bool
-	failures        map[model.JobID]int // on good workers
+	failures        map[model.JobID]int // number of failures on good workers
 	parked          map[model.JobID]string
-	returned        map[model.WorkerID]int // times it came back from probation
+	returned        map[model.WorkerID]int // number of returns to ready
 }
 
 type attempt struct {
 	job    model.JobID
 	worker model.WorkerID
 	endsAt time.Duration
-	wasted bool // the worker was bad when it started
+	wasted bool // the worker was bad at the start
 }
 
-const slotsPerWorker = 8 // tasks at once on a worker of the simulated cell
+const slotsPerWorker = 8 // maximum number of tasks on a worker at once
 
 func newCell(seed uint64, workers int) *testCell {
 	c := &testCell{t: New(), rng: rand.New(rand.NewPCG(seed, 1)), badWorkers: map[model.WorkerID]bool{}, tasks: map[model.WorkerID]int{}, wasted: map[model.WorkerID]int{},
@@ -63,7 +63,8 @@
 	}
 }
 
-// start places a job as the planner would: on a worker that may take it.
+// start starts a job on a random worker that may take it, as the planner
+// would. It returns false if there is none.
 func (c *testCell) start(job model.JobID, workers int) bool {
 	if len(c.running) == slotsPerWorker*workers {
 		return false
@@ -91,7 +92,7 @@
 	return false
 }
 
-// finish ends the attempts that are due and returns the jobs to try again.
+// endDue ends the attempts that are due and returns the jobs to retry.
 func (c *testCell) endDue(broken map[model.JobID]bool) []model.JobID {
 	var retry []model.JobID
 	remaining := c.running[:0:0]
@@ -121,7 +122,7 @@
 	return retry
 }
 
-// drive runs the cell for a time with a queue that is never empty.
+// drive runs the cell until a time with a queue that is never empty.
 func (c *testCell) drive(until time.Duration, workers int, broken map[model.JobID]bool) {
 	var queue []model.JobID
 	for job := 0; c.now < until; c.now += time.Second {
@@ -134,15 +135,15 @@
 	}
 }
 
-// Guards against a bad worker that keeps wasting attempts, and against one
-// that never comes back after a repair. Bound: 5 attempts (design 5.5), and
+// Guards against a bad worker that keeps getting attempts, and against one
+// that stays quarantined after its repair. Bound: 5 attempts (design 5.5), and
 // one for each probation.
 func TestBadWorkerWastesAtMostFiveAttempts(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCell(seed, 11)
 		c.badWorkers["w03"] = true
 		c.drive(5*time.Minute, 11, nil)
-		c.badWorkers["w07"] = true // after it was trusted; its running tasks end well
+		c.badWorkers["w07"] = true // after it had successes; its running tasks still succeed
 		c.drive(quarantineTime-time.Minute, 11, nil)
 		require.LessOrEqual(t, c.wasted["w03"], 5, "seed %d", seed)
 		require.LessOrEqual(t, c.wasted["w07"], 5, "seed %d", seed)
@@ -157,18 +158,23 @@
 	}
 }
 
-// Guards against jobs that fail everywhere taking good workers out, and
-// against attempts wasted on them. Bound: 3 good workers (design 5.5).
+// Guards against good workers that are quarantined because of jobs that fail
+// everywhere, and against further attempts of these jobs. Bound: 3 good
+// workers (design 5.5).
 func TestBrokenJobsAreParkedAndWorkersStayReady(t *testing.T) {
 	const few, many = 13, 3 // every 13th or 3rd of the first 40 jobs is broken
 	for seed := range uint64(10) {
 		checkBrokenJobs(t, seed, few, 3)
-		// Of many at once, 4 may fail in a row on one worker and hold it for a
-		// time; a held worker does not count as a good one.
+		// Of many broken jobs at once, 4 may fail in a row on one worker and
+		// restrict it for a time. A restricted worker does not count as good,
+		// so the job needs one more failure.
 		checkBrokenJobs(t, seed, many, 3+1)
 	}
 }
 
+// checkBrokenJobs runs a cell in which every nth of the first 40 jobs is
+// broken, and checks that they are parked after at most limit failures on good
+// workers.
 func checkBrokenJobs(t *testing.T, seed uint64, every, limit int) {
 	c := newCell(seed, 11)
 	c.drive(3*time.Minute, 11, nil)
@@ -190,7 +196,8 @@
 	}
 }
 
-// Guards against a class whose release is broken emptying the cell.
+// Guards against a class with a broken release whose failures quarantine the
+// workers of the cell.
 func TestBrokenClassDoesNotQuarantineWorkers(t *testing.T) {
 	c := New()
 	for i := range 11 {
@@ -204,8 +211,8 @@
 	}
 }
 
-// Guards against a drain, a lost link or a removal that ends a quarantine or
-// gives tasks to a worker that may not have them.
+// Guards against a drain, a lost link or a removal that ends a quarantine, or
+// that leaves a worker in a state in which it gets tasks.
 func TestWorkerStateTransitions(t *testing.T) {
 	c := New()
 	for _, id := range []model.WorkerID{"w", "x", "y", "z"} {
@@ -225,7 +232,7 @@
 	fail(at, "a")
 	fail(at, "a")
 	fail(at, "b")
-	require.Equal(t, place.WorkerReady, c.State("w"), "the same job twice is one")
+	require.Equal(t, place.WorkerReady, c.State("w"), "two failures of a job count once")
 	fail(at, "c")
 	fail(at, "d")
 	require.Equal(t, place.WorkerQuarantined, c.State("w"))
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -11,40 +11,44 @@
 )
 
 const (
-	// parkWorkers is on how many good workers a job must fail to be parked.
+	// parkAfterGoodWorkers is the number of good workers on which a job must
+	// fail to be parked.
 	parkAfterGoodWorkers = 3
-	// parkFailures parks a job in a cell without enough good workers.
+	// parkAfterFailures is the number of failures after which a job is parked
+	// in a cell that does not have enough good workers.
 	parkAfterFailures = 10
-	// suspectWorkers is on how many workers a class must fail, without a
-	// success anywhere in between, to be blamed instead of the workers.
+	// classFailureWorkers is the number of workers on which a class must fail,
+	// without a success on any worker, for its failures to be attributed to the
+	// class instead of the workers.
 	classFailureWorkers = 3
-	// goodFor is how long a success proves a worker good.
+	// goodDuration is the time for which a success shows that a worker is good.
 	goodDuration = 10 * time.Minute
 )
 
-// Change is a change that the owner has to apply: of a worker's state, or a
-// job to park.
+// Change is a decision that the caller has to apply: either a new state of a
+// worker or a job to park.
 type Change struct {
-	Worker    model.WorkerID // empty for a job
+	Worker    model.WorkerID // empty if a job is parked
 	State     place.WorkerState
 	Removed   bool // the worker was removed
 	ParkedJob model.JobID
 	Reason    string
 }
 
-// Tracker follows the workers of a cell and the failures of its jobs. It has
-// one owner.
+// Tracker records the states of the workers of a cell and the failures of its
+// jobs. It is not safe for concurrent use. Methods that return changes return
+// those that the call caused, in order.
 type Tracker struct {
 	workers  map[model.WorkerID]*worker
 	jobs     map[model.JobID]*jobRecord
-	failedOn map[model.Class]map[model.WorkerID]bool // failed there since the class's last success
+	failedOn map[model.Class]map[model.WorkerID]bool // workers on which a class failed since its last success
 	changes  []Change
-	now      time.Duration // of the step in progress, for the guards
+	now      time.Duration // time of the present step, for the guards
 }
 
-// jobRecord is where a job failed, with the time of the last failure there.
+// jobRecord holds the failures of a job.
 type jobRecord struct {
-	failed   map[model.WorkerID]time.Duration
+	failed   map[model.WorkerID]time.Duration // time of the last failure on each worker
 	failures int
 }
 
@@ -53,7 +57,7 @@
 	return &Tracker{workers: map[model.WorkerID]*worker{}, jobs: map[model.JobID]*jobRecord{}, failedOn: map[model.Class]map[model.WorkerID]bool{}}
 }
 
-// Add starts to follow a worker in state ready.
+// Add adds a worker in the state ready. It does nothing if the worker exists.
 func (t *Tracker) Add(now time.Duration, id model.WorkerID) {
 	if t.workers[id] == nil {
 		t.workers[id] = &worker{id: id, tracker: t, state: workerChart.Initial(), enteredAt: now, startedAt: map[model.AttemptID]time.Duration{}}
@@ -68,8 +72,8 @@
 	return place.WorkerDown
 }
 
-// UnprovenAttempts returns how many attempts on the worker are unproven and how many
-// may be; a limit of 0 is none.
+// UnprovenAttempts returns the number of unproven attempts on the worker and
+// their limit; a limit of 0 is no limit.
 func (t *Tracker) UnprovenAttempts(now time.Duration, id model.WorkerID) (unproven, limit int) {
 	if w := t.workers[id]; w != nil {
 		return w.unproven(now), w.maxUnproven()
@@ -77,7 +81,7 @@
 	return 0, 0
 }
 
-// Avoid lists the workers on which the job failed, in order.
+// Avoid returns the workers on which the job failed, in ascending order.
 func (t *Tracker) Avoid(job model.JobID) []model.WorkerID {
 	j := t.jobs[job]
 	if j == nil {
@@ -91,33 +95,34 @@
 	return ids
 }
 
-// ForgetJob drops the record of a job that ended, was cancelled or is to be
-// tried again by an operator's request.
+// ForgetJob deletes the failures of a job that ended, was cancelled or is
+// retried at an operator's request.
 func (t *Tracker) ForgetJob(job model.JobID) { delete(t.jobs, job) }
 
-// Started notes a start of an attempt on a worker.
+// Started records the start of an attempt on a worker.
 func (t *Tracker) Started(now time.Duration, id model.WorkerID, a model.AttemptID) {
 	if w := t.workers[id]; w != nil {
 		w.startedAt[a] = now
 	}
 }
 
-// Stopped notes that an attempt ended without a verdict, such as an eviction.
+// Stopped records that an attempt ended without success or failure, for
+// example because it was evicted.
 func (t *Tracker) Stopped(id model.WorkerID, a model.AttemptID) {
 	if w := t.workers[id]; w != nil {
 		delete(w.startedAt, a)
 	}
 }
 
-// Succeeded notes a completed attempt.
+// Succeeded records a successful attempt.
 func (t *Tracker) Succeeded(now time.Duration, id model.WorkerID, a model.AttemptID, class model.Class) []Change {
 	t.ForgetJob(a.Job)
 	delete(t.failedOn, class)
 	if w := t.workers[id]; w != nil {
 		started, known := w.startedAt[a]
 		delete(w.startedAt, a)
-		// An attempt from before the failures does not show that the worker
-		// can still start tasks.
+		// An attempt that started before the first failure does not show that
+		// the worker can still start tasks.
 		if len(w.failures) > 0 && (!known || started < w.failures[0].at) {
 			return t.takeChanges()
 		}
@@ -129,8 +134,8 @@
 	return t.takeChanges()
 }
 
-// Failed notes a failed attempt. The failure counts against the worker, the
-// job or its class, whichever the other records make likely.
+// Failed records a failed attempt. The failure is attributed to the worker,
+// the job or its class, whichever the other failures make likely.
 func (t *Tracker) Failed(now time.Duration, id model.WorkerID, a model.AttemptID, class model.Class) []Change {
 	t.now = now
 	j := t.jobs[a.Job]
@@ -155,7 +160,8 @@
 	return t.takeChanges()
 }
 
-// clear lets workers go most of whose failures turned out to be the jobs' own.
+// releaseCleared ends the restriction of workers more than half of whose
+// failures are no longer attributed to them.
 func (t *Tracker) releaseCleared(now time.Duration) {
 	t.now = now
 	for _, id := range t.workerIDs() {
@@ -165,6 +171,7 @@
 	}
 }
 
+// parkIfHopeless parks a job that failed on enough good workers or too often.
 func (t *Tracker) parkIfHopeless(now time.Duration, job model.JobID, j *jobRecord) {
 	good := 0
 	for id, at := range j.failed {
@@ -180,14 +187,15 @@
 	}
 }
 
-// good reports whether another job's success shows that the worker was able
+// wasGood reports whether another job's success shows that the worker was able
 // to run tasks when the job failed.
 func (t *Tracker) wasGood(now time.Duration, id model.WorkerID, job model.JobID, failed time.Duration) bool {
 	w := t.workers[id]
 	return w != nil && !w.restricted && w.hasSucceeded && w.lastSuccessJob != job && failed-w.lastSuccess < goodDuration && now-w.lastSuccess < 2*goodDuration
 }
 
-// suspectJob reports whether the job failed on a good worker other than this.
+// failsElsewhere reports whether the job failed on a good worker other than
+// except.
 func (t *Tracker) failsElsewhere(now time.Duration, job model.JobID, except model.WorkerID) bool {
 	j := t.jobs[job]
 	if j == nil {
@@ -201,12 +209,14 @@
 	return false
 }
 
+// classFailsElsewhere reports whether the failures of a class are attributed
+// to the class.
 func (t *Tracker) classFailsElsewhere(class model.Class) bool {
 	return len(t.failedOn[class]) >= classFailureWorkers
 }
 
-// mayHold reports whether one more worker may be taken out: never more than
-// half of the cell, because then something else is at fault.
+// mayRestrict reports whether one more worker may be restricted. At most half
+// of the workers are, because failures on more of them have another cause.
 func (t *Tracker) mayRestrict() bool {
 	restricted := 1
 	for _, w := range t.workers {
@@ -217,27 +227,28 @@
 	return 2*restricted <= len(t.workers) || restricted == 1 && len(t.workers) > 1
 }
 
-// SetLinkUp notes that the link to a worker's agent was lost or is back.
+// SetLinkUp records that the link to a worker's agent was lost or restored.
 func (t *Tracker) SetLinkUp(now time.Duration, id model.WorkerID, up bool) []Change {
 	if up {
-		return t.handle(now, id, evLinkBack, "the link is back")
+		return t.handle(now, id, evLinkRestored, "the link to its agent is restored")
 	}
 	return t.handle(now, id, evLinkLost, "the link to its agent is lost")
 }
 
-// SetDraining starts or ends the draining of a worker.
+// SetDraining starts or ends draining a worker at an operator's request.
 func (t *Tracker) SetDraining(now time.Duration, id model.WorkerID, on bool) []Change {
 	if on {
-		return t.handle(now, id, evDrain, "an operator drains it")
+		return t.handle(now, id, evDrain, "an operator requested draining")
 	}
-	return t.handle(now, id, evUndrain, "an operator ended the draining")
+	return t.handle(now, id, evUndrain, "an operator ended draining")
 }
 
-// Remove stops following a worker.
+// Remove removes a worker.
 func (t *Tracker) Remove(now time.Duration, id model.WorkerID) []Change {
-	return t.handle(now, id, evRemove, "it was removed")
+	return t.handle(now, id, evRemove, "the worker was removed")
 }
 
+// handle steps the chart of a worker, if it exists, and returns the changes.
 func (t *Tracker) handle(now time.Duration, id model.WorkerID, e chart.Event, reason string) []Change {
 	if w := t.workers[id]; w != nil {
 		t.step(now, w, e, reason)
@@ -245,7 +256,7 @@
 	return t.takeChanges()
 }
 
-// step feeds an event to a worker's chart and notes a change of its state.
+// step passes an event to a worker's chart and records a change of its state.
 func (t *Tracker) step(now time.Duration, w *worker, e chart.Event, reason string) {
 	t.now = now
 	before := w.state
@@ -260,7 +271,7 @@
 	t.changes = append(t.changes, Change{Worker: w.id, State: place.WorkerState(w.state), Removed: removed, Reason: reason})
 }
 
-// Tick fires the timeouts that are due.
+// Tick applies the timeouts that are due.
 func (t *Tracker) Tick(now time.Duration) []Change {
 	for _, id := range t.workerIDs() {
 		w := t.workers[id]
@@ -271,7 +282,8 @@
 	return t.takeChanges()
 }
 
-// NextTick returns when Tick has something to do; ok is false if it has nothing.
+// NextTick returns the time at which Tick has to be called next; ok is false
+// if no timeout is pending.
 func (t *Tracker) NextTick() (at time.Duration, ok bool) {
 	for _, w := range t.workers {
 		if d, _, set := workerChart.Timeout(w.state); set && (!ok || w.enteredAt+d < at) {
@@ -281,6 +293,7 @@
 	return at, ok
 }
 
+// workerIDs returns the workers in ascending order.
 func (t *Tracker) workerIDs() []model.WorkerID {
 	ids := make([]model.WorkerID, 0, len(t.workers))
 	for id := range t.workers {
@@ -290,6 +303,7 @@
 	return ids
 }
 
+// takeChanges returns the recorded changes and clears them.
 func (t *Tracker) takeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
--- a/internal/policy/health/worker.go
+++ b/internal/policy/health/worker.go
@@ -1,6 +1,7 @@
-// Package health decides which workers get no tasks because they fail what
-// they start, and which jobs are parked because they fail wherever they run.
-// It is pure: times are durations on the owner's monotonic clock.
+// Package health decides which workers get no tasks because the tasks that
+// they start fail, and which jobs are parked because they fail on every
+// worker. It does no input or output and reads no clock: times are durations
+// on the caller's monotonic clock.
 package health
 
 import (
@@ -27,7 +28,7 @@
 	evTaskFailed chart.Event = iota
 	evTaskDone
 	evLinkLost
-	evLinkBack
+	evLinkRestored
 	evExpire
 	evProbe
 	evClear
@@ -40,22 +41,23 @@
 	// leaseExpiry covers the agent's lease of 30 s, 1% clock drift and the
 	// margin of 2 s, rounded up.
 	leaseExpiry = 33 * time.Second
-	// quarantine bounds the waste of a worker that stays bad to one attempt
-	// in this time.
+	// quarantineTime limits the attempts that a worker wastes while it stays
+	// bad to one in this time.
 	quarantineTime = 10 * time.Minute
-	// quarantineJobs is how many different jobs must fail on a worker without
-	// a success in between. It leaves one of the 5 attempts that a bad worker
-	// may waste for one in flight. With 3, several broken jobs that were
-	// submitted together took good workers out.
+	// quarantineJobs is the number of different jobs that must fail on a worker
+	// without a success in between for it to be quarantined. It is one less
+	// than maxWastedAttempts, because one more attempt may be running. With 3,
+	// several broken jobs that were submitted together quarantined good workers.
 	quarantineJobs = 4
-	// probationTasks is how many successes end a probation.
+	// probationSuccesses is the number of successes that end a probation.
 	probationSuccesses = 2
-	// wastedLimit is the target for attempts that a bad worker may waste.
+	// maxWastedAttempts is the target for the number of attempts that a bad
+	// worker wastes.
 	maxWastedAttempts = 5
-	// firstStarts is how many unproven attempts a worker without a success may
-	// have at once: all may fail, and one more may be on its way.
+	// initialMaxUnproven is the limit of unproven attempts on a worker without
+	// a success: all of them may fail, and one more may be starting.
 	initialMaxUnproven = maxWastedAttempts - 1
-	// settleAfter is how long an attempt must run to count as proven.
+	// provenAfter is the time that an attempt must run to count as proven.
 	provenAfter = 10 * time.Second
 )
 
@@ -66,7 +68,7 @@
 	at    time.Duration
 }
 
-// worker is the machine's view of one worker.
+// worker is the data of one worker's state machine.
 type worker struct {
 	id             model.WorkerID
 	tracker        *Tracker
@@ -75,41 +77,42 @@
 	failures       []failure // since the last success
 	successes      int       // since the last failure
 	lastSuccess    time.Duration
-	lastSuccessJob model.JobID // of the last success
+	lastSuccessJob model.JobID
 	hasSucceeded   bool
 	startedAt      map[model.AttemptID]time.Duration
-	restricted     bool // quarantined or in probation, also while the link is lost
+	restricted     bool // quarantined or in probation, even if the link is lost or the worker drains
 	drainRequested bool
 }
 
 var workerChart = chart.MustCompile(charts.Files, WorkerBinding())
 
-// WorkerBinding binds charts/worker.scxml. It is exported for the checks that
-// explore the chart.
+// WorkerBinding returns the binding of charts/worker.scxml. It is exported for
+// the checks that explore the chart.
 func WorkerBinding() chart.Binding[worker] {
 	return chart.Binding[worker]{
 		Chart:  "worker",
 		States: stateNames(),
-		Events: []string{"taskFailed", "taskDone", "linkLost", "linkBack", "expire", "probe", "clear", "drain", "undrain", "remove"},
+		Events: []string{"taskFailed", "taskDone", "linkLost", "linkRestored", "expire", "probe", "clear", "drain", "undrain", "remove"},
 		Guards: map[string]func(*worker) bool{
-			"failsEverything": func(w *worker) bool { return w.tooManyFailures() && w.tracker.mayRestrict() },
-			"blamed":          func(w *worker) bool { return w.attributedFailures() > 0 },
-			"proven":          func(w *worker) bool { return w.successes >= probationSuccesses },
-			"held":            func(w *worker) bool { return w.restricted },
-			"drainAsked":      func(w *worker) bool { return w.drainRequested },
+			"tooManyFailures":   func(w *worker) bool { return w.tooManyFailures() && w.tracker.mayRestrict() },
+			"failureAttributed": func(w *worker) bool { return w.attributedFailures() > 0 },
+			"proven":            func(w *worker) bool { return w.successes >= probationSuccesses },
+			"restricted":        func(w *worker) bool { return w.restricted },
+			"drainRequested":    func(w *worker) bool { return w.drainRequested },
 		},
 		Actions: map[string]func(*worker){
-			"hold":     func(w *worker) { w.restricted = true },
-			"release":  func(w *worker) { w.restricted = false; w.failures = nil },
-			"askDrain": func(w *worker) { w.drainRequested = true },
-			"endDrain": func(w *worker) { w.drainRequested = false },
+			"restrict":        func(w *worker) { w.restricted = true },
+			"liftRestriction": func(w *worker) { w.restricted = false; w.failures = nil },
+			"requestDrain":    func(w *worker) { w.drainRequested = true },
+			"endDrain":        func(w *worker) { w.drainRequested = false },
 		},
 		Delays: map[string]time.Duration{"leaseExpiry": leaseExpiry, "quarantine": quarantineTime},
 	}
 }
 
-// blamed counts the different jobs whose failure speaks against the worker:
-// not those that, or whose whole class, also fail on other workers.
+// attributedFailures counts the different jobs whose failures are attributed
+// to the worker: those that do not fail on other workers, and whose class does
+// not either.
 func (w *worker) attributedFailures() int {
 	n := 0
 	for i, f := range w.failures {
@@ -124,9 +127,11 @@
 	return n
 }
 
+// tooManyFailures reports whether the failures suffice for a quarantine.
 func (w *worker) tooManyFailures() bool { return w.attributedFailures() >= quarantineJobs }
 
-// unproven counts the attempts that neither ended nor ran long enough.
+// unproven counts the attempts that have neither ended nor run for
+// provenAfter.
 func (w *worker) unproven(now time.Duration) int {
 	n := 0
 	for _, at := range w.startedAt {
@@ -137,9 +142,9 @@
 	return n
 }
 
-// maxUnproven is the bound for unproven; 0 is none. It starts small, so that
-// a worker that fails everything wastes few attempts, and grows with each
-// success.
+// maxUnproven returns the limit of unproven; 0 is no limit. It starts small,
+// so that a worker on which everything fails wastes few attempts, and grows
+// with each success.
 func (w *worker) maxUnproven() int {
 	switch {
 	case len(w.failures) > 0:
