--- a/internal/policy/place/ledger.go
+++ b/internal/policy/place/ledger.go
@@ -15,10 +15,10 @@
 // the controller owns it.
 type Ledger struct {
 	accounts map[model.WorkerID]*account
-	charges  map[model.AttemptID]*account
-	teams    map[model.Team]model.Resources
-	ids      []model.WorkerID // of accounts, ascending
-	workers  []Worker
+	charges  map[model.AttemptID]*account   // account that each attempt is charged to
+	teams    map[model.Team]model.Resources // charges by team
+	ids      []model.WorkerID               // of accounts, ascending
+	workers  []Worker                       // scratch, result of Workers
 }
 
 // account is one worker with its charged attempts.
@@ -111,9 +111,9 @@
 			claimed = claimed.Add(c.Size)
 		}
 	}
-	quota, limited := p.Quotas[t.Team]
+	quota, hasQuota := p.Quotas[t.Team]
 	a.Size, a.Labels = t.Size, t.Labels
-	if reason := Verify(account.Worker, a, p.Rules, TeamBudget{l.teams[t.Team], quota, limited}, claimed); reason != ReasonNone {
+	if reason := Verify(account.Worker, a, p.Rules, TeamBudget{l.teams[t.Team], quota, hasQuota}, claimed); reason != ReasonNone {
 		return reason
 	}
 	l.charge(account, t)
@@ -223,8 +223,8 @@
 	return l.workers
 }
 
-// Worker returns one worker, subject to the same conditions as Workers. ok is
-// false when the worker is unknown or was removed.
+// Worker returns one worker, subject to the same conditions as Workers. The
+// second result is false when the worker is unknown or was removed.
 func (l *Ledger) Worker(id model.WorkerID) (Worker, bool) {
 	a := l.accounts[id]
 	if a == nil || a.removed {
@@ -246,15 +246,15 @@
 // Overloads lists the overloaded workers in descending order of their excess
 // relative to their capacity.
 func (l *Ledger) Overloads() []Overload {
-	var out []Overload
+	var overloads []Overload
 	for _, id := range l.ids {
 		a := l.accounts[id]
 		if !a.Charged.Fits(a.Capacity) {
-			out = append(out, Overload{id, a.Charged.Sub(a.Capacity).Max(model.Resources{})})
+			overloads = append(overloads, Overload{id, a.Charged.Sub(a.Capacity).Max(model.Resources{})})
 		}
 	}
-	slices.SortStableFunc(out, func(x, y Overload) int {
+	slices.SortStableFunc(overloads, func(x, y Overload) int {
 		return cmp.Compare(dominantShare(y.Excess, l.accounts[y.Worker].Capacity), dominantShare(x.Excess, l.accounts[x.Worker].Capacity))
 	})
-	return out
+	return overloads
 }
--- a/internal/policy/place/order.go
+++ b/internal/policy/place/order.go
@@ -56,8 +56,8 @@
 	for i := range s.Jobs {
 		team := s.Jobs[i].Spec.Team
 		if _, ok := all[team]; !ok {
-			quota, limited := s.Quotas[team]
-			all[team] = &budget{s.TeamUse[team], quota, limited}
+			quota, hasQuota := s.Quotas[team]
+			all[team] = &budget{s.TeamUse[team], quota, hasQuota}
 		}
 	}
 	return all
--- a/internal/policy/place/planner.go
+++ b/internal/policy/place/planner.go
@@ -39,8 +39,8 @@
 	byFree            []*view // ascending by available processors, then by ID
 	domains           *domains
 	waits             map[model.JobID]*waitRecord
-	scratch           profile
-	needsSort         bool // byFree is out of order or incomplete
+	scratch           profile // of the job that is being placed
+	needsSort         bool    // byFree is out of order or incomplete
 	cellCapacity      model.Resources
 	reservationCredit float64 // remaining rounds in which a worker may be reserved
 }
@@ -120,6 +120,7 @@
 	p.needsSort = true
 }
 
+// addClass counts a task of a class in the domains of a view.
 func (p *Planner) addClass(v *view, class int) {
 	v.classes = append(v.classes, class)
 	p.domains.add(v, class, 1)
--- a/internal/policy/place/preempt.go
+++ b/internal/policy/place/preempt.go
@@ -21,8 +21,8 @@
 // job that is not urgent or would exceed its team's quota. ok is false when no
 // set of victims frees enough resources on one worker.
 func Victims(s Snapshot, job Job) (choice Preemption, ok bool) {
-	quota, limited := s.Quotas[job.Spec.Team]
-	team := budget{s.TeamUse[job.Spec.Team], quota, limited}
+	quota, hasQuota := s.Quotas[job.Spec.Team]
+	team := budget{s.TeamUse[job.Spec.Team], quota, hasQuota}
 	if !job.Spec.Urgent || !team.allows(job.Size) {
 		return Preemption{}, false
 	}
@@ -59,8 +59,8 @@
 	victims      int   // number of victims
 }
 
-func (h evictionCost) compare(o evictionCost) int {
-	return cmp.Or(cmp.Compare(h.maxYieldRank, o.maxYieldRank), cmp.Compare(h.longRunning, o.longRunning), cmp.Compare(h.lostWork, o.lostWork), cmp.Compare(h.victims, o.victims))
+func (c evictionCost) compare(o evictionCost) int {
+	return cmp.Or(cmp.Compare(c.maxYieldRank, o.maxYieldRank), cmp.Compare(c.longRunning, o.longRunning), cmp.Compare(c.lostWork, o.lostWork), cmp.Compare(c.victims, o.victims))
 }
 
 // compareVictims orders tasks by preference for eviction, the preferred first.
--- a/internal/policy/place/verify.go
+++ b/internal/policy/place/verify.go
@@ -51,8 +51,8 @@
 	}
 	rules, _ := CompileRules(s.Selectors)
 	profile := rules.newProfile(j.Labels)
-	quota, limited := s.Quotas[j.Spec.Team]
-	team := budget{s.TeamUse[j.Spec.Team], quota, limited}
+	quota, hasQuota := s.Quotas[j.Spec.Team]
+	team := budget{s.TeamUse[j.Spec.Team], quota, hasQuota}
 	out := make([]Explanation, 0, len(s.Workers))
 	for i := range s.Workers {
 		out = append(out, p.explain(&s, &s.Workers[i], j, rules, &profile, &team))
