--- a/internal/policy/interfere/controller.go
+++ b/internal/policy/interfere/controller.go
@@ -111,6 +111,7 @@
 // Learner returns the learner, from which the caller may read coefficients.
 func (c *Controller) Learner() *Learner { return c.learner }
 
+// host returns the state of a host, a new one if necessary.
 func (c *Controller) host(id model.WorkerID) *hostState {
 	h := c.hosts[id]
 	if h == nil {
@@ -128,21 +129,21 @@
 // called at least once a second while tasks run.
 func (c *Controller) Decide(now time.Duration, h Host) []Action {
 	state := c.host(h.Worker)
-	decision := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
+	d := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
 	for _, s := range h.Services {
 		tracker := state.loads[s.Service]
 		if tracker == nil {
 			tracker = &loadTracker{}
 			state.loads[s.Service] = tracker
 		}
-		decision.loads = append(decision.loads, tracker.update(now, s.Forecast()))
+		d.loads = append(d.loads, tracker.update(now, s.Forecast()))
 	}
 	for i, t := range h.Tasks {
-		decision.limits[i] = cmp.Or(t.CPULimitPercent, 100)
+		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
-	state.history.add(now, &h, decision.exposure())
-	sufficient := decision.chooseTargets()
-	actions := append(decision.applyTargets(now), decision.stopVictim(now, sufficient)...)
+	state.history.add(now, &h, d.exposure())
+	sufficient := d.chooseTargets()
+	actions := append(d.applyTargets(now), d.stopVictim(now, sufficient)...)
 	return actions
 }
 
@@ -155,22 +156,22 @@
 	}
 	h.Tasks = append(slices.Clone(h.Tasks), t)
 	state := c.host(h.Worker)
-	decision := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
+	d := decision{controller: c, state: state, host: &h, limits: make([]int, len(h.Tasks))}
 	for _, s := range h.Services {
 		load := s.Forecast()
 		if tracker := state.loads[s.Service]; tracker != nil {
 			load = max(load, tracker.value)
 		}
-		decision.loads = append(decision.loads, load)
+		d.loads = append(d.loads, load)
 	}
 	last := len(h.Tasks) - 1
 	for i, t := range h.Tasks {
-		decision.limits[i] = cmp.Or(t.CPULimitPercent, 100)
+		d.limits[i] = cmp.Or(t.CPULimitPercent, 100)
 	}
-	for decision.limits[last] = 100; decision.limits[last] > minLimitPercent && decision.upperBound() > 0; {
-		decision.limits[last] -= limitStepPercent
+	for d.limits[last] = 100; d.limits[last] > minLimitPercent && d.upperBound() > 0; {
+		d.limits[last] -= limitStepPercent
 	}
-	return decision.limits[last]
+	return d.limits[last]
 }
 
 // confidence returns the number of standard deviations by which a prediction
--- a/internal/policy/interfere/learner.go
+++ b/internal/policy/interfere/learner.go
@@ -43,14 +43,14 @@
 	priorCoefficient = 0.5
 	// Standard deviations of the priors: of a pair's coefficient around the
 	// mean of its batch class, of that mean around priorCoefficient, of the
-	// first three base terms and of the quadratic one.
-	pairDeviation      = 0.7
-	classDeviation     = 0.7
-	baseDeviation      = 3.0
-	quadraticDeviation = 0.3
-	initialNoise       = 0.15 // standard deviation of one sample before the first measurement
-	minNoise           = 0.03
-	noiseGain          = 0.01
+	// first three base terms and of the last one.
+	pairDeviation        = 0.7
+	classDeviation       = 0.7
+	baseDeviation        = 3.0
+	interactionDeviation = 0.3
+	initialNoise         = 0.15 // standard deviation of one sample before the first measurement
+	minNoise             = 0.03
+	noiseGain            = 0.01
 	// sampleDecay is the factor by which each sample reduces the weight of
 	// earlier ones. It averages over about 5,000 samples: 75 minutes of 11
 	// workers that report every 10 s.
@@ -178,8 +178,9 @@
 	return Estimate{dot(r.mean, x), math.Sqrt(max(0, r.covariance.quadratic(x)) + r.noise)}
 }
 
-// Coefficient estimates a pair: the change of ln(p99/target) at full load if the
-// batch class had the whole host.
+// Coefficient estimates the interference coefficient of a pair: the change of
+// ln(p99/target) at full load if the batch class had the whole host. The
+// estimate may be up to refreshAfter samples old.
 func (l *Learner) Coefficient(s ServiceClass, c model.Class) Estimate {
 	i := baseTerms + l.class(c)
 	r := l.service(s)
@@ -200,7 +201,7 @@
 	for i := range n {
 		priorPrecision, priorMean := 1/(baseDeviation*baseDeviation), 0.0
 		if i == baseTerms-1 {
-			priorPrecision = 1 / (quadraticDeviation * quadraticDeviation)
+			priorPrecision = 1 / (interactionDeviation * interactionDeviation)
 		}
 		if i >= baseTerms {
 			priorPrecision, priorMean = 1/(pairDeviation*pairDeviation), l.classMeans[i-baseTerms]
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -82,7 +82,7 @@
 type sim struct {
 	deployment measure.Deployment
 	truth      *groundTruth
-	load       func(host, runSecond int) float64
+	load       func(host, second int) float64
 	rng        *rand.Rand
 	noise      *rand.Rand
 	mix        *measure.Mix
--- a/internal/policy/place/round.go
+++ b/internal/policy/place/round.go
@@ -89,7 +89,8 @@
 }
 
 // rejectEarly returns the verdict for a job that can be rejected without
-// running the filters on each worker. ok is false if the job cannot.
+// running the filters on each worker. The second result is false for other
+// jobs.
 func (r *round) rejectEarly(j *Job, b *budget) (Verdict, bool) {
 	switch {
 	case r.planner.impossible(j.Size):
