--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -28,6 +28,7 @@
 	returned        map[model.WorkerID]int // number of returns to ready
 }
 
+// attempt is a running attempt.
 type attempt struct {
 	job    model.JobID
 	worker model.WorkerID
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -30,7 +30,7 @@
 type Change struct {
 	Worker    model.WorkerID // empty if a job is parked
 	State     place.WorkerState
-	Removed   bool // the worker was removed
+	Removed   bool // State is final: the tracker no longer has the worker
 	ParkedJob model.JobID
 	Reason    string
 }
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -15,10 +15,10 @@
 // from the learner's in the power of the load, saturation and host offsets.
 
 const (
-	reportWindow   = 10 // seconds
-	reportLag      = 10 // seconds after the window's end
-	fillShare      = 0.75
-	maxLostSeconds = 20 // seconds of work that an eviction loses at most
+	reportWindow   = 10   // seconds
+	reportLag      = 10   // seconds after the window's end
+	fillShare      = 0.75 // of the processors, up to which batch tasks are started
+	maxLostSeconds = 20   // seconds of work that an eviction loses at most
 )
 
 var simClasses = []model.Class{"short", "post", "list"}
@@ -61,6 +61,7 @@
 	return tr.base[s] + tr.offsets[host][s] + tr.rise[s]*load*load*load + math.Pow(load, 1.3)*sum/(1+0.2*sum)
 }
 
+// simTask is a task with its remaining work.
 type simTask struct {
 	Task
 	remaining float64 // core-seconds
--- a/internal/policy/place/ledger_test.go
+++ b/internal/policy/place/ledger_test.go
@@ -39,6 +39,7 @@
 	return m
 }
 
+// drawSize draws a size that may exceed the capacity of a worker.
 func (m *ledgerModel) drawSize(t *rapid.T) model.Resources {
 	return resources(rapid.Int64Range(0, 18).Draw(t, "cores"), rapid.Int64Range(0, 64).Draw(t, "gibibytes"))
 }
