--- a/internal/policy/interfere/history.go
+++ b/internal/policy/interfere/history.go
@@ -6,48 +6,51 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// keepHistory covers a report that lags by several times the usual 10 s.
-const keepHistory = 2 * time.Minute
+// historyDuration covers reports that lag by several times the usual 10 s.
+const historyDuration = 2 * time.Minute
 
-// history is what a host's services were exposed to, for reports that come
-// later.
+// history records the loads and exposures on a host, with which reports of
+// past windows are compared.
 type history struct {
-	entries []moment
+	entries []historyEntry
 }
 
-type moment struct {
+// historyEntry is the state of a host at one time.
+type historyEntry struct {
 	at       time.Duration
 	exposure Exposure
 	loads    map[ServiceClass]float64
 }
 
+// add appends an entry and removes the entries older than historyDuration
+// when they are more than half.
 func (h *history) add(now time.Duration, host *Host, e Exposure) {
-	m := moment{now, e, make(map[ServiceClass]float64, len(host.Services))}
+	entry := historyEntry{now, e, make(map[ServiceClass]float64, len(host.Services))}
 	for _, s := range host.Services {
-		m.loads[s.Service] = s.Forecast()
+		entry.loads[s.Service] = s.Forecast()
 	}
-	h.entries = append(h.entries, m)
-	old := 0
-	for old < len(h.entries) && h.entries[old].at < now-keepHistory {
-		old++
+	h.entries = append(h.entries, entry)
+	expired := 0
+	for expired < len(h.entries) && h.entries[expired].at < now-historyDuration {
+		expired++
 	}
-	if old > len(h.entries)/2 {
-		h.entries = append(h.entries[:0], h.entries[old:]...)
+	if expired > len(h.entries)/2 {
+		h.entries = append(h.entries[:0], h.entries[expired:]...)
 	}
 }
 
-// worst returns the load and exposure at the moment between two times for
-// which predict is highest: the p99 of a window is that of its worst moment.
-// ok is false when nothing is known of the window.
-func (h *history) worst(s ServiceClass, from, to time.Duration, predict func(load float64, e Exposure) float64) (load float64, e Exposure, ok bool) {
+// highestPrediction returns the load and exposure of the entry in [from, to)
+// for which predict is highest, because the worst moment of a window
+// determines its p99. ok is false when no entry is in the window.
+func (h *history) highestPrediction(s ServiceClass, from, to time.Duration, predict func(load float64, e Exposure) float64) (load float64, e Exposure, ok bool) {
 	highest := 0.0
 	for i := range h.entries {
-		m := &h.entries[i]
-		if m.at < from || m.at >= to {
+		entry := &h.entries[i]
+		if entry.at < from || entry.at >= to {
 			continue
 		}
-		if p := predict(m.loads[s], m.exposure); !ok || p > highest {
-			highest, load, e, ok = p, m.loads[s], m.exposure, true
+		if p := predict(entry.loads[s], entry.exposure); !ok || p > highest {
+			highest, load, e, ok = p, entry.loads[s], entry.exposure, true
 		}
 	}
 	return load, e, ok
@@ -57,16 +60,17 @@
 type Report struct {
 	Worker   model.WorkerID
 	Service  ServiceClass
-	From, To time.Duration // the measured window
+	From, To time.Duration // measured window [From, To)
 	P99      time.Duration
 	Target   time.Duration
 }
 
-// Observe learns from a report. It compares the measurement with what ran in
-// the measured window, not with what runs now.
+// Observe updates the coefficients with a report. It compares the measurement
+// with the load and exposure of the measured window, not the present ones. It
+// ignores reports without a P99 or of windows that are not in the history.
 func (c *Controller) Observe(r Report) {
-	h := c.host(r.Worker)
-	load, exposure, ok := h.history.worst(r.Service, r.From, r.To, func(load float64, e Exposure) float64 {
+	state := c.host(r.Worker)
+	load, exposure, ok := state.history.highestPrediction(r.Service, r.From, r.To, func(load float64, e Exposure) float64 {
 		return c.learner.Predict(r.Service, load, e).Mean
 	})
 	if !ok || r.P99 <= 0 {
@@ -74,7 +78,7 @@
 	}
 	c.calibrate(r.Service, r.P99 > r.Target)
 	residual := c.learner.Observe(Sample{Service: r.Service, P99: r.P99, Target: r.Target, Load: load, Exposure: exposure})
-	o := h.offsets[r.Service]
-	o += offsetGain * (residual - o)
-	h.offsets[r.Service] = max(-offsetMax, min(offsetMax, o))
+	offset := state.offsets[r.Service]
+	offset += offsetGain * (residual - offset)
+	state.offsets[r.Service] = max(-maxOffset, min(maxOffset, offset))
 }
--- a/internal/policy/place/preempt.go
+++ b/internal/policy/place/preempt.go
@@ -7,142 +7,147 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Preemption is the worker that an urgent job takes and what is evicted for
-// it. Without victims, tasks that already stop free enough.
+// Preemption is the worker for an urgent job and the attempts to evict from
+// it. Victims is empty when the tasks that already stop free enough.
 type Preemption struct {
 	Worker  model.WorkerID
 	Victims []model.AttemptID
 }
 
-// Victims chooses what to evict for an urgent job that fits nowhere. Work
-// that a yields-first selector names yields first, in the order of the
-// selectors, then work that is not long-running, then the least lost work.
-// Urgent work is never evicted, and nothing is evicted for a job that is not
-// urgent or whose team's quota leaves no room. ok is false when no choice of
-// victims makes room.
+// Victims chooses the attempts to evict for an urgent job that fits no worker.
+// Tasks that match a yields-first selector are evicted first, in the order of
+// the selectors, then tasks that are not long-running, then those that lose
+// the least work. Urgent tasks are never evicted, and nothing is evicted for a
+// job that is not urgent or would exceed its team's quota. ok is false when no
+// set of victims frees enough resources on one worker.
 func Victims(s Snapshot, job Job) (choice Preemption, ok bool) {
-	quota, limited := s.Quotas[job.Spec.Team]
-	team := budget{s.TeamUse[job.Spec.Team], quota, limited}
+	quota, hasQuota := s.Quotas[job.Spec.Team]
+	team := budget{s.TeamUse[job.Spec.Team], quota, hasQuota}
 	if !job.Spec.Urgent || !team.allows(job.Size) {
 		return Preemption{}, false
 	}
 	rules, _ := CompileRules(s.Selectors)
-	e := evictor{rules: rules, job: &job, profile: rules.profile(job.Labels), claimed: map[model.WorkerID]model.Resources{}}
+	selector := victimSelector{rules: rules, job: &job, profile: rules.newProfile(job.Labels), claimed: map[model.WorkerID]model.Resources{}}
 	for _, c := range s.Claims {
 		if c.Job != job.Spec.ID {
-			e.claimed[c.Worker] = e.claimed[c.Worker].Add(c.Size)
+			selector.claimed[c.Worker] = selector.claimed[c.Worker].Add(c.Size)
 		}
 	}
-	var least harm
+	var minCost evictionCost
 	for i := range s.Workers {
-		victims, h, fits := e.worker(&s.Workers[i])
-		if fits && (!ok || h.compare(least) < 0) {
-			choice, least, ok = Preemption{s.Workers[i].ID, attempts(victims)}, h, true
+		victims, cost, fits := selector.selectOn(&s.Workers[i])
+		if fits && (!ok || cost.compare(minCost) < 0) {
+			choice, minCost, ok = Preemption{s.Workers[i].ID, attemptIDs(victims)}, cost, true
 		}
 	}
 	return choice, ok
 }
 
-type evictor struct {
+// victimSelector chooses the victims for one job.
+type victimSelector struct {
 	rules   *Rules
 	job     *Job
 	profile profile
 	claimed map[model.WorkerID]model.Resources
 }
 
-// harm rates a set of victims: the one that yields last decides.
-type harm struct {
-	rank  int // of the victim that yields last, -1 without victims
-	long  int // long-running victims
-	lost  int64
-	count int
+// evictionCost rates a set of victims. Its fields are compared in their order.
+type evictionCost struct {
+	maxYieldRank int   // highest YieldRank of the victims, -1 without victims
+	longRunning  int   // number of long-running victims
+	lostWork     int64 // nanoseconds
+	victims      int   // number of victims
 }
 
-func (h harm) compare(o harm) int {
-	return cmp.Or(cmp.Compare(h.rank, o.rank), cmp.Compare(h.long, o.long), cmp.Compare(h.lost, o.lost), cmp.Compare(h.count, o.count))
+func (c evictionCost) compare(o evictionCost) int {
+	return cmp.Or(cmp.Compare(c.maxYieldRank, o.maxYieldRank), cmp.Compare(c.longRunning, o.longRunning), cmp.Compare(c.lostWork, o.lostWork), cmp.Compare(c.victims, o.victims))
 }
 
-func (e *evictor) order(a, b Task) int {
-	long := func(t Task) int {
+// compareVictims orders tasks by preference for eviction, the preferred first.
+func (e *victimSelector) compareVictims(a, b Task) int {
+	longRunning := func(t Task) int {
 		if t.LongRunning {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(e.rules.YieldRank(a.Labels), e.rules.YieldRank(b.Labels)), cmp.Compare(long(a), long(b)),
+	return cmp.Or(cmp.Compare(e.rules.YieldRank(a.Labels), e.rules.YieldRank(b.Labels)), cmp.Compare(longRunning(a), longRunning(b)),
 		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(b.Size.CPU, a.Size.CPU), cmp.Compare(a.Attempt.Job, b.Attempt.Job))
 }
 
-// worker returns the victims on one worker, none when they cannot make room.
-func (e *evictor) worker(w *Worker) ([]Task, harm, bool) {
+// selectOn returns the victims on one worker and their cost. The last result
+// is false when the job does not fit even if all candidates are evicted.
+func (e *victimSelector) selectOn(w *Worker) ([]Task, evictionCost, bool) {
 	if w.State != WorkerReady {
-		return nil, harm{}, false
+		return nil, evictionCost{}, false
 	}
-	var may []Task
-	stays := *w
-	stays.Tasks = nil
+	var candidates []Task
+	remaining := *w
+	remaining.Tasks = nil
 	for _, t := range w.Tasks {
 		switch {
 		case t.Stopping:
-			stays.Charged = stays.Charged.Sub(t.Size)
+			remaining.Charged = remaining.Charged.Sub(t.Size)
 		case t.Urgent:
-			stays.Tasks = append(stays.Tasks, t)
+			remaining.Tasks = append(remaining.Tasks, t)
 		default:
-			may = append(may, t)
+			candidates = append(candidates, t)
 		}
 	}
-	slices.SortStableFunc(may, e.order)
+	slices.SortStableFunc(candidates, e.compareVictims)
 	n := 0
-	for ; !e.fits(&stays, may, n); n++ {
-		if n == len(may) {
-			return nil, harm{}, false
+	for ; !e.fitsWithout(&remaining, candidates, n); n++ {
+		if n == len(candidates) {
+			return nil, evictionCost{}, false
 		}
 	}
-	return e.spare(&stays, may, n)
+	return e.dropUnneeded(&remaining, candidates, n)
 }
 
-// spare drops the victims that are not needed: a later victim can make an
-// earlier one unnecessary. It spares the dearest first.
-func (e *evictor) spare(stays *Worker, may []Task, n int) ([]Task, harm, bool) {
-	victims, kept := may[:n:n], slices.Clone(may[n:])
+// dropUnneeded removes the victims that are not needed, the least preferred
+// first: a later victim can make an earlier one unnecessary. The victims are
+// the first n candidates; remaining holds the tasks that are not evicted.
+func (e *victimSelector) dropUnneeded(remaining *Worker, candidates []Task, n int) ([]Task, evictionCost, bool) {
+	victims, kept := candidates[:n:n], slices.Clone(candidates[n:])
 	for i := len(victims) - 1; i >= 0; i-- {
 		rest := slices.Delete(slices.Clone(victims), i, i+1)
-		if e.fits(stays, append(slices.Clone(rest), append(kept, victims[i])...), len(rest)) {
+		if e.fitsWithout(remaining, append(slices.Clone(rest), append(kept, victims[i])...), len(rest)) {
 			kept, victims = append(kept, victims[i]), rest
 		}
 	}
-	return victims, e.harm(victims), true
+	return victims, e.cost(victims), true
 }
 
-// fits reports whether the job fits when the first n of the tasks are gone.
-func (e *evictor) fits(w *Worker, tasks []Task, n int) bool {
-	left := *w
+// fitsWithout reports whether the job fits when the first n of the tasks are
+// evicted and the others stay.
+func (e *victimSelector) fitsWithout(w *Worker, tasks []Task, n int) bool {
+	remaining := *w
 	for _, t := range tasks[:n] {
-		left.Charged = left.Charged.Sub(t.Size)
+		remaining.Charged = remaining.Charged.Sub(t.Size)
 	}
-	if !e.job.Size.Fits(w.Capacity.Sub(left.Charged).Sub(e.claimed[w.ID])) {
+	if !e.job.Size.Fits(w.Capacity.Sub(remaining.Charged).Sub(e.claimed[w.ID])) {
 		return false
 	}
-	left.Tasks = append(slices.Clone(w.Tasks), tasks[n:]...)
-	v := newView(&left, e.rules)
+	remaining.Tasks = append(slices.Clone(w.Tasks), tasks[n:]...)
+	v := newView(&remaining, e.rules)
 	v.claimed = e.claimed[w.ID]
 	reason, _ := v.check(e.rules, &e.profile, e.job.Size, v.available())
 	return reason == ReasonNone
 }
 
-func (e *evictor) harm(victims []Task) harm {
-	h := harm{rank: -1, count: len(victims)}
+func (e *victimSelector) cost(victims []Task) evictionCost {
+	cost := evictionCost{maxYieldRank: -1, victims: len(victims)}
 	for _, t := range victims {
-		h.rank = max(h.rank, e.rules.YieldRank(t.Labels))
-		h.lost += int64(t.LostWork)
+		cost.maxYieldRank = max(cost.maxYieldRank, e.rules.YieldRank(t.Labels))
+		cost.lostWork += int64(t.LostWork)
 		if t.LongRunning {
-			h.long++
+			cost.longRunning++
 		}
 	}
-	return h
+	return cost
 }
 
-func attempts(tasks []Task) []model.AttemptID {
+func attemptIDs(tasks []Task) []model.AttemptID {
 	ids := make([]model.AttemptID, len(tasks))
 	for i, t := range tasks {
 		ids[i] = t.Attempt
