--- a/internal/agent/exchanges.go
+++ b/internal/agent/exchanges.go
@@ -60,7 +60,7 @@
 	if b == nil {
 		return nil
 	}
-	if c := s.find(b, crLent); c != nil {
+	if c := s.find(b, crGranted); c != nil {
 		return c
 	}
 	return s.find(b, crRecalled)
@@ -155,7 +155,7 @@
 	delete(s.running, m.id)
 	event, how := exEnded, crRelease
 	if m.unreached {
-		event = exUnreached
+		event = exConnectFailed
 	} else {
 		s.classes.AddSample(rec.class, m.ran)
 		s.usage.ended(rec.class, m.ran)
--- a/internal/agent/lending.go
+++ b/internal/agent/lending.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		switch c.state {
-		case crLent:
+		case crGranted:
 			b.Idle++
 		case crRecalled:
 			b.Idle++
@@ -104,7 +104,7 @@
 func (s *slots) carryOut(b *borrower, count int) {
 	if count < 0 {
 		for range -count {
-			if c := s.find(b, crLent); c != nil {
+			if c := s.find(b, crGranted); c != nil {
 				creditChart.Step(c, &c.state, crRecall)
 			}
 		}
@@ -115,7 +115,7 @@
 	for range count {
 		if c := s.find(nil, crFree); c != nil {
 			c.borrower = b
-			creditChart.Step(c, &c.state, crLend)
+			creditChart.Step(c, &c.state, crGrant)
 			granted++
 		}
 	}
--- a/internal/agent/lifecycle.go
+++ b/internal/agent/lifecycle.go
@@ -26,7 +26,7 @@
 	exQuery
 	exExpire
 	exWithdraw
-	exUnreached
+	exConnectFailed
 	exEnded
 )
 
@@ -49,7 +49,7 @@
 var exchangeChart = chart.MustCompile(charts.Files, chart.Binding[exchangeRecord]{
 	Chart:  "exchange",
 	States: []string{"new", "accepted", "started", "refused", "finished"},
-	Events: []string{"begin", "start", "cancel", "query", "expire", "withdraw", "unreached", "ended"},
+	Events: []string{"begin", "start", "cancel", "query", "expire", "withdraw", "connectFailed", "ended"},
 	Guards: map[string]func(*exchangeRecord) bool{
 		"allowed": func(r *exchangeRecord) bool { return r.refusal == 0 },
 	},
@@ -63,14 +63,14 @@
 // States and events of charts/credit.scxml.
 const (
 	crFree chart.State = iota
-	crLent
+	crGranted
 	crRecalled
 	crSpent
 	crSettling
 )
 
 const (
-	crLend chart.Event = iota
+	crGrant chart.Event = iota
 	crSpend
 	crRecall
 	crReturn
@@ -83,8 +83,8 @@
 
 var creditChart = chart.MustCompile(charts.Files, chart.Binding[credit]{
 	Chart:  "credit",
-	States: []string{"free", "lent", "recalled", "spent", "settling"},
-	Events: []string{"lend", "spend", "recall", "return", "keep", "void", "release", "settle", "settled"},
+	States: []string{"free", "granted", "recalled", "spent", "settling"},
+	Events: []string{"grant", "spend", "recall", "return", "keep", "void", "release", "settle", "settled"},
 	Delays: map[string]time.Duration{"settleTime": settleTime},
 })
 
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -115,7 +115,7 @@
 func (s *slots) lent() int {
 	n := 0
 	for i := range s.credits {
-		if st := s.credits[i].state; st == crLent || st == crRecalled {
+		if st := s.credits[i].state; st == crGranted || st == crRecalled {
 			n++
 		}
 	}
@@ -211,7 +211,7 @@
 	for range count {
 		c := s.find(b, crRecalled)
 		if c == nil {
-			c = s.find(b, crLent)
+			c = s.find(b, crGranted)
 		}
 		if c == nil {
 			return
--- a/internal/agent/slots_model_test.go
+++ b/internal/agent/slots_model_test.go
@@ -161,7 +161,7 @@
 		if c.state != crFree {
 			used++
 		}
-		if c.state == crLent || c.state == crRecalled {
+		if c.state == crGranted || c.state == crRecalled {
 			assert.NotNil(t, c.borrower, "a credit is lent to nobody")
 		}
 	}
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -101,7 +101,7 @@
 	case <-c.timer.C:
 		c.expire()
 	case <-c.again.C:
-		c.do(evAskAgain)
+		c.do(evQueryTimer)
 	case <-c.front.Dispatcher.Done():
 		c.do(evCancel)
 		c.aborted = true
@@ -210,7 +210,7 @@
 }
 
 var outcomeEvents = map[msg.ExchangeState]chart.Event{
-	msg.ExchangeUnknown:    evForgotten,
+	msg.ExchangeUnknown:    evNoRecord,
 	msg.ExchangeNotStarted: evNotStarted,
 	msg.ExchangeStarted:    evRunning,
 	msg.ExchangeFinished:   evEnded,
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -14,7 +14,7 @@
 	stOffered
 	stStarted
 	stAnswering
-	stAsking
+	stQuerying
 	stExpiring
 	stDone
 	stRefused
@@ -37,11 +37,11 @@
 	evLinkLost
 	evEnded
 	evRunning
-	evForgotten
+	evNoRecord
 	evExpire
 	evCancel
-	evGiveUp
-	evAskAgain
+	evTimeout
+	evQueryTimer
 )
 
 // effect is what a step of the lifecycle asks its owner to do.
@@ -110,10 +110,10 @@
 	emit := func(e effect) func(*lifecycle) { return func(l *lifecycle) { l.emit(e) } }
 	return chart.Binding[lifecycle]{
 		Chart: "request",
-		States: []string{"new", "queued", "offered", "started", "answering", "asking", "expiring",
+		States: []string{"new", "queued", "offered", "started", "answering", "querying", "expiring",
 			"done", "refused", "unknown", "failed", "aborted", "cancelled"},
 		Events: []string{"admit", "refuse", "offer", "started", "notStarted", "response", "complete",
-			"failed", "linkLost", "ended", "running", "forgotten", "expire", "cancel", "giveUp", "askAgain"},
+			"failed", "linkLost", "ended", "running", "noRecord", "expire", "cancel", "timeout", "queryTimer"},
 		Guards: map[string]func(*lifecycle) bool{
 			// The request was never started, so a second offer runs it once.
 			"mayRequeue": func(l *lifecycle) bool { return l.replayable && l.tries < maxTries },
