--- a/internal/entry/agentlink.go
+++ b/internal/entry/agentlink.go
@@ -14,25 +14,27 @@
 	"github.com/bambooscale/bambooscale/internal/peer"
 )
 
-// Subscriber gets what happens on agents' links and does not only concern
-// requests, such as reports of tasks and configuration. Its methods are called
-// by the links' goroutines and must not block for long.
+// Subscriber receives the events and messages of agents' links that do not
+// concern requests only, such as reports of tasks and configuration. Its
+// methods are called by the links' goroutines and must not block for long.
 type Subscriber interface {
 	AgentUp(hello msg.AgentHello, out peer.Out)
 	AgentDown(hello msg.AgentHello, out peer.Out)
 	FromAgent(hello msg.AgentHello, m msg.Control)
 }
 
-// Links accepts the links of agents. It is not changed after Accept is called.
+// Links accepts the links of agents. Its fields must not change after Accept
+// is called.
 type Links struct {
 	Self        Self
-	Version     func() model.ConfigVersion // in force, for the greeting
+	Version     func() model.ConfigVersion // in use; sent in the handshake
 	Dispatcher  Address
 	Subscribers []Subscriber
 	Log         log.Interface
 }
 
-// Accept serves the links that arrive at the listener until ctx ends.
+// Accept serves the links that the listener accepts until ctx ends. It returns
+// an error when the listener fails.
 func (l *Links) Accept(ctx context.Context, listener link.Listener) error {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
@@ -59,13 +61,13 @@
 	generation uint64
 	hello      msg.AgentHello
 	out        peer.Out
-	end        func()
+	endLink    func()
 }
 
 func (h *agentHandler) serve(ctx context.Context) error {
-	linkCtx, end := context.WithCancel(ctx)
-	defer end()
-	h.end = end
+	linkCtx, endLink := context.WithCancel(ctx)
+	defer endLink()
+	h.endLink = endLink
 	hello := &msg.EntryHello{
 		Entry: h.links.Self.Entry, Boot: h.links.Self.Boot, DataCentre: h.links.Self.DataCentre,
 		Version: h.links.Version(), Generation: h.generation,
@@ -78,7 +80,7 @@
 	return err
 }
 
-// linkEvent is the log event for the error that ended a link.
+// linkEvent returns the log event for the error that ended a link.
 func linkEvent(err error) event.Event {
 	switch {
 	case errors.Is(err, link.ErrMalformed):
@@ -95,11 +97,11 @@
 func (h *agentHandler) Up(hello msg.Control, out peer.Out) error {
 	a, ok := hello.(*msg.AgentHello)
 	if !ok {
-		return errors.Newf("the peer greets as %T, not as an agent", hello)
+		return errors.Newf("the peer sent %T in the handshake instead of AgentHello", hello)
 	}
 	h.hello, h.out = *a, out
 	event.Log(h.links.Log, event.LinkUp, log.Fields{"worker": string(a.Worker.ID), "peer": h.conn.RemoteAddr()})
-	up := AgentUp{Hello: *a, Generation: h.generation, Conn: h.conn, Out: out, End: h.end}
+	up := AgentUp{Hello: *a, Generation: h.generation, Conn: h.conn, Out: out, End: h.endLink}
 	if err := h.links.Dispatcher.Send(h.ctx, up); err != nil {
 		return err
 	}
@@ -114,7 +116,7 @@
 	switch m.(type) {
 	case *msg.Heartbeat:
 		return
-	case *msg.BackendState: // concerns requests and placement
+	case *msg.BackendState: // used by the dispatcher and by the subscribers
 		h.dispatch(m)
 	case *msg.CreditGrant, *msg.CreditRecall, *msg.OutcomeReply:
 		h.dispatch(m)
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -12,17 +12,18 @@
 // openTimeout bounds the opening of a stream on an established link.
 const openTimeout = 2 * time.Second
 
-// attempt is one offer of a request to an agent.
+// attempt is one offer of a request to an agent. Its fields are used by the
+// request's actor.
 type attempt struct {
-	to        assignment
-	stream    link.Stream
-	group     *actor.Group
-	frames    chan msg.Frame // from the reader, one at a time
-	next      chan struct{}  // lets the reader receive the next frame
-	broken    chan error     // has room for the reader's one error
-	length    int64          // declared length of the response, -1: unknown
-	received  int64          // body bytes of the response
-	streaming bool           // flush after each chunk
+	assignment    assignment
+	stream        link.Stream
+	group         *actor.Group
+	frames        chan msg.Frame // from the reader, one at a time
+	frameDone     chan struct{}  // signalled when the last frame has been handled
+	readErr       chan error     // the error that ended the reader; buffers one
+	contentLength int64          // declared length of the response in bytes, -1: unknown
+	received      int64          // body bytes of the response
+	flushChunks   bool           // the length is unknown: flush after each chunk
 }
 
 // open sends the head and starts the actors that send the body and receive
@@ -30,15 +31,15 @@
 func (a *attempt) open(head *msg.RequestHead, body *requestBody) error {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
-	stream, err := a.to.conn.OpenStream(ctx)
+	stream, err := a.assignment.conn.OpenStream(ctx)
 	if err != nil {
 		return err
 	}
 	a.stream = stream
 	a.group = actor.NewGroup(context.Background(), nil)
-	a.frames, a.next, a.broken = make(chan msg.Frame), make(chan struct{}, 1), make(chan error, 1)
+	a.frames, a.frameDone, a.readErr = make(chan msg.Frame), make(chan struct{}, 1), make(chan error, 1)
 	actor.Go(a.group, "request sender", func(ctx context.Context) error {
-		// A failed send shows as the end of the stream at the reader.
+		// A failed send closes the stream, which the reader reports.
 		if err := stream.Send(head); err != nil {
 			stream.Close()
 			return err
@@ -49,11 +50,12 @@
 	return nil
 }
 
+// read passes the frames of the stream to the request's actor, one at a time.
 func (a *attempt) read(ctx context.Context) error {
 	for {
 		f, err := a.stream.Receive()
 		if err != nil {
-			a.broken <- err
+			a.readErr <- err
 			return err
 		}
 		select {
@@ -62,7 +64,7 @@
 			return nil
 		}
 		select { // chunk data is valid until the next Receive
-		case <-a.next:
+		case <-a.frameDone:
 		case <-ctx.Done():
 			return nil
 		}
@@ -71,11 +73,11 @@
 
 // proceed lets the reader receive the next frame.
 func (a *attempt) proceed() {
-	if a.next == nil {
+	if a.frameDone == nil {
 		return
 	}
 	select {
-	case a.next <- struct{}{}:
+	case a.frameDone <- struct{}{}:
 	default:
 	}
 }
@@ -88,10 +90,10 @@
 	}
 	a.stream.Close()
 	a.group.Stop()
-	a.frames, a.next, a.broken = nil, nil, nil
+	a.frames, a.frameDone, a.readErr = nil, nil, nil
 }
 
-// stopAttempt stops the current attempt and learns whether the body can be
+// stopAttempt stops the current attempt and records whether the body can be
 // sent again.
 func (c *call) stopAttempt() {
 	if c.attempt != nil {
@@ -100,27 +102,28 @@
 	}
 }
 
-// endAttempt tells the dispatcher that the credit is no longer used.
+// endAttempt reports to the dispatcher that the credit is no longer used.
+// failed means that the backend server or its agent did not serve the request.
 func (c *call) endAttempt(failed bool) {
 	if c.attempt == nil {
 		return
 	}
 	c.stopAttempt()
-	if c.attempt.stream == nil { // the agent has heard nothing of the credit
-		c.send(unused{to: c.attempt.to, failed: true})
+	if c.attempt.stream == nil { // no stream was opened: the agent does not know of the assignment
+		c.send(creditUnused{assignment: c.attempt.assignment, openFailed: true})
 		c.attempt = nil
 		return
 	}
-	f := finished{to: c.attempt.to, service: c.rt.service, class: c.rt.class.Name, failed: failed || c.outcomeFailed()}
-	if !c.started.IsZero() {
-		f.started, f.ran = true, time.Since(c.started)
+	f := requestFinished{assignment: c.attempt.assignment, service: c.route.service, class: c.route.class.Name, failed: failed || c.outcomeFailed()}
+	if !c.startedAt.IsZero() {
+		f.started, f.duration = true, time.Since(c.startedAt)
 	}
 	c.send(f)
-	c.attempt, c.started = nil, time.Time{}
+	c.attempt, c.startedAt = nil, time.Time{}
 }
 
-// outcomeFailed reports whether the exchange failed for a reason on the side
-// of the backend server.
+// outcomeFailed reports whether the exchange failed at the backend server or
+// its outcome is unknown.
 func (c *call) outcomeFailed() bool {
 	return c.state == stFailed || c.state == stUnknown || c.state == stAborted
 }
--- a/internal/entry/avoid_test.go
+++ b/internal/entry/avoid_test.go
@@ -12,9 +12,9 @@
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
 )
 
-// Guards against a request that uses up its offers, and is refused, on a link
-// that has just been lost although another instance has credits.
-func TestInstanceThatCannotBeReachedIsAvoided(t *testing.T) {
+// Guards against a request that is refused although another instance has
+// credits: it would use up its offers on a link that has just been lost.
+func TestUnreachableInstanceIsAvoided(t *testing.T) {
 	table := &actor.Value[RoutingTable]{}
 	d := newDispatcher(Self{Entry: "e"}, &RoutingTable{}, table)
 	d.now = time.Now()
@@ -24,7 +24,7 @@
 		d.handle(FromAgent{Worker: w, Generation: uint64(i), Msg: &msg.CreditGrant{Backend: model.BackendID(w), Generation: uint64(i), Count: 4}})
 	}
 	s := d.service("s")
-	for range 50 { // the other instance looks far slower than the penalty of a failure
+	for range 50 { // makes the other instance cost more than the penalty of a failure
 		s.classes.AddSample("c", 10*time.Second)
 	}
 	for _, i := range s.instances {
@@ -32,13 +32,13 @@
 	}
 	inbox := make(chan callMessage, 4)
 	r := dispatch.Request{Key: 1, Class: "c", Deadline: d.now.Add(time.Minute)}
-	d.handle(admit{service: "s", req: r, call: inbox})
-	first := (<-inbox).assigned
+	d.handle(admit{service: "s", request: r, inbox: inbox})
+	first := (<-inbox).assignment
 	require.Equal(t, model.BackendID("lost"), first.backend)
-	d.handle(unused{to: *first, failed: true})
-	d.handle(admit{service: "s", req: r, call: inbox, retry: true})
-	require.Equal(t, model.BackendID("other"), (<-inbox).assigned.backend)
+	d.handle(creditUnused{assignment: *first, openFailed: true})
+	d.handle(admit{service: "s", request: r, inbox: inbox, retry: true})
+	require.Equal(t, model.BackendID("other"), (<-inbox).assignment.backend)
 	for _, i := range s.instances {
-		require.Equal(t, map[model.BackendID]int{"lost": 4, "other": 3}[i.Backend], i.Credits, "the unspent credit is kept")
+		require.Equal(t, map[model.BackendID]int{"lost": 4, "other": 3}[i.Backend], i.Credits, "the unspent credit is returned")
 	}
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	chunkBytes = 32 << 10
-	// replayBytes of a request body are kept for another offer.
-	replayBytes = 64 << 10
+	chunkBytes = 32 << 10 // read from the caller at once
+	// maxReplayBytes bounds the part of a request body that is kept so that
+	// another offer can send it again.
+	maxReplayBytes = 64 << 10
 )
 
 var errBodyTooLarge = errors.New("request body is too large")
 
-// requestBody reads a caller's body and sends it to one attempt after the
-// other. Its fields belong to the sender of the current attempt while one
-// runs, and to the request's actor between attempts.
+// requestBody reads a caller's body and sends it to one attempt after another.
+// The sender of the current attempt owns its fields while the attempt runs, the
+// request's actor between attempts.
 type requestBody struct {
-	empty   bool
-	want    chan struct{} // asks the reader for a chunk
-	chunks  chan chunk    // from the reader
-	failed  chan error    // to the request's actor; has room for one
-	asked   bool          // a chunk was asked for and has not come
-	replay  []byte        // the body so far, while it fits
-	dropped bool          // replay does not hold the whole body so far
-	total   int64
-	ended   bool
+	empty            bool
+	chunkRequests    chan struct{} // requests the next chunk from the reader
+	chunks           chan chunk    // from the reader
+	readErr          chan error    // error of the reader, to the request's actor; buffers one
+	chunkRequested   bool          // a chunk was requested and has not been received
+	replay           []byte        // the body so far, up to maxReplayBytes
+	replayIncomplete bool          // the body so far exceeds maxReplayBytes
+	total            int64
+	ended            bool
 }
 
 type chunk struct {
-	data  []byte // valid until the next want
-	ended bool
+	data []byte // valid until the next chunk is requested
+	last bool
 }
 
 // newRequestBody starts the reader of r's body in g.
 func newRequestBody(g *actor.Group, r *http.Request, limit int64) *requestBody {
-	b := &requestBody{failed: make(chan error, 1)}
+	b := &requestBody{readErr: make(chan error, 1)}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		b.empty, b.ended = true, true
 		return b
 	}
-	b.want, b.chunks = make(chan struct{}, 1), make(chan chunk)
+	b.chunkRequests, b.chunks = make(chan struct{}, 1), make(chan chunk)
 	actor.Go(g, "request body reader", func(ctx context.Context) error { return b.read(ctx, r.Body, limit) })
 	return b
 }
@@ -57,21 +58,21 @@
 	var total int64
 	for {
 		select {
-		case <-b.want:
+		case <-b.chunkRequests:
 		case <-ctx.Done():
 			return nil
 		}
-		n, err := readSome(from, buf)
+		n, err := readNonEmpty(from, buf)
 		total += int64(n)
 		if total > limit {
 			err = errBodyTooLarge
 		}
 		if err != nil && err != io.EOF {
-			b.failed <- err
+			b.readErr <- err
 			return err
 		}
 		select {
-		case b.chunks <- chunk{data: buf[:n], ended: err == io.EOF}:
+		case b.chunks <- chunk{data: buf[:n], last: err == io.EOF}:
 		case <-ctx.Done():
 			return nil
 		}
@@ -81,8 +82,8 @@
 	}
 }
 
-// readSome reads until there is at least one byte, or an error.
-func readSome(from io.Reader, buf []byte) (int, error) {
+// readNonEmpty reads until it has at least one byte or an error.
+func readNonEmpty(from io.Reader, buf []byte) (int, error) {
 	for {
 		if n, err := from.Read(buf); n > 0 || err != nil {
 			return n, err
@@ -90,8 +91,8 @@
 	}
 }
 
-// sendTo sends the body from its beginning: the kept part, then what the
-// caller still sends.
+// sendTo sends the body from its beginning: the buffered part, then the chunks
+// that the caller has yet to send.
 func (b *requestBody) sendTo(ctx context.Context, s link.Stream) error {
 	if len(b.replay) > 0 {
 		if err := s.Send(&msg.BodyChunk{Data: b.replay}); err != nil {
@@ -112,31 +113,31 @@
 	return s.Send(&msg.BodyEnd{Total: b.total})
 }
 
-// receive gets the next chunk from the reader and keeps it for a replay.
+// receive returns the next chunk from the reader and buffers it for a replay.
 func (b *requestBody) receive(ctx context.Context) (chunk, error) {
-	if !b.asked {
-		b.asked = true
-		b.want <- struct{}{}
+	if !b.chunkRequested {
+		b.chunkRequested = true
+		b.chunkRequests <- struct{}{}
 	}
 	select {
 	case c := <-b.chunks:
-		b.asked = false
+		b.chunkRequested = false
 		b.total += int64(len(c.data))
-		b.ended = c.ended
-		b.keep(c.data)
+		b.ended = c.last
+		b.bufferForReplay(c.data)
 		return c, nil
 	case <-ctx.Done():
 		return chunk{}, ctx.Err()
 	}
 }
 
-func (b *requestBody) keep(data []byte) {
-	if b.dropped || len(b.replay)+len(data) > replayBytes {
-		b.replay, b.dropped = nil, b.dropped || len(data) > 0
+func (b *requestBody) bufferForReplay(data []byte) {
+	if b.replayIncomplete || len(b.replay)+len(data) > maxReplayBytes {
+		b.replay, b.replayIncomplete = nil, b.replayIncomplete || len(data) > 0
 		return
 	}
 	b.replay = append(b.replay, data...)
 }
 
 // replayable reports whether another attempt can send the whole body.
-func (b *requestBody) replayable() bool { return !b.dropped }
+func (b *requestBody) replayable() bool { return !b.replayIncomplete }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	// An agent that says "started" is asked again after this time.
+	// queryInterval is the time between outcome queries while the agent
+	// reports that the request is still running.
 	queryInterval = 100 * time.Millisecond
-	// A caller that takes no byte of its response for this long is given up.
+	// writeTimeout bounds each write to the caller.
 	writeTimeout = 30 * time.Second
-	// The request's own timer ends a slow body; the socket's deadline comes
-	// later and only unblocks the reader.
+	// readGrace is how much later than the request's timer the socket's read
+	// deadline expires. The timer ends a slow body; the read deadline only
+	// unblocks the reader.
 	readGrace = time.Second
 )
 
@@ -27,132 +29,134 @@
 // request stream to the agent and the request's lifecycle.
 type call struct {
 	lifecycle
-	front    *Frontend
-	w        http.ResponseWriter
-	rc       *http.ResponseController
-	r        *http.Request
-	rt       route
-	req      dispatch.Request
-	inbox    chan callMessage
-	body     *requestBody
-	attempt  *attempt
-	id       model.RequestID // of the last offer
-	began    time.Time
-	timer    *time.Timer // deadline, then the timeout of a state
-	again    *time.Timer // next outcome query
-	refusal  dispatch.Refusal
-	declined msg.RefusedReason
-	status   int
-	outcome  model.Outcome
-	own      bool
-	aborted  bool
-	asked    bool      // the dispatcher was asked for an outcome
-	started  time.Time // the agent's Started arrived
+	frontend       *Frontend
+	w              http.ResponseWriter
+	controller     *http.ResponseController
+	r              *http.Request
+	route          route
+	req            dispatch.Request
+	inbox          chan callMessage
+	body           *requestBody
+	attempt        *attempt
+	id             model.RequestID // of the last assignment
+	arrivedAt      time.Time
+	timer          *time.Timer // deadline of the request, then time-out of a state
+	queryTimer     *time.Timer // expires when the next outcome query is due
+	refusal        dispatch.Refusal
+	agentRefusal   msg.RefusedReason
+	status         int
+	outcome        model.Outcome
+	localReply     bool
+	aborted        bool
+	outcomeQueried bool      // the dispatcher may hold an outcome query
+	startedAt      time.Time // when the agent's Started was received; zero before
 }
 
-func newCall(f *Frontend, w http.ResponseWriter, r *http.Request, rt route, began time.Time) *call {
+func newCall(f *Frontend, w http.ResponseWriter, r *http.Request, rt route, arrivedAt time.Time) *call {
 	c := &call{
-		front: f, w: w, rc: http.NewResponseController(w), r: r, rt: rt, began: began,
+		frontend: f, w: w, controller: http.NewResponseController(w), r: r, route: rt, arrivedAt: arrivedAt,
 		inbox: make(chan callMessage, 4),
 	}
 	c.state = requestChart.Initial()
 	c.idempotent, c.replayable = rt.class.idempotent(r.Method), true
-	c.req = dispatch.Request{Class: rt.class.Name, Tenant: rt.tenant, Arrived: began, Deadline: began.Add(rt.deadline)}
+	c.req = dispatch.Request{Class: rt.class.Name, Tenant: rt.tenant, Arrived: arrivedAt, Deadline: arrivedAt.Add(rt.deadline)}
 	return c
 }
 
 // run serves the request to its end.
 func (c *call) run(ctx context.Context) {
 	g := actor.NewGroup(context.WithoutCancel(ctx), nil)
-	// The body reader is not waited for: it may sit in a read from a silent
-	// caller, which ends when net/http closes the body.
+	// Cancel does not wait for the body reader. It may be blocked in a read
+	// from a caller that sends nothing, which ends when net/http closes the
+	// body.
 	defer g.Cancel()
-	c.req.Key = dispatch.Key(c.front.keys.Next())
-	c.body = newRequestBody(g, c.r, c.front.MaxBody)
-	_ = c.rc.SetReadDeadline(c.req.Deadline.Add(readGrace)) // not supported by test recorders
+	c.req.Key = dispatch.Key(c.frontend.keys.Next())
+	c.body = newRequestBody(g, c.r, c.frontend.MaxBody)
+	_ = c.controller.SetReadDeadline(c.req.Deadline.Add(readGrace)) // an error means that a test recorder does not support it
 	c.timer = time.NewTimer(time.Until(c.req.Deadline))
 	defer c.timer.Stop()
-	c.again = time.NewTimer(time.Hour)
-	defer c.again.Stop()
-	c.do(evAdmit)
+	c.queryTimer = time.NewTimer(time.Hour)
+	defer c.queryTimer.Stop()
+	c.handleEvent(evAdmit)
 	for !requestChart.Final(c.state) {
-		c.wait(ctx)
+		c.handleNext(ctx)
 	}
 	c.endAttempt(false)
 }
 
-// wait handles the next thing that happens to the request.
-func (c *call) wait(ctx context.Context) {
+// handleNext waits for the next event of the request and handles it.
+func (c *call) handleNext(ctx context.Context) {
 	var frames <-chan msg.Frame
 	var ended <-chan error
 	if c.attempt != nil {
-		frames, ended = c.attempt.frames, c.attempt.broken
+		frames, ended = c.attempt.frames, c.attempt.readErr
 	}
 	select {
 	case m := <-c.inbox:
-		c.message(m)
+		c.handleMessage(m)
 	case f := <-frames:
-		c.frame(f)
+		c.handleFrame(f)
 	case <-ended:
 		c.stopAttempt()
-		c.do(evLinkLost)
-	case err := <-c.body.failed:
-		c.bodyFailed(err)
+		c.handleEvent(evLinkLost)
+	case err := <-c.body.readErr:
+		c.handleBodyError(err)
 	case <-c.timer.C:
-		c.expire()
-	case <-c.again.C:
-		c.do(evQueryTimer)
-	case <-c.front.Dispatcher.Done():
-		c.do(evCancel)
+		c.handleTimer()
+	case <-c.queryTimer.C:
+		c.handleEvent(evQueryTimer)
+	case <-c.frontend.Dispatcher.Done():
+		c.handleEvent(evCancel)
 		c.aborted = true
 	case <-ctx.Done():
-		c.do(evCancel)
+		c.handleEvent(evCancel)
 	}
 }
 
-// expire fires the deadline, or the timeout of the state.
-func (c *call) expire() {
+// handleTimer steps the lifecycle with the time-out of the state, or with the
+// deadline if the state has none.
+func (c *call) handleTimer() {
 	e := evExpire
 	if _, timeout, ok := requestChart.Timeout(c.state); ok {
 		e = timeout
 	}
-	c.do(e)
+	c.handleEvent(e)
 }
 
-// do feeds an event to the lifecycle and carries out the effects.
-func (c *call) do(e chart.Event) {
+// handleEvent steps the lifecycle and performs the effects.
+func (c *call) handleEvent(e chart.Event) {
 	before := c.state
 	effects, _ := c.step(e)
 	if d, _, ok := requestChart.Timeout(c.state); ok && c.state != before {
 		c.timer.Reset(d)
 	}
-	var todo [maxEffects]effect
-	n := copy(todo[:], effects)
-	for _, f := range todo[:n] {
-		c.carryOut(f)
+	var pending [maxEffects]effect
+	n := copy(pending[:], effects)
+	for _, f := range pending[:n] {
+		c.performEffect(f)
 	}
 }
 
-func (c *call) carryOut(f effect) {
+func (c *call) performEffect(f effect) {
 	switch f {
 	case effEnqueue:
-		c.send(admit{service: c.rt.service, req: c.req, call: c.inbox})
+		c.send(admit{service: c.route.service, request: c.req, inbox: c.inbox})
 	case effRequeue:
-		c.endAttempt(c.ran || c.declined == msg.RefusedDown)
-		c.send(admit{service: c.rt.service, req: c.req, call: c.inbox, retry: true, ran: c.ran})
+		c.endAttempt(c.ranBefore || c.agentRefusal == msg.RefusedDown)
+		c.send(admit{service: c.route.service, request: c.req, inbox: c.inbox, retry: true, ranBefore: c.ranBefore})
 	case effSendHead:
 		c.offer()
 	case effQueryOutcome:
-		c.asked = true
-		c.send(askOutcome{id: c.id, worker: c.attempt.to.worker, boot: c.attempt.to.boot, call: c.inbox})
+		c.outcomeQueried = true
+		c.send(outcomeQuery{id: c.id, worker: c.attempt.assignment.worker, boot: c.attempt.assignment.boot, inbox: c.inbox})
 	case effQueryLater:
-		c.again.Reset(queryInterval)
+		c.queryTimer.Reset(queryInterval)
 	case effCancelExchange:
 		c.stopAttempt()
 	case effRelease:
 		c.withdraw()
-		if c.asked {
-			c.send(forget{id: c.id})
+		if c.outcomeQueried {
+			c.send(endOutcomeQuery{id: c.id})
 		}
 	case effAnswerNotRun:
 		c.withdraw()
@@ -167,27 +171,28 @@
 	}
 }
 
-// send delivers a message to the dispatcher. Its mailbox is drained at all
-// times, so this does not wait for long; when the dispatcher has ended, wait
-// notices.
-func (c *call) send(m Message) { _ = c.front.Dispatcher.Send(context.Background(), m) }
+// send sends a message to the dispatcher. The dispatcher always reads its
+// mailbox, so send does not block for long. handleNext detects that the
+// dispatcher has ended.
+func (c *call) send(m Message) { _ = c.frontend.Dispatcher.Send(context.Background(), m) }
 
-// withdraw makes sure that the request is neither queued nor assigned.
+// withdraw removes the request from the queue and returns a credit that was
+// assigned to it meanwhile. It does nothing while an attempt exists.
 func (c *call) withdraw() {
 	if c.attempt != nil {
 		return
 	}
 	done := actor.NewReply[struct{}]()
-	c.send(withdraw{service: c.rt.service, key: c.req.Key, done: done})
+	c.send(withdraw{service: c.route.service, key: c.req.Key, done: done})
 	select {
 	case <-done.C():
-	case <-c.front.Dispatcher.Done():
+	case <-c.frontend.Dispatcher.Done():
 	}
 	for {
 		select {
 		case m := <-c.inbox:
 			if m.kind == callAssigned {
-				c.send(unused{to: *m.assigned})
+				c.send(creditUnused{assignment: *m.assignment})
 			}
 		default:
 			return
@@ -195,17 +200,17 @@
 	}
 }
 
-// message handles a message of the dispatcher.
-func (c *call) message(m callMessage) {
+// handleMessage handles a message from the dispatcher.
+func (c *call) handleMessage(m callMessage) {
 	switch m.kind {
 	case callAssigned:
-		c.attempt = &attempt{to: *m.assigned}
-		c.do(evOffer)
+		c.attempt = &attempt{assignment: *m.assignment}
+		c.handleEvent(evOffer)
 	case callRefused:
 		c.refusal = m.refusal
-		c.do(evRefuse)
+		c.handleEvent(evRefuse)
 	case callOutcome:
-		c.do(outcomeEvents[m.outcome])
+		c.handleEvent(outcomeEvents[m.outcome])
 	}
 }
 
@@ -216,78 +221,80 @@
 	msg.ExchangeFinished:   evEnded,
 }
 
-// offer sends the head of the request against the credit.
+// offer opens a stream to the assigned agent and starts sending the request.
 func (c *call) offer() {
-	c.tries++
-	c.id = c.attempt.to.id
+	c.offers++
+	c.id = c.attempt.assignment.id
 	if err := c.attempt.open(c.head(), c.body); err != nil {
-		// Nothing was sent: the agent cannot have started it.
-		c.declined = msg.RefusedDown
-		c.do(evNotStarted)
+		// Nothing was sent, so the agent cannot have started the request.
+		c.agentRefusal = msg.RefusedDown
+		c.handleEvent(evNotStarted)
 	}
 }
 
 func (c *call) head() *msg.RequestHead {
 	return &msg.RequestHead{
-		ID: c.id, Generation: c.attempt.to.generation,
-		Service: c.rt.service, Class: c.rt.class.Name, Tenant: c.rt.tenant,
+		ID: c.id, Generation: c.attempt.assignment.generation,
+		Service: c.route.service, Class: c.route.class.Name, Tenant: c.route.tenant,
 		Method: c.r.Method, URI: c.r.URL.RequestURI(), Host: c.r.Host,
-		Header: forwarded(c.r), ContentLength: c.r.ContentLength,
-		Deadline: time.Until(c.req.Deadline), LongClass: c.attempt.to.long,
+		Header: forwardedFields(c.r), ContentLength: c.r.ContentLength,
+		Deadline: time.Until(c.req.Deadline), LongClass: c.attempt.assignment.long,
 	}
 }
 
-// frame handles a frame of the agent.
-func (c *call) frame(f msg.Frame) {
+// handleFrame handles a frame from the agent.
+func (c *call) handleFrame(f msg.Frame) {
 	switch f := f.(type) {
 	case *msg.Started:
-		c.started = time.Now()
-		c.send(started{id: c.id, service: c.rt.service})
-		c.do(evStarted)
+		c.startedAt = time.Now()
+		c.send(requestStarted{id: c.id, service: c.route.service})
+		c.handleEvent(evStarted)
 	case *msg.Refused:
-		c.declined = f.Reason
+		c.agentRefusal = f.Reason
 		c.stopAttempt()
-		c.do(evNotStarted)
+		c.handleEvent(evNotStarted)
 	case *msg.Failed:
 		c.stopAttempt()
-		c.do(evFailed)
+		c.handleEvent(evFailed)
 	case *msg.ResponseHead:
-		c.do(evResponse)
-		c.respond(f)
+		c.handleEvent(evResponse)
+		c.writeHead(f)
 	case *msg.BodyChunk:
-		c.write(f.Data)
+		c.writeBody(f.Data)
 	case *msg.BodyEnd:
-		c.finish(f)
+		c.finishResponse(f)
 	}
 	if c.attempt != nil {
 		c.attempt.proceed()
 	}
 }
 
-// bodyFailed handles a request body that could not be read whole.
-func (c *call) bodyFailed(err error) {
+// handleBodyError ends a request whose body could not be read completely or is
+// too large.
+func (c *call) handleBodyError(err error) {
 	outcome := model.OutcomeUnknown
-	if c.state == stQueued && !c.ran {
+	if c.state == stQueued && !c.ranBefore {
 		outcome = model.OutcomeNotRun
 	}
 	answering := c.state == stAnswering
-	c.do(evCancel)
+	c.handleEvent(evCancel)
 	switch {
 	case answering:
 		c.aborted = true
 	case err == errBodyTooLarge:
-		c.answer(http.StatusRequestEntityTooLarge, outcome, fmt.Sprintf("the body exceeds the limit of %d bytes", c.front.MaxBody))
+		c.answer(http.StatusRequestEntityTooLarge, outcome, fmt.Sprintf("the body exceeds the limit of %d bytes", c.frontend.MaxBody))
 	default:
 		c.answer(http.StatusBadRequest, outcome, "the request body could not be read")
 	}
 }
 
+// observe reports the result of the request.
 func (c *call) observe() {
-	if c.front.Observe == nil {
+	if c.frontend.Observe == nil {
 		return
 	}
-	c.front.Observe(Result{
-		Service: c.rt.service, Class: c.rt.class.Name, Tenant: c.rt.tenant,
-		Status: c.status, Outcome: c.outcome, LocalReply: c.own, Duration: time.Since(c.began),
+	c.frontend.Observe(Result{
+		Service: c.route.service, Class: c.route.class.Name, Tenant: c.route.tenant,
+		Status: c.status, Outcome: c.outcome, LocalReply: c.localReply, Duration: time.Since(c.arrivedAt),
 	})
 }
--- a/internal/entry/credits.go
+++ b/internal/entry/credits.go
@@ -8,39 +8,42 @@
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
 )
 
-// Assumed round trips between an entry and an agent until they are measured.
+// Assumed round-trip times between an entry and an agent.
 const (
-	nearRTT = 200 * time.Microsecond
-	farRTT  = 3 * time.Millisecond
+	sameDataCentreRTT  = 200 * time.Microsecond
+	otherDataCentreRTT = 3 * time.Millisecond
 )
 
+// slownessSmoothing is the weight of the newest sample of an instance's
+// slowness.
 const slownessSmoothing = 0.05
 
-// avoidTime is how long an instance is left out after a stream to its agent
-// could not be opened. Its credits come back at once, so without a pause one
-// request used up its offers on a link that had just been lost.
-const avoidTime = 200 * time.Millisecond
+// openFailurePause is how long an instance is not chosen after a stream to its
+// agent could not be opened. Its credits are returned at once, so without a
+// pause one request used up its offers on a link that had just been lost.
+const openFailurePause = 200 * time.Millisecond
 
-// agentUp replaces the link to a worker's agent. The replaced one is ended, so
-// that its agent connects again if it lives: the greeting of an agent that has
-// been killed may arrive after that of its successor, whose link would
-// otherwise stay up without being used.
+// agentUp replaces the link to a worker's agent and ends the previous one, so
+// that its agent connects again if it is running. The handshake of a killed
+// agent may arrive after that of its successor, whose link would otherwise stay
+// up without being used.
 func (d *dispatcher) agentUp(m AgentUp) {
 	if old := d.agents[m.Hello.Worker.ID]; old != nil {
 		d.agentDown(m.Hello.Worker.ID, old.generation)
-		if old.end != nil {
-			old.end()
+		if old.endLink != nil {
+			old.endLink()
 		}
 	}
-	a := &agent{worker: m.Hello.Worker, boot: m.Hello.Boot, generation: m.Generation, conn: m.Conn, out: m.Out, end: m.End}
+	a := &agent{worker: m.Hello.Worker, boot: m.Hello.Boot, generation: m.Generation, conn: m.Conn, out: m.Out, endLink: m.End}
 	d.agents[a.worker.ID] = a
-	for _, q := range d.asking {
+	for _, q := range d.outcomeQueries {
 		if q.worker == a.worker.ID {
-			d.askOutcome(q)
+			d.queryOutcome(q)
 		}
 	}
 }
 
+// agentDown removes a link unless a newer one has replaced it.
 func (d *dispatcher) agentDown(worker model.WorkerID, generation uint64) {
 	a := d.agents[worker]
 	if a == nil || a.generation != generation {
@@ -61,21 +64,21 @@
 			break
 		}
 	}
-	s.reserve()
+	s.reserveForShort()
 	a.backend = nil
 }
 
-// askOutcome sends the question if the agent is linked. A restarted agent has
-// no record; its silence about the request says nothing.
-func (d *dispatcher) askOutcome(m askOutcome) {
-	d.asking[m.id] = m
+// queryOutcome sends the query if the agent is linked. An agent that has
+// restarted since has no record of the request, so the outcome is unknown.
+func (d *dispatcher) queryOutcome(m outcomeQuery) {
+	d.outcomeQueries[m.id] = m
 	a := d.agents[m.worker]
 	if a == nil {
-		return // asked again when the link is back; the request's deadline bounds it
+		return // agentUp sends the query; the request's deadline bounds the wait
 	}
 	if a.boot != m.boot {
-		delete(d.asking, m.id)
-		tell(m.call, callMessage{kind: callOutcome, outcome: msg.ExchangeUnknown})
+		delete(d.outcomeQueries, m.id)
+		sendToCall(m.inbox, callMessage{kind: callOutcome, outcome: msg.ExchangeUnknown})
 		return
 	}
 	a.out.TrySend(&msg.OutcomeQuery{ID: m.id})
@@ -84,7 +87,7 @@
 func (d *dispatcher) fromAgent(m FromAgent) {
 	a := d.agents[m.Worker]
 	if a == nil || a.generation != m.Generation {
-		return // of a link that has ended
+		return // the link has been replaced or has ended
 	}
 	switch m := m.Msg.(type) {
 	case *msg.BackendState:
@@ -92,40 +95,42 @@
 	case *msg.CreditGrant:
 		if i := a.backend; i != nil && i.Backend == m.Backend && m.Generation == a.generation {
 			i.Credits += m.Count
-			i.longFree = m.MaxLong
+			i.longPermits = m.MaxLong
 			d.dispatch(i.service)
 		}
 	case *msg.CreditRecall:
 		d.recall(a, m)
 	case *msg.OutcomeReply:
-		if q, ok := d.asking[m.ID]; ok {
-			delete(d.asking, m.ID)
-			tell(q.call, callMessage{kind: callOutcome, outcome: m.State})
+		if q, ok := d.outcomeQueries[m.ID]; ok {
+			delete(d.outcomeQueries, m.ID)
+			sendToCall(q.inbox, callMessage{kind: callOutcome, outcome: m.State})
 		}
 	}
 }
 
+// backendState records the announced state and creates the instance of a new
+// backend server.
 func (d *dispatcher) backendState(a *agent, m *msg.BackendState) {
 	if i := a.backend; i != nil && (i.Backend != m.Backend || i.service.name != m.Service) {
 		d.removeInstance(a)
 	}
 	if a.backend == nil {
 		s := d.service(m.Service)
-		rtt := farRTT
+		rtt := otherDataCentreRTT
 		if a.worker.DataCentre == d.self.DataCentre {
-			rtt = nearRTT
+			rtt = sameDataCentreRTT
 		}
 		a.backend = &instance{service: s, agent: a, slowness: 1,
 			Candidate: dispatch.Candidate{Backend: m.Backend, RTT: rtt}}
 		s.instances = append(s.instances, a.backend)
-		s.reserve()
+		s.reserveForShort()
 		d.reportDemand(s)
 	}
 	a.backend.state, a.backend.Slots = m.State, m.Slots
 }
 
-// recall returns idle credits. Fewer than asked for means that the others
-// were spent meanwhile.
+// recall returns unspent credits to the agent. A smaller count than requested
+// tells the agent that the others have been spent.
 func (d *dispatcher) recall(a *agent, m *msg.CreditRecall) {
 	n := 0
 	if i := a.backend; i != nil && i.Backend == m.Backend {
@@ -135,64 +140,67 @@
 	a.out.TrySend(&msg.CreditReturn{Backend: m.Backend, Generation: a.generation, Count: n})
 }
 
-// instanceOf returns the instance of an assignment while the link by which it
-// was assigned lasts.
-func (d *dispatcher) instanceOf(to assignment) *instance {
-	a := d.agents[to.worker]
-	if a == nil || a.generation != to.generation || a.backend == nil || a.backend.Backend != to.backend {
+// instanceOf returns the instance of an assignment, or nil when the link on
+// which the credit was granted has ended.
+func (d *dispatcher) instanceOf(assigned assignment) *instance {
+	a := d.agents[assigned.worker]
+	if a == nil || a.generation != assigned.generation || a.backend == nil || a.backend.Backend != assigned.backend {
 		return nil
 	}
 	return a.backend
 }
 
-// giveBack takes back a credit that was not spent, and with it the permit for
-// a long request: the agent, which knows nothing of the assignment, would not
-// report it again.
-func (d *dispatcher) giveBack(m unused) {
+// returnCredit makes an unspent credit available again, and with it the permit
+// for a long request. The agent does not know of the assignment and would not
+// grant the permit again.
+func (d *dispatcher) returnCredit(m creditUnused) {
 	for _, s := range d.services {
-		s.leave(m.to.id)
+		s.removeRunning(m.assignment.id)
 	}
-	if i := d.instanceOf(m.to); i != nil {
+	if i := d.instanceOf(m.assignment); i != nil {
 		i.Credits++
 		i.Running--
-		if m.to.long {
-			i.longFree++
+		if m.assignment.long {
+			i.longPermits++
 		}
-		if m.failed {
+		if m.openFailed {
 			i.Failures++
-			i.avoid = d.now.Add(avoidTime)
+			i.avoidUntil = d.now.Add(openFailurePause)
 		}
 		d.dispatch(i.service)
 	}
 }
 
-func (d *dispatcher) started(m started) {
+// started records that a backend server started a request.
+func (d *dispatcher) started(m requestStarted) {
 	s := d.service(m.service)
-	if r, ok := s.running[m.id]; ok && r.since.IsZero() {
-		r.since = d.now
+	if r, ok := s.running[m.id]; ok && r.startedAt.IsZero() {
+		r.startedAt = d.now
 		s.running[m.id] = r
 		s.load.Started.Add(r.long, 1)
 	}
 }
 
-// leave ends the use of a slot.
-func (s *service) leave(id model.RequestID) {
+// removeRunning removes a request from the running ones.
+func (s *service) removeRunning(id model.RequestID) {
 	if r, ok := s.running[id]; ok {
 		s.load.Sent.Add(r.long, -1)
-		if !r.since.IsZero() {
+		if !r.startedAt.IsZero() {
 			s.load.Started.Add(r.long, -1)
 		}
 	}
 	delete(s.running, id)
 }
 
-func (d *dispatcher) finished(m finished) {
+// finished updates the estimates of the class and of the instance, and
+// dispatches the next request.
+func (d *dispatcher) finished(m requestFinished) {
 	s := d.service(m.service)
-	s.leave(m.to.id)
+	s.removeRunning(m.assignment.id)
 	if m.started && !m.failed {
-		s.classes.AddSample(m.class, m.ran)
+		s.classes.AddSample(m.class, m.duration)
 	}
-	i := d.instanceOf(m.to)
+	i := d.instanceOf(m.assignment)
 	if i == nil {
 		return
 	}
@@ -203,45 +211,45 @@
 	case m.started:
 		i.Failures = 0
 		if mean := s.classes.Mean(m.class); mean > 0 {
-			i.slowness += (float64(m.ran)/float64(mean) - i.slowness) * slownessSmoothing
+			i.slowness += (float64(m.duration)/float64(mean) - i.slowness) * slownessSmoothing
 		}
 	}
 	d.dispatch(s)
 }
 
-// age counts running requests that have outlived their class as samples of
-// it: otherwise a class of very long requests would look short for as long as
-// none of them has ended.
-func (d *dispatcher) age() {
+// sampleLongRunning adds the ages of running requests that exceed the usual
+// durations of their class as samples. Without these, a class of very long
+// requests would count as short until the first of them has ended.
+func (d *dispatcher) sampleLongRunning() {
 	for _, s := range d.services {
 		for id, r := range s.running {
-			ran := d.now.Sub(r.since)
-			if !r.since.IsZero() && ran > max(r.aged, time.Second) && s.classes.CountsAsLong(r.class, ran) {
-				s.classes.AddSample(r.class, ran)
-				r.aged = 2 * ran
+			age := d.now.Sub(r.startedAt)
+			if !r.startedAt.IsZero() && age > max(r.sampledAge, time.Second) && s.classes.CountsAsLong(r.class, age) {
+				s.classes.AddSample(r.class, age)
+				r.sampledAge = 2 * age
 				s.running[id] = r
 			}
 		}
 	}
 }
 
-// reportDemand tells the agents of a service how long the queue is, when that
-// has changed.
+// reportDemand sends the length of a service's queue to its agents if it has
+// changed or is not zero.
 func (d *dispatcher) reportDemand(s *service) {
 	now := demand{queued: s.queue.Len(), short: s.queue.ShortLen()}
 	if !s.anyLongAllowed() {
-		now.queued = now.short // a credit would not help the long ones
+		now.queued = now.short // no instance accepts a long request, so a credit would not help
 	}
-	if now == s.demanded && now.queued == 0 {
+	if now == s.lastDemand && now.queued == 0 {
 		return
 	}
-	s.demanded, s.reported = now, d.now
+	s.lastDemand, s.lastDemandAt = now, d.now
 	m := &msg.Demand{Service: s.name, Queued: now.queued, Short: now.short}
 	if at, ok := s.queue.EarliestDeadline(); ok {
 		m.MinRemaining = max(at.Sub(d.now), time.Millisecond)
 	}
-	// Each agent sees an equal part of the queue: the whole of it at every
-	// agent would draw as many credits as there are agents.
+	// Each agent receives an equal part of the queue's length. If each received
+	// the whole length, every agent would grant credits for every request.
 	if n := len(s.instances); n > 0 && m.Queued > 0 {
 		m.Queued = (m.Queued + n - 1) / n
 		m.Short = (m.Short + n - 1) / n
@@ -260,6 +268,8 @@
 	return false
 }
 
+// drain asks the agent of a backend server to drain it. It returns false when
+// no such agent is linked or the message could not be queued.
 func (d *dispatcher) drain(backend model.BackendID) bool {
 	for _, a := range d.agents {
 		if a.backend != nil && a.backend.Backend == backend {
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -16,14 +16,15 @@
 type Address = actor.Address[Message]
 
 const (
-	mailbox = 4096
-	// Demand is reported at most this often while it changes.
+	mailboxSize = 4096 // messages
+	// demandInterval is the time between reports of demand.
 	demandInterval = 20 * time.Millisecond
-	// Running requests are checked for age this often.
-	ageInterval = 100 * time.Millisecond
+	// ageCheckInterval is the time between checks of the ages of running
+	// requests.
+	ageCheckInterval = 100 * time.Millisecond
 )
 
-// Self describes the entry.
+// Self identifies the entry process.
 type Self struct {
 	Entry      model.EntryID
 	Boot       model.Boot
@@ -32,26 +33,26 @@
 
 // dispatcher is the state of the dispatcher actor: queues, credits and links.
 type dispatcher struct {
-	self     Self
-	now      time.Time
-	nextID   uint64
-	services map[model.Service]*service
-	agents   map[model.WorkerID]*agent
-	asking   map[model.RequestID]askOutcome
-	rules    *RoutingTable // by configuration
-	table    *actor.Value[RoutingTable]
-	queued   bool // a queue, or a report of one, may have to be reported
-	busy     bool // a running request may have to be checked for age
+	self           Self
+	now            time.Time
+	nextID         uint64
+	services       map[model.Service]*service
+	agents         map[model.WorkerID]*agent
+	outcomeQueries map[model.RequestID]outcomeQuery
+	configured     *RoutingTable              // from the configuration
+	table          *actor.Value[RoutingTable] // published services
+	demandPending  bool                       // a queue is not empty, or agents must be informed that it is
+	hasRunning     bool                       // requests may be running
 }
 
-// agent is a linked agent.
+// agent is an agent with a link.
 type agent struct {
 	worker     model.Worker
 	boot       model.Boot
 	generation uint64
 	conn       link.Conn
 	out        peer.Out
-	end        func()
+	endLink    func()
 	backend    *instance
 }
 
@@ -60,7 +61,7 @@
 // of the rules and those that a backend server has announced.
 func SpawnDispatcher(g *actor.Group, self Self, rules *RoutingTable, table *actor.Value[RoutingTable]) Address {
 	table.Set(rules)
-	return actor.Spawn(g, actor.Spec[Message]{Name: "dispatcher", Mailbox: mailbox,
+	return actor.Spawn(g, actor.Spec[Message]{Name: "dispatcher", Mailbox: mailboxSize,
 		Run: func(ctx context.Context, in <-chan Message) error {
 			return newDispatcher(self, rules, table).run(ctx, in)
 		}})
@@ -68,38 +69,38 @@
 
 func newDispatcher(self Self, rules *RoutingTable, table *actor.Value[RoutingTable]) *dispatcher {
 	return &dispatcher{
-		self: self, rules: rules, table: table,
+		self: self, configured: rules, table: table,
 		services: map[model.Service]*service{}, agents: map[model.WorkerID]*agent{},
-		asking: map[model.RequestID]askOutcome{},
+		outcomeQueries: map[model.RequestID]outcomeQuery{},
 	}
 }
 
 func (d *dispatcher) run(ctx context.Context, in <-chan Message) error {
-	report, age := newAlarm(demandInterval), newAlarm(ageInterval)
+	report, age := newPausableTicker(demandInterval), newPausableTicker(ageCheckInterval)
 	defer report.Stop()
 	defer age.Stop()
 	for {
-		report.run(d.queued)
-		age.run(d.busy)
+		report.setRunning(d.demandPending)
+		age.setRunning(d.hasRunning)
 		select {
 		case m := <-in:
 			d.now = time.Now()
 			d.handle(m)
 		case d.now = <-report.C:
 			d.now = time.Now()
-			d.queued = false
+			d.demandPending = false
 			for _, s := range d.services {
-				d.dispatch(s) // an instance may be used again
+				d.dispatch(s) // a pause after a failed open may have ended
 				d.reportDemand(s)
-				d.queued = d.queued || s.queue.Len() > 0 || s.demanded.queued > 0
+				d.demandPending = d.demandPending || s.queue.Len() > 0 || s.lastDemand.queued > 0
 			}
 		case <-age.C:
 			d.now = time.Now()
-			d.busy = false
+			d.hasRunning = false
 			for _, s := range d.services {
-				d.busy = d.busy || len(s.running) > 0
+				d.hasRunning = d.hasRunning || len(s.running) > 0
 			}
-			d.age()
+			d.sampleLongRunning()
 		case <-ctx.Done():
 			return nil
 		}
@@ -110,29 +111,29 @@
 	switch m := m.(type) {
 	case admit:
 		d.admit(m)
-	case started:
+	case requestStarted:
 		d.started(m)
-	case finished:
+	case requestFinished:
 		d.finished(m)
 	case FromAgent:
 		d.fromAgent(m)
 	case withdraw:
 		if s := d.services[m.service]; s != nil && s.queue.Withdraw(m.key) {
-			delete(s.calls, m.key)
+			delete(s.queuedCalls, m.key)
 		}
 		m.done.Put(struct{}{})
-	case unused:
-		d.giveBack(m)
-	case askOutcome:
-		d.askOutcome(m)
-	case forget:
-		delete(d.asking, m.id)
+	case creditUnused:
+		d.returnCredit(m)
+	case outcomeQuery:
+		d.queryOutcome(m)
+	case endOutcomeQuery:
+		delete(d.outcomeQueries, m.id)
 	case AgentUp:
 		d.agentUp(m)
 	case AgentDown:
 		d.agentDown(m.Worker, m.Generation)
 	case SetRouting:
-		d.route(m.Table)
+		d.setRouting(m.Table)
 	case StatusQuery:
 		m.Reply.Put(d.status())
 	case DrainQuery:
@@ -140,6 +141,7 @@
 	}
 }
 
+// service returns the state of a service, which it creates when necessary.
 func (d *dispatcher) service(name model.Service) *service {
 	if s, ok := d.services[name]; ok {
 		return s
@@ -147,7 +149,7 @@
 	classes := dispatch.NewClassEstimates()
 	s := &service{
 		name: name, classes: classes, queue: dispatch.NewQueue(dispatch.Options{}, classes),
-		calls: map[dispatch.Key]chan<- callMessage{}, running: map[model.RequestID]runningRequest{},
+		queuedCalls: map[dispatch.Key]chan<- callMessage{}, running: map[model.RequestID]runningRequest{},
 	}
 	d.services[name] = s
 	d.applyRule(s)
@@ -155,32 +157,32 @@
 	return s
 }
 
-func (d *dispatcher) route(t *RoutingTable) {
-	d.rules = t
+func (d *dispatcher) setRouting(t *RoutingTable) {
+	d.configured = t
 	for _, s := range d.services {
 		d.applyRule(s)
 	}
 	d.publish()
 }
 
-// publish adds the services that only announcements name to the configured
-// ones.
+// publish sets the routing table to the configured services and those that
+// only backend servers have announced.
 func (d *dispatcher) publish() {
-	all := *d.rules
-	all.Services = make(map[model.Service]ServiceRule, len(d.rules.Services)+len(d.services))
-	maps.Copy(all.Services, d.rules.Services)
+	all := *d.configured
+	all.Services = make(map[model.Service]ServiceRule, len(d.configured.Services)+len(d.services))
+	maps.Copy(all.Services, d.configured.Services)
 	for name := range d.services {
 		if _, ok := all.Services[name]; !ok {
-			all.Services[name] = ServiceRule{Name: name, Classes: d.rules.SharedClasses}
+			all.Services[name] = ServiceRule{Name: name, Classes: d.configured.SharedClasses}
 		}
 	}
 	d.table.Set(&all)
 }
 
 func (d *dispatcher) applyRule(s *service) {
-	rule, ok := d.rules.Services[s.name]
+	rule, ok := d.configured.Services[s.name]
 	if !ok {
-		rule.Classes = d.rules.SharedClasses
+		rule.Classes = d.configured.SharedClasses
 	}
 	for _, c := range rule.Classes {
 		if c.Long != nil {
@@ -193,30 +195,31 @@
 func (d *dispatcher) admit(m admit) {
 	s := d.service(m.service)
 	if m.retry {
-		if m.ran && !s.budget.TakeRetry() {
-			s.refuse(m.call, dispatch.RefusedFull)
+		if m.ranBefore && !s.budget.TakeRetry() {
+			s.refuse(m.inbox, dispatch.RefusedFull)
 			return
 		}
-		s.queue.Requeue(d.now, m.req)
+		s.queue.Requeue(d.now, m.request)
 	} else {
 		s.budget.AddRequest()
-		if why := s.queue.Admit(d.now, m.req, s.inProgress(), s.idle()); why != dispatch.Accepted {
-			s.refuse(m.call, why)
+		if why := s.queue.Admit(d.now, m.request, s.currentLoad(), s.hasIdleCredit()); why != dispatch.Accepted {
+			s.refuse(m.inbox, why)
 			return
 		}
 	}
-	s.calls[m.req.Key] = m.call
-	d.queued = true
+	s.queuedCalls[m.request.Key] = m.inbox
+	d.demandPending = true
 	d.dispatch(s)
-	if s.queue.Len() > 0 && d.now.Sub(s.reported) >= demandInterval {
+	if s.queue.Len() > 0 && d.now.Sub(s.lastDemandAt) >= demandInterval {
 		d.reportDemand(s)
 	}
 }
 
-// tell sends to a request's actor, which has room for what it asked for.
-func tell(call chan<- callMessage, m callMessage) {
+// sendToCall sends to a request's actor. Its inbox has room for the replies to
+// its messages.
+func sendToCall(inbox chan<- callMessage, m callMessage) {
 	select {
-	case call <- m:
+	case inbox <- m:
 	default:
 	}
 }
@@ -224,39 +227,40 @@
 // dispatch gives free credits to queued requests.
 func (d *dispatcher) dispatch(s *service) {
 	for s.queue.Len() > 0 {
-		i, mayLong := s.choose(d.now)
+		i, longAllowed := s.choose(d.now)
 		if i == nil {
 			return
 		}
-		r, ok := s.queue.Next(d.now, mayLong, func(r dispatch.Request, why dispatch.Refusal) {
-			s.refuse(s.calls[r.Key], why)
-			delete(s.calls, r.Key)
+		r, ok := s.queue.Next(d.now, longAllowed, func(r dispatch.Request, why dispatch.Refusal) {
+			s.refuse(s.queuedCalls[r.Key], why)
+			delete(s.queuedCalls, r.Key)
 		})
 		if !ok {
 			return
 		}
-		call := s.calls[r.Key]
-		delete(s.calls, r.Key)
-		d.assign(s, i, r, call)
+		inbox := s.queuedCalls[r.Key]
+		delete(s.queuedCalls, r.Key)
+		d.assign(s, i, r, inbox)
 	}
 }
 
-func (d *dispatcher) assign(s *service, i *instance, r dispatch.Request, call chan<- callMessage) {
+// assign spends a credit of i on a request.
+func (d *dispatcher) assign(s *service, i *instance, r dispatch.Request, inbox chan<- callMessage) {
 	d.nextID++
 	i.Credits--
 	i.Running++
 	long := s.classes.IsLong(r.Class)
 	if long {
-		i.longFree--
+		i.longPermits--
 	}
-	to := assignment{
+	assigned := assignment{
 		id:     model.RequestID{Entry: d.self.Entry, Boot: d.self.Boot, Seq: d.nextID},
 		worker: i.agent.worker.ID, boot: i.agent.boot, backend: i.Backend,
 		generation: i.agent.generation, conn: i.agent.conn, long: long,
 	}
-	run := runningRequest{class: r.Class, long: long}
-	s.running[to.id] = run
-	d.busy = true
+	running := runningRequest{class: r.Class, long: long}
+	s.running[assigned.id] = running
+	d.hasRunning = true
 	s.load.Sent.Add(long, 1)
-	tell(call, callMessage{kind: callAssigned, assigned: &to})
+	sendToCall(inbox, callMessage{kind: callAssigned, assignment: &assigned})
 }
--- a/internal/entry/dispatcher_test.go
+++ b/internal/entry/dispatcher_test.go
@@ -21,46 +21,48 @@
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
 )
 
-// testDispatcher has n linked instances, each with credits and long permits.
+// testDispatcher returns a dispatcher with n linked instances, each with the
+// given numbers of credits and of permits for long requests, and their service.
 func testDispatcher(n, credits, long int) (*dispatcher, *service) {
 	d := newDispatcher(Self{Entry: "a"}, &RoutingTable{Services: map[model.Service]ServiceRule{}}, &actor.Value[RoutingTable]{})
 	d.now = time.Now()
 	for i := range n {
 		worker := model.Worker{ID: model.WorkerID(fmt.Sprint(i)), DataCentre: model.DataCentre(fmt.Sprint(i % 3))}
 		d.handle(AgentUp{Hello: msg.AgentHello{Worker: worker}, Generation: 1})
-		linkTo(d, worker.ID, &msg.BackendState{Backend: model.BackendID(worker.ID), Service: "svc", State: "ready", Slots: 8})
-		linkTo(d, worker.ID, &msg.CreditGrant{Backend: model.BackendID(worker.ID), Generation: 1, Count: credits, MaxLong: long})
+		fromAgent(d, worker.ID, &msg.BackendState{Backend: model.BackendID(worker.ID), Service: "svc", State: "ready", Slots: 8})
+		fromAgent(d, worker.ID, &msg.CreditGrant{Backend: model.BackendID(worker.ID), Generation: 1, Count: credits, MaxLong: long})
 	}
 	return d, d.service("svc")
 }
 
-func linkTo(d *dispatcher, worker model.WorkerID, m msg.Control) {
+func fromAgent(d *dispatcher, worker model.WorkerID, m msg.Control) {
 	d.handle(FromAgent{Worker: worker, Generation: 1, Msg: m})
 }
 
-func admitted(key int, class model.Class) (admit, chan callMessage) {
+func newAdmit(key int, class model.Class) (admit, chan callMessage) {
 	inbox := make(chan callMessage, 4)
 	now := time.Now()
-	return admit{service: "svc", call: inbox, req: dispatch.Request{Key: dispatch.Key(key), Class: class, Tenant: "t",
+	return admit{service: "svc", inbox: inbox, request: dispatch.Request{Key: dispatch.Key(key), Class: class, Tenant: "t",
 		Arrived: now, Deadline: now.Add(time.Hour)}}, inbox
 }
 
-// Guards against permits for long requests that are lost with callers that
-// leave between assignment and offer: in the end no watcher would start.
+// Guards against lost permits for long requests: a caller that disconnects
+// between assignment and offer must return its permit, or in the end no long
+// request starts.
 func TestUnusedCreditReturnsItsLongPermit(t *testing.T) {
 	d, s := testDispatcher(1, 8, 4)
 	s.classes.SetLong("watch", true)
 	for i := range 20 {
-		m, inbox := admitted(i, "watch")
+		m, inbox := newAdmit(i, "watch")
 		d.handle(m)
 		require.Len(t, inbox, 1, "request %d", i)
-		d.handle(unused{to: *(<-inbox).assigned})
+		d.handle(creditUnused{assignment: *(<-inbox).assignment})
 	}
 	assert.Equal(t, 8, s.instances[0].Credits)
 	assert.Zero(t, s.instances[0].Running)
 }
 
-// Guards against data centres in which long requests may take every instance.
+// Guards against data centres in which long requests occupy every instance.
 func TestOneInstanceOfEachDataCentreIsReserved(t *testing.T) {
 	d, s := testDispatcher(11, 8, 4)
 	count := func() (n int) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// flakyConn opens no stream until it has failed a number of times; then its
-// streams answer each request.
+// flakyConn fails to open a stream the given number of times. Later streams
+// answer each request with an empty response.
 type flakyConn struct{ failures *int }
 
 func (c flakyConn) OpenStream(context.Context) (link.Stream, error) {
@@ -127,8 +129,8 @@
 	return nil
 }
 
-// Guards against credits that are lost with offers for which no stream could
-// be opened: the agent counts them as lent for as long as the link lasts.
+// Guards against lost credits when no stream can be opened: the agent counts
+// them as granted until the link ends.
 func TestFailedOpenReturnsItsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
@@ -152,26 +154,26 @@
 }
 
 // BenchmarkAssign measures the dispatcher's work for one request, from its
-// admission to the end of its credit.
+// admission to the return of its credit.
 func BenchmarkAssign(b *testing.B) {
 	for _, n := range []int{11, 69, 690} {
 		for _, long := range []bool{false, true} {
 			b.Run(fmt.Sprintf("instances=%d/long=%t", n, long), func(b *testing.B) {
 				d, s := testDispatcher(n, 8, 4)
 				s.classes.SetLong("watch", true)
-				if long { // a watcher that waits, because no permit is left
+				if long { // a long request stays queued because no permit is free
 					for _, i := range s.instances {
-						i.longFree = 0
+						i.longPermits = 0
 					}
-					m, _ := admitted(1<<40, "watch")
+					m, _ := newAdmit(1<<40, "watch")
 					d.handle(m)
 				}
 				b.ReportAllocs()
 				for key := 0; b.Loop(); key++ {
-					m, inbox := admitted(key, "read")
+					m, inbox := newAdmit(key, "read")
 					d.handle(m)
-					a := (<-inbox).assigned
-					d.handle(unused{to: *a})
+					a := (<-inbox).assignment
+					d.handle(creditUnused{assignment: *a})
 				}
 			})
 		}
--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -15,22 +15,22 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Result is what became of one request, for metrics.
+// Result describes a request that has ended, for metrics.
 type Result struct {
 	Service    model.Service
 	Class      model.Class
 	Tenant     model.Tenant
-	Status     int           // 0: aborted
-	Outcome    model.Outcome // meaningful when the system itself answered
-	LocalReply bool          // the system itself answered
+	Status     int           // HTTP status; 0: no response
+	Outcome    model.Outcome // valid if LocalReply
+	LocalReply bool          // the entry generated the response
 	Duration   time.Duration
 }
 
-// Frontend serves callers. Its exported fields are not changed after its first
+// Frontend serves callers. Its exported fields must not change after its first
 // use.
 type Frontend struct {
 	Dispatcher Address
-	// Table returns the services in force. It may be called by any goroutine.
+	// Table returns the services in use. Any goroutine may call it.
 	Table   func() *RoutingTable
 	MaxBody int64        // bytes
 	Observe func(Result) // must not block; may be nil
@@ -44,42 +44,43 @@
 	keys      actor.Counter
 }
 
-// settleTime is how long after its start an entry waits for agents to connect
-// before it calls a service unknown: they dial again after at most 7.5 s.
-const settleTime = 10 * time.Second
+// startupGrace is how long after its start an entry answers requests for an
+// unknown service with a retryable status. Agents dial again after at most
+// 7.5 s.
+const startupGrace = 10 * time.Second
 
-// Via is the value that the system adds to the Via header field.
+// via is the value that the entry adds to the Via header field.
 const via = "1.1 bambooscale"
 
 // ServeHTTP implements http.Handler. Each call is an actor: it owns the
 // caller's connection and exchanges messages with the dispatcher.
 func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
-	// The deadline of the response before stays on a connection that is kept
-	// alive; without a new one an answer after a pause of 30 s would fail.
-	// Recorders in tests do not support deadlines.
-	_ = http.NewResponseController(w).SetWriteDeadline(began.Add(writeTimeout))
+	arrivedAt := time.Now()
+	// The write deadline of the previous response remains set on a keep-alive
+	// connection, so an answer after a pause of 30 s would fail without a new
+	// one. Recorders in tests do not support deadlines.
+	_ = http.NewResponseController(w).SetWriteDeadline(arrivedAt.Add(writeTimeout))
 	select {
 	case f.Semaphore <- struct{}{}:
 		defer func() { <-f.Semaphore }()
 	default:
-		answer(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "too many requests in progress", retryAfter)
+		writeReply(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "too many requests in progress", retryAfterSeconds)
 		return
 	}
-	rt, ok := f.Table().find(r)
+	rt, ok := f.Table().findRoute(r)
 	switch {
-	case !ok && began.Sub(f.StartedAt) < settleTime:
-		answer(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "the service is not known yet; this entry has just started", retryAfter)
+	case !ok && arrivedAt.Sub(f.StartedAt) < startupGrace:
+		writeReply(w, http.StatusServiceUnavailable, model.OutcomeNotRun, "the service is not known yet; this entry has just started", retryAfterSeconds)
 		return
 	case !ok:
-		answer(w, http.StatusNotFound, model.OutcomeNotRun, "unknown service", 0)
+		writeReply(w, http.StatusNotFound, model.OutcomeNotRun, "unknown service", 0)
 		return
 	}
-	if status, err := f.check(r, &rt); err != nil {
-		answer(w, status, model.OutcomeNotRun, err.Error(), 0)
+	if status, err := f.validate(r, &rt); err != nil {
+		writeReply(w, status, model.OutcomeNotRun, err.Error(), 0)
 		return
 	}
-	c := newCall(f, w, r, rt, began)
+	c := newCall(f, w, r, rt, arrivedAt)
 	defer c.observe()
 	c.run(r.Context())
 	if c.aborted {
@@ -87,8 +88,9 @@
 	}
 }
 
-// check validates what the caller asks for and applies its deadline.
-func (f *Frontend) check(r *http.Request, rt *route) (int, error) {
+// validate checks the request and applies the deadline that the caller
+// requests. It returns the HTTP status for an error.
+func (f *Frontend) validate(r *http.Request, rt *route) (int, error) {
 	if r.Method == http.MethodConnect {
 		return http.StatusBadRequest, errors.New("CONNECT is not supported")
 	}
@@ -107,20 +109,21 @@
 	return 0, nil
 }
 
-// retryAfter is the value of Retry-After in seconds.
-const retryAfter = 1
+// retryAfterSeconds is the value of the Retry-After header field.
+const retryAfterSeconds = 1
 
-// answer writes a response of the system's own.
-func answer(w http.ResponseWriter, status int, outcome model.Outcome, text string, retry int) {
+// writeReply writes a response that the entry generates. A retryAfter of zero
+// seconds sends no Retry-After field.
+func writeReply(w http.ResponseWriter, status int, outcome model.Outcome, text string, retryAfter int) {
 	h := w.Header()
 	h.Set(model.OutcomeHeader, outcome.String())
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Via", via)
-	if retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(retry))
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(retryAfter))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text + "\n")) // a caller that is gone reads nothing
+	_, _ = w.Write([]byte(text + "\n")) // an error means that the caller has disconnected
 }
 
 // hopByHop are the fields of RFC 9110 section 7.6.1 that are not forwarded.
@@ -129,8 +132,8 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// forwarded returns the request's fields for the backend server.
-func forwarded(r *http.Request) []msg.Field {
+// forwardedFields returns the header fields that are sent to the backend server.
+func forwardedFields(r *http.Request) []msg.Field {
 	drop := connectionFields(r.Header)
 	list := make([]msg.Field, 0, len(r.Header)+2)
 	for name, values := range r.Header {
@@ -145,20 +148,21 @@
 	if err != nil {
 		client = r.RemoteAddr
 	}
-	list = append(list, msg.Field{Name: "X-Forwarded-For", Value: joined(r.Header["X-Forwarded-For"], client)})
-	return append(list, msg.Field{Name: "Via", Value: joined(r.Header["Via"], via)})
+	list = append(list, msg.Field{Name: "X-Forwarded-For", Value: appendToList(r.Header["X-Forwarded-For"], client)})
+	return append(list, msg.Field{Name: "Via", Value: appendToList(r.Header["Via"], via)})
 }
 
-// internalHeader reports whether a caller's field is not passed on.
+// internalHeader reports whether a field of the caller is for the entry only.
 func internalHeader(name string) bool {
 	return strings.HasPrefix(name, headerPrefix) && name != headerTenant
 }
 
-func joined(values []string, last string) string {
+// appendToList returns the values and last as one comma-separated list.
+func appendToList(values []string, last string) string {
 	return strings.Join(append(append([]string(nil), values...), last), ", ")
 }
 
-// connectionFields lists the fields that the Connection field names.
+// connectionFields returns the names that the Connection field lists.
 func connectionFields(h http.Header) map[string]bool {
 	var drop map[string]bool
 	for _, v := range h["Connection"] {
@@ -172,7 +176,7 @@
 	return drop
 }
 
-// copyHeader sets the fields of a backend server's response.
+// copyHeader adds the end-to-end fields of a backend server's response to h.
 func copyHeader(h http.Header, list []msg.Field) {
 	for _, f := range list {
 		name := textproto.CanonicalMIMEHeaderKey(f.Name)
--- a/internal/entry/keepalive_test.go
+++ b/internal/entry/keepalive_test.go
@@ -12,7 +12,7 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// deadlineRecorder records the write deadline that a handler leaves behind.
+// deadlineRecorder records the last write deadline that a handler sets.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// Guards against a write deadline of an earlier response on a connection that
-// is kept alive: an answer after a pause would be cut off.
+// Guards against answers that are cut off after a pause because the write
+// deadline of an earlier response is still set on a keep-alive connection.
 func TestEveryAnswerSetsItsWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &actor.Value[RoutingTable]{}
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -44,7 +44,8 @@
 	evQueryTimer
 )
 
-// effect is what a step of the lifecycle asks its owner to do.
+// effect is an operation that the request's actor performs after a step of the
+// lifecycle.
 type effect uint8
 
 const (
@@ -64,42 +65,43 @@
 // maxEffects bounds the effects of one step; no transition has more actions.
 const maxEffects = 4
 
-// maxTries bounds the offers of one request. An agent refuses a long request
+// maxOffers bounds the offers of one request. An agent refuses a long request
 // when two entries used the same permit, which may happen several times in a
-// row under load; with 4 tries such requests were refused late.
-const maxTries = 16
+// row under load. With 4 offers such requests were refused after a long wait.
+const maxOffers = 16
 
 const (
-	// An agent applies the request's deadline itself and refuses shortly
-	// after it; this adds the way back and a busy host.
+	// refusalBound is how long the entry waits for a refusal after the
+	// deadline. The agent applies the same deadline and refuses shortly after
+	// it; the rest is for the link and a busy host.
 	refusalBound = 500 * time.Millisecond
 )
 
-// lifecycle is the state of one request without its sockets. Steps are pure:
-// they record effects, which the request's actor carries out.
+// lifecycle is the state of one request without its sockets. Steps have no side
+// effects: they record effects, which the request's actor performs.
 type lifecycle struct {
-	state      chart.State
-	idempotent bool
-	replayable bool // the whole body so far is buffered
-	answered   bool // response bytes may have reached the caller
-	ran        bool // an earlier exchange was started and has ended
-	tries      int  // offers so far
-	effects    [maxEffects]effect
-	pending    int
+	state       chart.State
+	idempotent  bool
+	replayable  bool // the body received so far is buffered completely
+	answered    bool // response bytes may have reached the caller
+	ranBefore   bool // an earlier exchange was started and has ended
+	offers      int  // offers so far
+	effects     [maxEffects]effect
+	effectCount int
 }
 
+// emit records an effect of the current step.
 func (l *lifecycle) emit(e effect) {
-	l.effects[l.pending] = e
-	l.pending++
+	l.effects[l.effectCount] = e
+	l.effectCount++
 }
 
-// step feeds an event and returns the effects to carry out, in order. The
-// slice is valid until the next step. ok is false when the state ignores the
-// event.
+// step applies an event and returns the effects to perform, in order. The slice
+// is valid until the next step. ok is false when the state ignores the event.
 func (l *lifecycle) step(e chart.Event) (effects []effect, ok bool) {
-	l.pending = 0
+	l.effectCount = 0
 	ok = requestChart.Step(l, &l.state, e)
-	return l.effects[:l.pending], ok
+	return l.effects[:l.effectCount], ok
 }
 
 var requestChart = chart.MustCompile(charts.Files, RequestBinding())
@@ -116,10 +118,10 @@
 			"failed", "linkLost", "ended", "running", "noRecord", "expire", "cancel", "timeout", "queryTimer"},
 		Guards: map[string]func(*lifecycle) bool{
 			// The request was never started, so a second offer runs it once.
-			"mayRequeue": func(l *lifecycle) bool { return l.replayable && l.tries < maxTries },
-			// The first exchange has ended; only an idempotent request may run again.
+			"mayRequeue": func(l *lifecycle) bool { return l.replayable && l.offers < maxOffers },
+			// An exchange has ended; only an idempotent request may run again.
 			"mayRepeat": func(l *lifecycle) bool {
-				return l.idempotent && l.replayable && l.tries < maxTries && !l.answered
+				return l.idempotent && l.replayable && l.offers < maxOffers && !l.answered
 			},
 		},
 		Actions: map[string]func(*lifecycle){
@@ -128,14 +130,14 @@
 			"cancelExchange": emit(effCancelExchange), "release": emit(effRelease),
 			"answerRun": emit(effAnswerRun), "answerUnknown": emit(effAnswerUnknown), "abort": emit(effAbort),
 			"answerNotRun": func(l *lifecycle) {
-				if l.ran { // an earlier exchange of an idempotent request did run
+				if l.ranBefore { // an earlier exchange of an idempotent request ran
 					l.emit(effAnswerRun)
 					return
 				}
 				l.emit(effAnswerNotRun)
 			},
 			"repeat": func(l *lifecycle) {
-				l.ran = true
+				l.ranBefore = true
 				l.emit(effRequeue)
 			},
 		},
--- a/internal/entry/lifecycle_test.go
+++ b/internal/entry/lifecycle_test.go
@@ -8,8 +8,8 @@
 	"github.com/bambooscale/bambooscale/internal/chart"
 )
 
-// Guards against a second run of a non-idempotent request whose first run may
-// have happened, and against "not run" for a request that may have run.
+// Guards against a second run of a non-idempotent request that may have run
+// already, and against the outcome "not run" for a request that may have run.
 func TestOutcomeAfterALostLink(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -26,17 +26,17 @@
 			[]chart.Event{evAdmit, evOffer, evStarted, evLinkLost, evEnded}, effAnswerRun, stFailed},
 		{"ended, idempotent", lifecycle{replayable: true, idempotent: true},
 			[]chart.Event{evAdmit, evOffer, evStarted, evLinkLost, evEnded}, effRequeue, stQueued},
-		{"still running, idempotent: no second copy", lifecycle{replayable: true, idempotent: true},
+		{"still running, idempotent: no second run", lifecycle{replayable: true, idempotent: true},
 			[]chart.Event{evAdmit, evOffer, evStarted, evLinkLost, evRunning}, effQueryLater, stQuerying},
 		{"refused after an idempotent request ran once", lifecycle{replayable: true, idempotent: true},
 			[]chart.Event{evAdmit, evOffer, evStarted, evFailed, evRefuse}, effAnswerRun, stRefused},
 		{"refused at the deadline", lifecycle{replayable: true},
 			[]chart.Event{evAdmit, evOffer, evExpire, evNotStarted}, effAnswerNotRun, stRefused},
-		{"forgotten", lifecycle{replayable: true, idempotent: true},
+		{"no record", lifecycle{replayable: true, idempotent: true},
 			[]chart.Event{evAdmit, evOffer, evLinkLost, evNoRecord}, effAnswerUnknown, stUnknown},
 		{"no reply by the deadline", lifecycle{replayable: true},
 			[]chart.Event{evAdmit, evOffer, evLinkLost, evExpire}, effAnswerUnknown, stUnknown},
-		{"failure after the response began", lifecycle{replayable: true, idempotent: true},
+		{"failure after the start of the response", lifecycle{replayable: true, idempotent: true},
 			[]chart.Event{evAdmit, evOffer, evStarted, evResponse, evFailed}, effAbort, stAborted},
 	}
 	for _, c := range cases {
--- a/internal/entry/messages.go
+++ b/internal/entry/messages.go
@@ -14,125 +14,127 @@
 // Message is a message to the dispatcher.
 type Message interface{ isMessage() }
 
-// AgentUp says that a link to an agent is established.
+// AgentUp reports that a link to an agent is established.
 type AgentUp struct {
 	Hello      msg.AgentHello
-	Generation uint64
+	Generation uint64 // number of the link; increases
 	Conn       link.Conn
 	Out        peer.Out
 	End        func() // ends the link; may be nil
 }
 
-// AgentDown says that a link to an agent has ended.
+// AgentDown reports that a link to an agent has ended.
 type AgentDown struct {
 	Worker     model.WorkerID
 	Generation uint64
 }
 
-// FromAgent carries a message of an agent.
+// FromAgent carries a message from an agent. Generation identifies the link.
 type FromAgent struct {
 	Worker     model.WorkerID
 	Generation uint64
 	Msg        msg.Control
 }
 
-// SetRouting replaces the services and classes that the dispatcher knows.
+// SetRouting replaces the configured services and classes.
 type SetRouting struct{ Table *RoutingTable }
 
-// StatusQuery asks for what the entry knows of its services.
+// StatusQuery requests the state of the services.
 type StatusQuery struct {
 	Reply actor.Reply[[]model.ServiceStatus]
 }
 
-// DrainQuery asks for the drain of a backend server. The reply is false when
-// no agent with that backend server is linked.
+// DrainQuery requests the drain of a backend server. The reply is false when no
+// agent with that backend server is linked or the request could not be sent.
 type DrainQuery struct {
 	Backend model.BackendID
 	Reply   actor.Reply[bool]
 }
 
-// admit queues a request.
+// admit queues a request, or refuses it.
 type admit struct {
-	service model.Service
-	req     dispatch.Request
-	call    chan<- callMessage // has room for one assignment or refusal
-	retry   bool               // offered before
-	ran     bool               // an earlier exchange ran, so the retry budget applies
+	service   model.Service
+	request   dispatch.Request
+	inbox     chan<- callMessage // buffers at least one assignment or refusal
+	retry     bool               // it has been offered before
+	ranBefore bool               // an earlier exchange ran, so the retry budget applies
 }
 
-// withdraw takes a request out of the queue. If it was assigned meanwhile, the
-// assignment is in the request's inbox when done is set, and the request gives
-// the credit back with unused.
+// withdraw removes a request from the queue. If it was assigned meanwhile, the
+// assignment is in the request's inbox when done is set, and the request
+// returns the credit with creditUnused.
 type withdraw struct {
 	service model.Service
 	key     dispatch.Key
 	done    actor.Reply[struct{}]
 }
 
-// unused gives back a credit that was assigned but not spent.
-type unused struct {
-	to     assignment
-	failed bool // no stream could be opened
+// creditUnused returns a credit that was assigned but not spent.
+type creditUnused struct {
+	assignment assignment
+	openFailed bool // no stream could be opened
 }
 
-// started says that a backend server was given the request.
-type started struct {
+// requestStarted reports that a backend server started the request.
+type requestStarted struct {
 	id      model.RequestID
 	service model.Service
 }
 
-// finished says that the use of a credit has ended.
-type finished struct {
-	to      assignment
-	service model.Service
-	class   model.Class
-	started bool          // a backend server ran it
-	ran     time.Duration // from started to the end
-	failed  bool
+// requestFinished reports that an offered request no longer uses its credit.
+type requestFinished struct {
+	assignment assignment
+	service    model.Service
+	class      model.Class
+	started    bool          // a backend server ran it
+	duration   time.Duration // from the start to the end
+	failed     bool
 }
 
-// askOutcome asks the agent of a lost link what became of a request.
-type askOutcome struct {
+// outcomeQuery requests the outcome of a request from its agent after the link
+// was lost.
+type outcomeQuery struct {
 	id     model.RequestID
 	worker model.WorkerID
 	boot   model.Boot
-	call   chan<- callMessage
+	inbox  chan<- callMessage
 }
 
-// forget ends the interest in an outcome.
-type forget struct{ id model.RequestID }
-
-func (AgentUp) isMessage()     {}
-func (AgentDown) isMessage()   {}
-func (FromAgent) isMessage()   {}
-func (SetRouting) isMessage()  {}
-func (StatusQuery) isMessage() {}
-func (DrainQuery) isMessage()  {}
-func (admit) isMessage()       {}
-func (withdraw) isMessage()    {}
-func (unused) isMessage()      {}
-func (started) isMessage()     {}
-func (finished) isMessage()    {}
-func (askOutcome) isMessage()  {}
-func (forget) isMessage()      {}
+// endOutcomeQuery cancels an outcomeQuery.
+type endOutcomeQuery struct{ id model.RequestID }
+
+func (AgentUp) isMessage()         {}
+func (AgentDown) isMessage()       {}
+func (FromAgent) isMessage()       {}
+func (SetRouting) isMessage()      {}
+func (StatusQuery) isMessage()     {}
+func (DrainQuery) isMessage()      {}
+func (admit) isMessage()           {}
+func (withdraw) isMessage()        {}
+func (creditUnused) isMessage()    {}
+func (requestStarted) isMessage()  {}
+func (requestFinished) isMessage() {}
+func (outcomeQuery) isMessage()    {}
+func (endOutcomeQuery) isMessage() {}
 
 // callMessage is a message from the dispatcher to the actor of a request.
 type callMessage struct {
-	assigned *assignment
-	refusal  dispatch.Refusal
-	outcome  msg.ExchangeState
-	kind     callKind
+	assignment *assignment
+	refusal    dispatch.Refusal
+	outcome    msg.ExchangeState
+	kind       callMessageKind
 }
 
-type callKind uint8
+// callMessageKind tells which field of a callMessage is set.
+type callMessageKind uint8
 
 const (
-	callAssigned callKind = iota
+	callAssigned callMessageKind = iota
 	callRefused
 	callOutcome
 )
 
-// assignment is a credit given to a request.
+// assignment is a credit of an agent that the dispatcher assigned to a request.
 type assignment struct {
 	id         model.RequestID
 	worker     model.WorkerID
--- a/internal/entry/alarm_test.go
+++ b/internal/entry/pausable_ticker_test.go
@@ -8,12 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an alarm that wakes an idle dispatcher, that stays silent
-// after it was started again, or that never fires because each message
-// restarts it.
-func TestAlarmFiresOnlyWhileItIsOn(t *testing.T) {
+// Guards against a ticker that wakes an idle dispatcher, that does not tick
+// after a restart, or that never ticks because each message restarts it.
+func TestPausableTickerTicksOnlyWhileRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newAlarm(20 * time.Millisecond)
+		a := newPausableTicker(20 * time.Millisecond)
 		defer a.Stop()
 		fired := func(d time.Duration) (n int) {
 			for end := time.After(d); ; {
@@ -26,16 +25,16 @@
 			}
 		}
 		require.Zero(t, fired(time.Second))
-		a.run(true)
+		a.setRunning(true)
 		for range 10 {
 			require.Zero(t, fired(1900*time.Microsecond))
-			a.run(true)
+			a.setRunning(true)
 		}
 		require.Equal(t, 1, fired(2*time.Millisecond))
 		require.Equal(t, 5, fired(100*time.Millisecond))
-		a.run(false)
+		a.setRunning(false)
 		require.Zero(t, fired(time.Second))
-		a.run(true)
+		a.setRunning(true)
 		require.Equal(t, 5, fired(101*time.Millisecond))
 	})
 }
--- a/internal/entry/replace_test.go
+++ b/internal/entry/replaced_link_test.go
@@ -10,9 +10,9 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against a backend server that is never used again: the greeting of a
-// killed agent arrives after that of its successor, and the end of the late
-// link leaves the worker without one although the successor's link is up.
+// Guards against a backend server that is never used again: the handshake of a
+// killed agent arrives after that of its successor, and the end of that link
+// leaves the worker without a link although the successor's link is up.
 func TestReplacedLinkIsEnded(t *testing.T) {
 	d := newDispatcher(Self{Entry: "e"}, &RoutingTable{}, &actor.Value[RoutingTable]{})
 	up := func(generation uint64, end func()) {
@@ -20,10 +20,10 @@
 	}
 	ended := false
 	up(1, func() { ended = true }) // the successor
-	up(2, func() {})               // the late greeting of the killed agent
-	require.True(t, ended, "the successor is not told to connect again")
+	up(2, func() {})               // the late handshake of the killed agent
+	require.True(t, ended, "the link of the successor has not been ended, so it does not connect again")
 	d.handle(AgentDown{Worker: "w", Generation: 1})
-	up(3, func() {}) // it did
+	up(3, func() {}) // the successor connects again
 	d.handle(AgentDown{Worker: "w", Generation: 2})
 	require.Equal(t, uint64(3), d.agents["w"].generation)
 }
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -10,7 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Header fields with which callers steer a request, and the prefix of all.
+// Header fields that select the service, tenant and deadline of a request, and
+// their common prefix.
 const (
 	headerPrefix   = "Bambooscale-"
 	headerService  = "Bambooscale-Service"
@@ -18,10 +19,11 @@
 	headerDeadline = "Bambooscale-Deadline-Ms"
 )
 
-// DefaultDeadline bounds a request whose class has no deadline of its own.
+// DefaultDeadline applies when neither the class nor the routing table sets a
+// deadline.
 const DefaultDeadline = 30 * time.Second
 
-// maxNameBytes bounds names that callers choose.
+// maxNameBytes bounds tenant names that callers send; longer ones are ignored.
 const maxNameBytes = 63
 
 // DefaultClass is the class of requests that match no class of the
@@ -32,14 +34,14 @@
 type ClassRule struct {
 	Name         model.Class
 	PathPrefixes []string
-	Deadline     time.Duration // 0: DefaultDeadline
-	Long         *bool         // nil: learned
+	Deadline     time.Duration // 0: that of the routing table
+	Long         *bool         // nil: estimated from durations
 	// Idempotent lists the methods that are idempotent for this class; nil
 	// means those of RFC 9110.
 	Idempotent map[string]bool
 }
 
-// ServiceRule is a service that callers may address.
+// ServiceRule describes a service that callers may address.
 type ServiceRule struct {
 	Name          model.Service
 	DefaultTenant model.Tenant
@@ -54,7 +56,7 @@
 	DefaultDeadline time.Duration // of classes without one of their own; 0: DefaultDeadline
 }
 
-// route is where a request belongs.
+// route is the service, tenant, class and deadline of a request.
 type route struct {
 	service  model.Service
 	tenant   model.Tenant
@@ -62,13 +64,13 @@
 	deadline time.Duration
 }
 
-// find returns the route of r, or false when it names no known service.
-func (t *RoutingTable) find(r *http.Request) (route, bool) {
+// findRoute returns the route of r, or false when its service is unknown.
+func (t *RoutingTable) findRoute(r *http.Request) (route, bool) {
 	rule, ok := t.service(r)
 	if !ok {
 		return route{}, false
 	}
-	rt := route{service: rule.Name, tenant: rule.DefaultTenant, class: rule.class(r.URL.Path)}
+	rt := route{service: rule.Name, tenant: rule.DefaultTenant, class: rule.classFor(r.URL.Path)}
 	if name := r.Header.Get(headerTenant); name != "" && len(name) <= maxNameBytes {
 		rt.tenant = model.Tenant(name)
 	}
@@ -79,6 +81,8 @@
 	return rt, true
 }
 
+// service selects the service by header field, by the first label of the host
+// name, or by default.
 func (t *RoutingTable) service(r *http.Request) (ServiceRule, bool) {
 	if name := r.Header.Get(headerService); name != "" {
 		rule, ok := t.Services[model.Service(name)]
@@ -98,12 +102,13 @@
 	return rule, ok
 }
 
-func (s *ServiceRule) class(path string) ClassRule {
-	best, length := ClassRule{Name: DefaultClass}, -1
+// classFor returns the class with the longest prefix of path.
+func (s *ServiceRule) classFor(path string) ClassRule {
+	best, bestLength := ClassRule{Name: DefaultClass}, -1
 	for _, c := range s.Classes {
 		for _, prefix := range c.PathPrefixes {
-			if len(prefix) > length && strings.HasPrefix(path, prefix) {
-				best, length = c, len(prefix)
+			if len(prefix) > bestLength && strings.HasPrefix(path, prefix) {
+				best, bestLength = c, len(prefix)
 			}
 		}
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -10,55 +10,57 @@
 // instance is a backend server behind a linked agent.
 type instance struct {
 	dispatch.Candidate
-	service  *service
-	agent    *agent
-	state    string
-	longFree int
-	reserved bool      // kept free of long requests
-	slowness float64   // smoothed ratio of its slot times to the class means
-	avoid    time.Time // a stream could not be opened: not used before this
+	service     *service
+	agent       *agent
+	state       string // of the backend server, as its agent reports it
+	longPermits int
+	reserved    bool      // accepts no long requests
+	slowness    float64   // smoothed ratio of its slot times to the class means
+	avoidUntil  time.Time // not chosen before this time, because a stream could not be opened
 }
 
-// service is a service with its queue.
+// service is a service with its queue and running requests.
 type service struct {
-	name      model.Service
-	queue     *dispatch.Queue
-	classes   *dispatch.ClassEstimates
-	budget    dispatch.RetryBudget
-	calls     map[dispatch.Key]chan<- callMessage // of the queued requests
-	instances []*instance
-	flat      []dispatch.Candidate // scratch
-	running   map[model.RequestID]runningRequest
-	load      dispatch.Load // number of the running ones
-	refused   int64
-	demanded  demand // last report
-	reported  time.Time
+	name         model.Service
+	queue        *dispatch.Queue
+	classes      *dispatch.ClassEstimates
+	budget       dispatch.RetryBudget
+	queuedCalls  map[dispatch.Key]chan<- callMessage // inboxes of the queued requests
+	instances    []*instance
+	candidates   []dispatch.Candidate // reused by choose
+	running      map[model.RequestID]runningRequest
+	load         dispatch.Load // numbers of requests that were sent and started
+	refused      int64
+	lastDemand   demand // last reported
+	lastDemandAt time.Time
 }
 
+// runningRequest is a request with an assigned credit.
 type runningRequest struct {
-	long  bool
-	class model.Class
-	since time.Time     // when it was started; zero before
-	aged  time.Duration // age at which it is counted again
+	long       bool
+	class      model.Class
+	startedAt  time.Time     // zero: not started
+	sampledAge time.Duration // minimum age for the next sample
 }
 
+// demand counts queued requests.
 type demand struct {
 	queued, short int
 }
 
-func (s *service) refuse(call chan<- callMessage, why dispatch.Refusal) {
+func (s *service) refuse(inbox chan<- callMessage, why dispatch.Refusal) {
 	s.refused++
-	tell(call, callMessage{kind: callRefused, refusal: why})
+	sendToCall(inbox, callMessage{kind: callRefused, refusal: why})
 }
 
-func (s *service) inProgress() dispatch.Load {
+func (s *service) currentLoad() dispatch.Load {
 	load := s.load
 	load.Instances, load.Slots = len(s.instances), s.readySlots()
 	return load
 }
 
-// idle reports whether a credit is free and nobody waits for it.
-func (s *service) idle() bool {
+// hasIdleCredit reports whether a credit is free and no request is queued.
+func (s *service) hasIdleCredit() bool {
 	if s.queue.Len() > 0 {
 		return false
 	}
@@ -80,38 +82,39 @@
 	return n
 }
 
-// choose picks the instance for the next request. An instance whose agent
-// still allows a long request is preferred while long ones wait.
+// choose returns the instance for the next request, or nil, and whether the
+// request may be a long one. If only long requests are queued, instances that
+// accept one are preferred.
 func (s *service) choose(now time.Time) (*instance, bool) {
-	long := s.queue.Len() > s.queue.ShortLen()
-	s.flat = s.flat[:0]
-	mayLong := false
+	longQueued := s.queue.Len() > s.queue.ShortLen()
+	s.candidates = s.candidates[:0]
+	longPossible := false
 	for _, i := range s.instances {
 		c := i.Candidate
 		c.Slowness = i.slowness
-		if now.Before(i.avoid) {
+		if now.Before(i.avoidUntil) {
 			c.Credits = 0
 		}
-		if long && i.Credits > 0 && s.longAllowed(i) {
-			mayLong = true
+		if longQueued && i.Credits > 0 && s.longAllowed(i) {
+			longPossible = true
 		}
-		s.flat = append(s.flat, c)
+		s.candidates = append(s.candidates, c)
 	}
-	if mayLong && s.queue.ShortLen() == 0 {
+	if longPossible && s.queue.ShortLen() == 0 {
 		for k, i := range s.instances {
 			if !s.longAllowed(i) {
-				s.flat[k].Credits = 0
+				s.candidates[k].Credits = 0
 			}
 		}
 	}
-	k := dispatch.Choose(s.flat, s.meanOfAll())
+	k := dispatch.Choose(s.candidates, s.meanOverClasses())
 	if k < 0 {
 		return nil, false
 	}
 	return s.instances[k], s.longAllowed(s.instances[k])
 }
 
-func (s *service) meanOfAll() time.Duration {
+func (s *service) meanOverClasses() time.Duration {
 	names := s.classes.Names()
 	if len(names) == 0 {
 		return 0
@@ -124,20 +127,20 @@
 }
 
 // longAllowed reports whether a long request may be sent to i.
-func (s *service) longAllowed(i *instance) bool { return i.longFree > 0 && !i.reserved }
+func (s *service) longAllowed(i *instance) bool { return i.longPermits > 0 && !i.reserved }
 
-// reserve keeps one instance of each data centre that has several free of
-// long requests, so that short ones always find a place nearby. It is called
-// when the instances change: a search for each request cost the square of
-// their number.
-func (s *service) reserve() {
+// reserveForShort reserves one instance of each data centre with several
+// instances for short requests, so that these find a free slot in their data
+// centre. It is called when the instances change: a search for each request
+// took time quadratic in their number.
+func (s *service) reserveForShort() {
 	first := map[model.DataCentre]*instance{}
-	several := map[model.DataCentre]bool{}
+	hasSeveral := map[model.DataCentre]bool{}
 	for _, i := range s.instances {
 		dc := i.agent.worker.DataCentre
 		i.reserved = false
 		if f := first[dc]; f != nil {
-			several[dc] = true
+			hasSeveral[dc] = true
 			if f.Backend < i.Backend {
 				continue
 			}
@@ -145,6 +148,6 @@
 		first[dc] = i
 	}
 	for dc, i := range first {
-		i.reserved = several[dc]
+		i.reserved = hasSeveral[dc]
 	}
 }
--- a/internal/entry/settle_test.go
+++ b/internal/entry/startup_test.go
@@ -12,9 +12,9 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// Guards against callers who are told by an entry that has just started that
-// their service does not exist, while its agents are still connecting.
-func TestUnknownServiceAfterAStart(t *testing.T) {
+// Guards against status 404 from an entry that has just started, while the
+// agents of the service are still connecting.
+func TestUnknownServiceAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &actor.Value[RoutingTable]{}
 		table.Set(&RoutingTable{})
@@ -26,7 +26,7 @@
 			return w.Code
 		}
 		require.Equal(t, http.StatusServiceUnavailable, status())
-		time.Sleep(settleTime)
+		time.Sleep(startupGrace)
 		require.Equal(t, http.StatusNotFound, status())
 	})
 }
