--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -11,19 +11,20 @@
 // Address is the address of a slots actor.
 type Address = actor.Address[Message]
 
-// mailbox is the room for messages to the slots actor; senders wait when it
-// is full.
-const mailbox = 1024
+// mailboxSize is the number of messages that the slots actor's mailbox holds.
+// Senders block when it is full.
+const mailboxSize = 1024
 
 // SpawnSlots starts the actor that owns the slots of the host's backend
 // server.
 func SpawnSlots(g *actor.Group, host model.Worker) Address {
-	return actor.Spawn(g, actor.Spec[Message]{Name: "slots", Mailbox: mailbox,
+	return actor.Spawn(g, actor.Spec[Message]{Name: "slots", Mailbox: mailboxSize,
 		Run: func(ctx context.Context, in <-chan Message) error {
 			return runSlots(ctx, newSlots(host), in)
 		}})
 }
 
+// runSlots handles messages and timers until ctx ends.
 func runSlots(ctx context.Context, s *slots, in <-chan Message) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -9,10 +9,10 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// maxAnnouncement bounds the body of an announcement in bytes.
-const maxAnnouncement = 16 << 10
+// maxAnnouncementBytes bounds the body of an announcement.
+const maxAnnouncementBytes = 16 << 10
 
-// Limits of what a backend server may announce.
+// Upper bounds of announced values.
 const (
 	maxSlots       = 4096
 	maxConnections = 65_536
@@ -28,34 +28,36 @@
 	Instance    string          `json:"instance"`
 }
 
-func (a announcement) check() finding.List {
-	var found finding.List
+// validate returns the fields with missing or invalid values.
+func (a announcement) validate() finding.List {
+	var findings finding.List
 	if a.Service == "" {
-		found.Add("announcement", 0, "service", "is missing")
+		findings.Add("announcement", 0, "service", "is missing")
 	}
 	if host, _, err := net.SplitHostPort(a.Address); err != nil || net.ParseIP(host) == nil {
-		found.Add("announcement", 0, "address", "%q is not an IP address with a port", a.Address)
+		findings.Add("announcement", 0, "address", "%q is not an IP address with a port", a.Address)
 	}
 	if a.Slots < 1 || a.Slots > maxSlots {
-		found.Add("announcement", 0, "slots", "%d is not between 1 and %d", a.Slots, maxSlots)
+		findings.Add("announcement", 0, "slots", "%d is not between 1 and %d", a.Slots, maxSlots)
 	}
 	if a.Connections < 1 || a.Connections > maxConnections {
-		found.Add("announcement", 0, "connections", "%d is not between 1 and %d", a.Connections, maxConnections)
+		findings.Add("announcement", 0, "connections", "%d is not between 1 and %d", a.Connections, maxConnections)
 	}
-	return found
+	return findings
 }
 
-// AnnounceHandler serves the calls by which the backend server of the host
-// announces itself. worker names the backend server if it does not.
+// AnnounceHandler serves the HTTP requests with which the backend server of the
+// host announces and drains itself. An announcement without an ID gets one
+// formed from the service and worker.
 func AnnounceHandler(slots Address, worker model.WorkerID) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/announce", func(w http.ResponseWriter, r *http.Request) {
 		var a announcement
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement)).Decode(&a); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(&a); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := a.check().Err(); err != nil {
+		if err := a.validate().Err(); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -64,15 +66,15 @@
 		}
 		m := Announce{Backend: a.ID, Service: a.Service, Address: a.Address, Slots: a.Slots,
 			Connections: a.Connections, Instance: a.Instance}
-		reply(w, slots.Send(r.Context(), m))
+		writeReply(w, slots.Send(r.Context(), m))
 	})
 	mux.HandleFunc("POST /v1/drain", func(w http.ResponseWriter, r *http.Request) {
-		reply(w, slots.Send(r.Context(), Drain{}))
+		writeReply(w, slots.Send(r.Context(), Drain{}))
 	})
 	return mux
 }
 
-func reply(w http.ResponseWriter, err error) {
+func writeReply(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -5,15 +5,17 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// backend is the backend server of the host.
+// backend is the state of the host's backend server.
 type backend struct {
 	Announce
 	state         chart.State
-	rearm         bool // the state's timeout starts again
-	open          bool // credits may be lent
-	refuseWaiting bool
+	rearm         bool // set by a step: restart the time-out of the state
+	open          bool // credits may be granted
+	refuseWaiting bool // set by a step: refuse the waiting requests
 }
 
+// stepBackend steps the chart, sets the time-out of the state and reports a
+// changed state to the entries.
 func (s *slots) stepBackend(e chart.Event) {
 	b, before := &s.backend, s.backend.state
 	b.rearm, b.refuseWaiting = false, false
@@ -34,13 +36,15 @@
 	}
 }
 
+// announce records an announcement. A new instance name means that the backend
+// server has restarted.
 func (s *slots) announce(m Announce) {
 	event := beAnnounce
 	if s.backend.Instance != "" && m.Instance != s.backend.Instance {
 		event = beReplaced
 	}
 	s.backend.Announce = m
-	s.resize(2 * m.Slots) // the look-ahead is at most the slots
+	s.resize(2 * m.Slots) // the look-ahead is at most the number of slots
 	s.stepBackend(event)
 }
 
@@ -48,21 +52,21 @@
 	for len(s.waiting) > 0 {
 		rec := s.waiting[0]
 		rec.refusal = msg.RefusedDraining
-		s.stepWaiting(rec, exWithdraw)
+		s.stepExchange(rec, exWithdraw)
 	}
 }
 
 func (s *slots) reportBackend() {
-	for _, b := range s.borrowers {
-		s.sendBackend(b)
+	for _, e := range s.entries {
+		s.sendBackend(e)
 	}
 }
 
-func (s *slots) sendBackend(b *borrower) {
+func (s *slots) sendBackend(e *linkedEntry) {
 	if s.backend.Backend == "" {
 		return
 	}
-	b.out.TrySend(&msg.BackendState{
+	e.out.TrySend(&msg.BackendState{
 		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.StateName(s.backend.state),
 		Slots: s.backend.Slots, Connections: s.backend.Connections,
 	})
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -5,22 +5,23 @@
 	"io"
 )
 
-// body is a request body that one goroutine pushes and the HTTP transport
-// reads. Chunks pass through a channel, so no state is shared.
+// body is a request body that one goroutine writes with push and the HTTP
+// transport reads. Chunks pass through a channel, so the two share no state.
 type body struct {
-	ctx    context.Context
-	chunks chan []byte // closed at the end
-	failed chan error  // has room for the one failure
-	rest   []byte      // unread part of the current chunk
-	err    error       // seen by the reader
-	ended  bool        // seen by the writer
+	ctx     context.Context
+	chunks  chan []byte // closed at the end
+	pushErr chan error  // error passed to fail; buffers one
+	unread  []byte      // rest of the current chunk; used by Read
+	readErr error       // returned by every later Read; used by Read
+	closed  bool        // used by the writer
 }
 
 func newBody(ctx context.Context) *body {
-	return &body{ctx: ctx, chunks: make(chan []byte, 1), failed: make(chan error, 1)}
+	return &body{ctx: ctx, chunks: make(chan []byte, 1), pushErr: make(chan error, 1)}
 }
 
-// push hands over a copy of data, waiting for the reader.
+// push sends a copy of data to the reader. It blocks while the reader has not
+// received the previous chunk.
 func (b *body) push(ctx context.Context, data []byte) error {
 	chunk := append([]byte(nil), data...)
 	select {
@@ -31,45 +32,45 @@
 	}
 }
 
-// finish ends the body in order.
+// finish ends the body; the reader gets io.EOF.
 func (b *body) finish() {
-	if !b.ended {
-		b.ended = true
+	if !b.closed {
+		b.closed = true
 		close(b.chunks)
 	}
 }
 
-// fail ends the body with an error, unless it has ended.
+// fail ends the body with an error, unless it has ended already.
 func (b *body) fail(err error) {
-	if !b.ended {
-		b.failed <- err
+	if !b.closed {
+		b.pushErr <- err
 		b.finish()
 	}
 }
 
 // Read implements io.Reader for the transport.
 func (b *body) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
-		if b.err != nil {
-			return 0, b.err
+	for len(b.unread) == 0 {
+		if b.readErr != nil {
+			return 0, b.readErr
 		}
 		select {
 		case chunk, ok := <-b.chunks:
 			if ok {
-				b.rest = chunk
+				b.unread = chunk
 				continue
 			}
-			b.err = io.EOF
+			b.readErr = io.EOF
 			select {
-			case b.err = <-b.failed:
+			case b.readErr = <-b.pushErr:
 			default:
 			}
 		case <-b.ctx.Done():
-			b.err = b.ctx.Err()
+			b.readErr = b.ctx.Err()
 		}
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
--- a/internal/agent/entrylink.go
+++ b/internal/agent/entrylink.go
@@ -17,20 +17,20 @@
 	"github.com/bambooscale/bambooscale/internal/peer"
 )
 
-// Subscriber gets the messages of links that do not concern requests, such as
-// commands for tasks and configuration. Methods are called by the links'
-// goroutines and must not block for long.
+// Subscriber receives the events of the links to entries and the messages that
+// do not concern requests, such as commands for tasks and configuration. Its
+// methods are called by the links' goroutines and must not block for long.
 type Subscriber interface {
 	EntryUp(hello msg.EntryHello, out peer.Out)
 	EntryDown(entry model.EntryID, out peer.Out)
 	FromEntry(entry model.EntryID, m msg.Control)
 }
 
-// Links is what the entry links of an agent share. It is not changed after
-// the first Connect.
+// Links connects an agent to entries. Its fields must not change after the first
+// call of Connect.
 type Links struct {
 	Dialer      link.Dialer
-	Hello       func() *msg.AgentHello // called for each new link
+	Hello       func() *msg.AgentHello // returns the handshake message; called for each new link
 	Slots       Address
 	Transport   http.RoundTripper // to the backend server
 	Subscribers []Subscriber
@@ -38,31 +38,33 @@
 }
 
 const (
-	minRedial = 100 * time.Millisecond
-	maxRedial = 5 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
 )
 
-// Connect keeps a link to the entry at address until ctx ends.
+// Connect keeps a link to the entry at address until ctx ends. After a failure
+// it dials again with exponential backoff.
 func (l *Links) Connect(ctx context.Context, address string) error {
-	delay := minRedial
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		began := time.Now()
-		if err := l.once(ctx, address); err != nil && ctx.Err() == nil {
+		startedAt := time.Now()
+		if err := l.connectOnce(ctx, address); err != nil && ctx.Err() == nil {
 			event.Log(l.Log, event.LinkLost, log.Fields{"entry": address, "error": err.Error()})
 		}
-		if time.Since(began) > maxRedial {
-			delay = minRedial
+		if time.Since(startedAt) > maxRedialDelay {
+			delay = minRedialDelay
 		}
-		// Jitter keeps the agents of a restarted entry from dialling together.
+		// Jitter keeps the agents of a restarted entry from dialling at once.
 		if !actor.Sleep(ctx, delay/2+rand.N(delay)) {
 			break
 		}
-		delay = min(2*delay, maxRedial)
+		delay = min(2*delay, maxRedialDelay)
 	}
 	return nil
 }
 
-func (l *Links) once(ctx context.Context, address string) error {
+// connectOnce dials the entry and serves the link until it ends.
+func (l *Links) connectOnce(ctx context.Context, address string) error {
 	conn, err := l.Dialer.Dial(ctx, address)
 	if err != nil {
 		return err
@@ -86,7 +88,7 @@
 func (h *entryHandler) Up(hello msg.Control, out peer.Out) error {
 	e, ok := hello.(*msg.EntryHello)
 	if !ok {
-		return errors.Newf("the peer at %s greets as %T, not as an entry", h.address, hello)
+		return errors.Newf("the peer at %s sent %T in the handshake instead of EntryHello", h.address, hello)
 	}
 	h.hello, h.out = *e, out
 	h.group = actor.NewGroup(h.ctx, nil)
@@ -121,7 +123,8 @@
 	for _, s := range h.links.Subscribers {
 		s.EntryDown(h.hello.Entry, h.out)
 	}
-	// Exchanges end by their streams' errors; they are not waited for here.
+	// The exchanges end when their streams return errors. Down does not wait
+	// for them.
 }
 
 // accept serves each stream of the link with an actor of its own.
@@ -136,14 +139,14 @@
 	}
 }
 
-// NewTransport returns the HTTP client side towards a backend server with the
-// given number of connections.
+// NewTransport returns an HTTP client transport to a backend server that uses at
+// most the given number of connections.
 func NewTransport(connections int) *http.Transport {
 	return &http.Transport{
 		MaxConnsPerHost:       connections,
 		MaxIdleConnsPerHost:   connections,
 		IdleConnTimeout:       30 * time.Second,
-		DisableCompression:    true, // responses pass through unchanged
-		ResponseHeaderTimeout: 0,    // the request's deadline bounds it
+		DisableCompression:    true, // responses are forwarded unchanged
+		ResponseHeaderTimeout: 0,    // no limit: the request's deadline bounds it
 	}
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	headTimeout   = 5 * time.Second       // for the first frame of a stream
-	chunkBytes    = 32 << 10              // body bytes in one frame
-	deadlineGrace = 50 * time.Millisecond // the entry's own timer should fire first
+	headTimeout = 5 * time.Second // until the first frame of a stream
+	chunkBytes  = 32 << 10        // maximum body bytes in one frame
+	// deadlineGrace delays the agent's timer so that the entry's timer for the
+	// same deadline expires first.
+	deadlineGrace = 50 * time.Millisecond
 )
 
-// exchange is the actor of one request stream: it owns the stream and the
-// call to the backend server.
+// exchange is the actor of one request stream. It owns the stream and the HTTP
+// request to the backend server.
 type exchange struct {
 	stream    link.Stream
 	slots     Address
 	entry     model.EntryID
 	transport http.RoundTripper
 	head      *msg.RequestHead
-	begun     time.Time
+	startedAt time.Time
 }
 
 var (
 	errCancelled = errors.New("the entry cancelled the request")
-	errTruncated = errors.New("the request body is shorter than announced")
+	errTruncated = errors.New("the request body is incomplete: its length differs from the total that the entry sent")
 )
 
 // run serves the stream to its end.
 func (x *exchange) run(ctx context.Context) error {
 	defer x.stream.Close()
-	frame, err := x.first()
+	frame, err := x.receiveFirst()
 	if err != nil {
 		return err
 	}
@@ -57,98 +59,101 @@
 	body := newBody(ctx)
 	actor.Go(g, "request body", func(ctx context.Context) error {
 		err := x.readFrames(ctx, body)
-		if err != nil { // a cancel, or the link is lost
-			_ = x.slots.Send(ctx, cancelled{id: head.ID})
+		if err != nil { // cancelled, or the link was lost
+			_ = x.slots.Send(ctx, requestCancelled{id: head.ID})
 		}
 		return err
 	})
-	return x.serve(ctx, cancel, body)
+	return x.runRequest(ctx, cancel, body)
 }
 
-// first waits for the first frame for a bounded time. The end of the link ends
-// the wait as well.
-func (x *exchange) first() (msg.Frame, error) {
+// receiveFirst receives the first frame. It closes the stream after headTimeout;
+// the end of the link ends the wait as well.
+func (x *exchange) receiveFirst() (msg.Frame, error) {
 	timer := time.AfterFunc(headTimeout, func() { x.stream.Close() })
 	defer timer.Stop()
 	return x.stream.Receive()
 }
 
-func (x *exchange) serve(ctx context.Context, cancel func(), body *body) error {
-	reply := make(chan verdict, 1)
-	// The slots actor must learn of the head even when its deadline has
-	// passed: the entry has spent a credit on it.
-	m := begin{head: x.head, entry: x.entry, reply: reply, cancel: cancel}
+// runRequest waits for a slot and forwards the request and its response.
+func (x *exchange) runRequest(ctx context.Context, cancel func(), body *body) error {
+	reply := make(chan decision, 1)
+	// The slots actor must receive the head even when its deadline has passed,
+	// because the entry has spent a credit on it.
+	m := requestArrived{head: x.head, entry: x.entry, reply: reply, cancel: cancel}
 	if err := x.slots.Send(context.WithoutCancel(ctx), m); err != nil {
 		return err
 	}
-	v, err := x.verdict(ctx, reply)
+	d, err := x.awaitDecision(ctx, reply)
 	if err != nil {
 		return err
 	}
-	if !v.start {
-		return x.stream.Send(&msg.Refused{Reason: v.refused})
+	if !d.start {
+		return x.stream.Send(&msg.Refused{Reason: d.refused})
 	}
-	x.begun = time.Now()
-	reached := false
-	resp, err := x.call(ctx, v.address, body, &reached)
+	x.startedAt = time.Now()
+	connected := false
+	resp, err := x.sendRequest(ctx, d.address, body, &connected)
 	switch {
-	case err != nil && !reached:
-		x.end(ctx, ended{unreached: true})
+	case err != nil && !connected:
+		x.sendEnded(ctx, exchangeEnded{connectFailed: true})
 		return x.stream.Send(&msg.Refused{Reason: msg.RefusedDown})
 	case err != nil:
-		return x.failed(ctx, err)
+		return x.reportFailure(ctx, err)
 	}
 	defer resp.Body.Close()
-	if err := x.respond(resp); err != nil {
+	if err := x.forwardResponse(resp); err != nil {
 		resp.Body.Close()
-		return x.failed(ctx, err)
+		return x.reportFailure(ctx, err)
 	}
-	x.end(ctx, ended{})
+	x.sendEnded(ctx, exchangeEnded{})
 	return nil
 }
 
-// end gives the slot back, also when the request's context has ended.
-func (x *exchange) end(ctx context.Context, m ended) {
-	m.id, m.ran = x.head.ID, time.Since(x.begun)
+// sendEnded reports the end of the exchange to the slots actor, which frees its
+// slot. It does so even when the request's context has ended.
+func (x *exchange) sendEnded(ctx context.Context, m exchangeEnded) {
+	m.id, m.duration = x.head.ID, time.Since(x.startedAt)
 	_ = x.slots.Send(context.WithoutCancel(ctx), m)
 }
 
-// failed reports an incomplete exchange. The entry may then repeat the request
-// elsewhere, so the backend server first gets the time to notice that the
-// connection was closed.
-func (x *exchange) failed(ctx context.Context, err error) error {
-	x.end(ctx, ended{early: true})
+// reportFailure reports an incomplete exchange to the entry. The entry may then
+// run the request on another backend server, so reportFailure first gives this
+// one settleTime to notice that the connection was closed.
+func (x *exchange) reportFailure(ctx context.Context, err error) error {
+	x.sendEnded(ctx, exchangeEnded{closedEarly: true})
 	actor.Sleep(ctx, settleTime)
 	_ = x.stream.Send(&msg.Failed{Reason: err.Error()})
 	return nil
 }
 
-// verdict waits for the decision of the slots actor. When the deadline comes
-// first the request is cancelled, and the verdict tells whether it had started.
-func (x *exchange) verdict(ctx context.Context, reply <-chan verdict) (verdict, error) {
-	late := ctx.Done()
+// awaitDecision waits for the decision of the slots actor. If the deadline
+// passes first it cancels the request; the decision then tells whether the
+// request had started.
+func (x *exchange) awaitDecision(ctx context.Context, reply <-chan decision) (decision, error) {
+	expired := ctx.Done()
 	for {
 		select {
-		case v := <-reply:
-			return v, nil
-		case <-late:
-			late = nil
-			if err := x.slots.Send(context.WithoutCancel(ctx), cancelled{id: x.head.ID}); err != nil {
-				return verdict{}, err
+		case d := <-reply:
+			return d, nil
+		case <-expired:
+			expired = nil
+			if err := x.slots.Send(context.WithoutCancel(ctx), requestCancelled{id: x.head.ID}); err != nil {
+				return decision{}, err
 			}
 		case <-x.slots.Done():
-			return verdict{}, actor.ErrStopped
+			return decision{}, actor.ErrStopped
 		}
 	}
 }
 
-// call sends the request to the backend server. reached is set before the
-// first byte can be written.
-func (x *exchange) call(ctx context.Context, address string, body *body, reached *bool) (*http.Response, error) {
+// sendRequest sends the request to the backend server. It sets connected before
+// the first byte can be written.
+func (x *exchange) sendRequest(ctx context.Context, address string, body *body, connected *bool) (*http.Response, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		if !*reached {
-			*reached = true
-			_ = x.stream.Send(&msg.Started{}) // a lost stream ends the call by its context
+		if !*connected {
+			*connected = true
+			_ = x.stream.Send(&msg.Started{}) // on an error the lost stream cancels ctx
 		}
 	}}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.head.Method,
@@ -156,8 +161,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A body without GetBody keeps the transport from repeating the request
-	// on its own: that would run it twice.
+	// Without GetBody the transport cannot repeat the request by itself, which
+	// would run it twice.
 	req.Body, req.ContentLength = body, x.head.ContentLength
 	req.Host = x.head.Host
 	for _, f := range x.head.Header {
@@ -166,8 +171,8 @@
 	return x.transport.RoundTrip(req)
 }
 
-// respond copies the response to the stream.
-func (x *exchange) respond(resp *http.Response) error {
+// forwardResponse copies the response to the stream.
+func (x *exchange) forwardResponse(resp *http.Response) error {
 	head := &msg.ResponseHead{Status: resp.StatusCode, Header: fields(resp.Header), ContentLength: resp.ContentLength}
 	if err := x.stream.Send(head); err != nil {
 		return err
@@ -175,7 +180,7 @@
 	var total int64
 	size := int64(chunkBytes)
 	if resp.ContentLength >= 0 {
-		size = min(size, resp.ContentLength+1) // the end is seen in the same read
+		size = min(size, resp.ContentLength+1) // one byte more lets one read reach the end
 	}
 	buf := make([]byte, size)
 	for {
@@ -195,6 +200,7 @@
 	}
 }
 
+// fields returns the header as a list of fields.
 func fields(h http.Header) []msg.Field {
 	list := make([]msg.Field, 0, len(h))
 	for name, values := range h {
@@ -205,8 +211,9 @@
 	return list
 }
 
-// readFrames feeds the request body until the stream ends. It returns an
-// error when the entry cancels, or the stream ends out of order.
+// readFrames passes the frames of the request body to b until the stream ends.
+// It returns an error when the entry cancels the request, the body is
+// incomplete or the stream ends.
 func (x *exchange) readFrames(ctx context.Context, b *body) error {
 	var total int64
 	for {
--- a/internal/agent/exchanges.go
+++ b/internal/agent/exchanges.go
@@ -6,46 +6,47 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// begin accepts or refuses a request that has arrived.
-func (s *slots) begin(m begin) {
+// requestArrived accepts or refuses a request.
+func (s *slots) requestArrived(m requestArrived) {
 	rec := s.records.get(m.head.ID)
-	// Its sequence number is older than the records kept, or it has a
-	// tombstone or is a duplicate.
+	// The request is older than the records that are kept, it has a tombstone,
+	// or it is a duplicate.
 	if rec == nil || rec.state != exNew {
 		if c := s.creditFor(m); c != nil { // the entry has spent it
-			s.giveBack(c)
+			s.returnCredit(c)
 		}
-		m.reply <- verdict{refused: msg.RefusedCancelled}
+		m.reply <- decision{refused: msg.RefusedCancelled}
 		return
 	}
 	rec.reply, rec.cancel = m.reply, m.cancel
-	rec.entry, rec.class, rec.long, rec.began = m.entry, m.head.Class, m.head.LongClass, s.now
-	rec.refusal = s.refusal(m, rec)
+	rec.entry, rec.class, rec.long, rec.stateSince = m.entry, m.head.Class, m.head.LongClass, s.now
+	rec.refusal = s.spendCredit(m, rec)
 	exchangeChart.Step(rec, &rec.state, exBegin)
 	if exchangeChart.Final(rec.state) {
 		s.records.retire(rec, s.now)
 		return
 	}
 	s.waiting = append(s.waiting, rec)
-	s.usage.arrived(rec.class)
+	s.usage.requestArrived(rec.class)
 	if d, _, ok := exchangeChart.Timeout(rec.state); ok {
 		s.timers.Set(timerKey{kind: timerAccepted, id: rec.id}, s.now.Add(d))
 	}
 }
 
-// refusal spends a credit of the link's generation for rec, or says why not.
-func (s *slots) refusal(m begin, rec *exchangeRecord) msg.RefusedReason {
+// spendCredit spends a credit of the link on rec and returns 0, or the reason
+// for refusing the request.
+func (s *slots) spendCredit(m requestArrived, rec *exchangeRecord) msg.RefusedReason {
 	c := s.creditFor(m)
 	if c == nil {
 		return msg.RefusedNoCredit
 	}
-	c.borrower.RecentRequests++
+	c.holder.RecentRequests++
 	if s.backend.state != beReady && s.backend.state != beSuspect && s.backend.state != beDraining {
-		s.giveBack(c)
+		s.returnCredit(c)
 		return msg.RefusedDraining
 	}
-	if rec.long && s.longFree() <= 0 {
-		s.giveBack(c)
+	if rec.long && s.freeLong() <= 0 {
+		s.returnCredit(c)
 		return msg.RefusedNoCredit
 	}
 	creditChart.Step(c, &c.state, crSpend)
@@ -53,38 +54,40 @@
 	return 0
 }
 
-// creditFor returns the credit that the entry has spent on m, or nil when it
-// had none.
-func (s *slots) creditFor(m begin) *credit {
-	b := s.borrower(m.entry, m.head.Generation)
-	if b == nil {
+// creditFor returns a credit that the entry may have spent on m, or nil when it
+// holds none.
+func (s *slots) creditFor(m requestArrived) *credit {
+	e := s.findEntry(m.entry, m.head.Generation)
+	if e == nil {
 		return nil
 	}
-	if c := s.find(b, crGranted); c != nil {
+	if c := s.findCredit(e, crGranted); c != nil {
 		return c
 	}
-	return s.find(b, crRecalled)
+	return s.findCredit(e, crRecalled)
 }
 
-func (s *slots) giveBack(c *credit) {
+// returnCredit frees a credit.
+func (s *slots) returnCredit(c *credit) {
 	creditChart.Step(c, &c.state, crReturn)
-	c.borrower = nil
+	c.holder = nil
 }
 
-// startWaiting starts accepted requests while slots are free. Invariant: at
-// most Slots exchanges are running or settling.
+// startWaiting starts accepted requests in the order of their arrival while
+// slots are free. Invariant: at most Slots exchanges are running or settling.
 func (s *slots) startWaiting() {
-	for len(s.waiting) > 0 && s.busy() < s.backend.Slots {
+	for len(s.waiting) > 0 && s.busySlots() < s.backend.Slots {
 		rec := s.waiting[0]
 		rec.address = s.backend.Address
-		rec.began = s.now
-		s.stepWaiting(rec, exStart)
+		rec.stateSince = s.now
+		s.stepExchange(rec, exStart)
 		s.running[rec.id] = rec
 	}
 }
 
-// busy counts the slots in use at the backend server.
-func (s *slots) busy() int {
+// busySlots counts the slots in use at the backend server: those of running
+// exchanges and of settling credits.
+func (s *slots) busySlots() int {
 	n := len(s.running)
 	for i := range s.credits {
 		if s.credits[i].state == crSettling {
@@ -94,9 +97,9 @@
 	return n
 }
 
-// stepWaiting steps a request that may be waiting and removes it from the
-// queue when it left that state.
-func (s *slots) stepWaiting(rec *exchangeRecord, e chart.Event) {
+// stepExchange steps the chart of an exchange. It removes the request from the
+// queue when it no longer waits, and releases the credit of one that ends.
+func (s *slots) stepExchange(rec *exchangeRecord, e chart.Event) {
 	before := rec.state
 	if !exchangeChart.Step(rec, &rec.state, e) || rec.state == before {
 		return
@@ -111,17 +114,18 @@
 		}
 	}
 	if exchangeChart.Final(rec.state) {
-		s.release(rec, crRelease)
+		s.releaseCredit(rec, crRelease)
 		s.records.retire(rec, s.now)
 	}
 }
 
-func (s *slots) release(rec *exchangeRecord, e chart.Event) {
+// releaseCredit steps the credit of rec, if any, with crRelease or crSettle.
+func (s *slots) releaseCredit(rec *exchangeRecord, e chart.Event) {
 	c := rec.credit
 	if c == nil {
 		return
 	}
-	c.borrower = nil
+	c.holder = nil
 	creditChart.Step(c, &c.state, e)
 	if d, _, ok := creditChart.Timeout(c.state); ok {
 		for i := range s.credits {
@@ -132,9 +136,10 @@
 	}
 }
 
-// cancelled ends a request, or keeps one from starting that has not arrived:
-// the message comes from another goroutine than begin and may overtake it.
-func (s *slots) cancelled(id model.RequestID) {
+// requestCancelled cancels a running request, or leaves a tombstone that keeps
+// one from starting that has not arrived. The exchange sends it from another
+// goroutine than the requestArrived message, so it may arrive first.
+func (s *slots) requestCancelled(id model.RequestID) {
 	rec := s.records.get(id)
 	if rec == nil {
 		return
@@ -144,30 +149,32 @@
 		return
 	}
 	rec.refusal = msg.RefusedCancelled
-	s.stepWaiting(rec, exCancel)
+	s.stepExchange(rec, exCancel)
 }
 
-func (s *slots) ended(m ended) {
+// exchangeEnded frees the slot of an exchange and updates the estimates.
+func (s *slots) exchangeEnded(m exchangeEnded) {
 	rec := s.running[m.id]
 	if rec == nil {
 		return
 	}
 	delete(s.running, m.id)
-	event, how := exEnded, crRelease
-	if m.unreached {
+	event, creditEvent := exEnded, crRelease
+	if m.connectFailed {
 		event = exConnectFailed
 	} else {
-		s.classes.AddSample(rec.class, m.ran)
-		s.usage.ended(rec.class, m.ran)
-		s.mean += (float64(m.ran) - s.mean) * meanSmoothing
+		s.classes.AddSample(rec.class, m.duration)
+		s.usage.requestEnded(rec.class, m.duration)
+		s.meanDuration += (float64(m.duration) - s.meanDuration) * meanSmoothing
 	}
-	if m.early {
-		how = crSettle
-		rec.settles = s.now.Add(settleTime)
+	if m.closedEarly {
+		creditEvent = crSettle
+		rec.settledAt = s.now.Add(settleTime)
 	}
 	exchangeChart.Step(rec, &rec.state, event)
-	s.release(rec, how)
+	s.releaseCredit(rec, creditEvent)
 	s.records.retire(rec, s.now)
 }
 
+// meanSmoothing is the weight of the newest sample of meanDuration.
 const meanSmoothing = 0.05
--- a/internal/agent/lifecycle.go
+++ b/internal/agent/lifecycle.go
@@ -1,6 +1,5 @@
-// Package agent is the authority for the backend server on its host: its
-// slots and connections, its announcements and its drain. It knows nothing of
-// placement.
+// Package agent controls access to the backend server on its host: its slots and
+// connections, its announcements and its drain. It does not depend on placement.
 package agent
 
 import (
@@ -31,18 +30,19 @@
 )
 
 const (
-	// A request waits at the agent only for the look-ahead, so a wait this
-	// long means that the backend server is stuck; the entry tries elsewhere.
+	// acceptedBound is how long an accepted request waits for a slot. Only
+	// requests of the look-ahead wait, so a longer wait means that the backend
+	// server is stuck, and the entry offers the request to another one.
 	acceptedBound = 2 * time.Second
-	// Backend servers announce themselves every announceInterval.
+	// announceInterval is the time between announcements of a backend server.
 	announceInterval = 2 * time.Second
 	suspectAfter     = 3 * announceInterval
-	downAfter        = 7 * announceInterval // after suspect: 10 announcements in all
-	// Guarantee G7 allows 3 s from the drain to the last start; the rest is
-	// for the message and the connection.
+	downAfter        = 7 * announceInterval // after suspectAfter: 10 missing announcements in all
+	// startBound is how long requests may start after a drain. Guarantee G7
+	// allows 3 s; the difference is for the message and the connection.
 	startBound = 2500 * time.Millisecond
-	// The backend server is on the same host; it notices a closed connection
-	// well within this time.
+	// settleTime is the time for the backend server to notice a closed
+	// connection. It is on the same host and needs much less.
 	settleTime = 20 * time.Millisecond
 )
 
@@ -54,8 +54,8 @@
 		"allowed": func(r *exchangeRecord) bool { return r.refusal == 0 },
 	},
 	Actions: map[string]func(*exchangeRecord){
-		"start":  func(r *exchangeRecord) { r.tell(verdict{start: true}) },
-		"refuse": func(r *exchangeRecord) { r.tell(verdict{refused: r.refusal}) },
+		"start":  func(r *exchangeRecord) { r.sendDecision(decision{start: true}) },
+		"refuse": func(r *exchangeRecord) { r.sendDecision(decision{refused: r.refusal}) },
 	},
 	Delays: map[string]time.Duration{"acceptedBound": acceptedBound},
 })
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -12,42 +12,43 @@
 // Message is a message to the slots actor.
 type Message interface{ isMessage() }
 
-// EntryUp says that a link to an entry is established.
+// EntryUp reports that a link to an entry is established.
 type EntryUp struct {
 	Hello msg.EntryHello
 	Out   peer.Out
 }
 
-// EntryDown says that a link to an entry has ended.
+// EntryDown reports that a link to an entry has ended.
 type EntryDown struct {
 	Entry      model.EntryID
 	Generation uint64
 }
 
-// FromEntry carries a message of an entry.
+// FromEntry carries a message from an entry. Generation identifies the link.
 type FromEntry struct {
 	Entry      model.EntryID
 	Generation uint64
 	Msg        msg.Control
 }
 
-// Announce is one announcement of the backend server.
+// Announce is an announcement of the backend server.
 type Announce struct {
 	Backend     model.BackendID
 	Service     model.Service
 	Address     string // host:port of its HTTP listener
 	Slots       int
 	Connections int
-	Instance    string // distinguishes restarts of the backend server
+	Instance    string // name that changes when the backend server restarts
 }
 
 // Drain starts the drain of the backend server.
 type Drain struct{}
 
-// StatusQuery asks for the state of the slots.
+// StatusQuery requests the state of the slots.
 type StatusQuery struct{ Reply actor.Reply[Status] }
 
-// Status is the state of the agent's slots.
+// Status is the state of the backend server and its slots. The numbers count
+// requests, except Slots and GrantedCredits; Settling counts slots.
 type Status struct {
 	Backend        model.BackendID
 	Service        model.Service
@@ -58,41 +59,42 @@
 	GrantedCredits int
 	LongRunning    int
 	Settling       int
-	Drained        bool // nothing runs, and nothing new can start
+	Drained        bool // no request runs, and none can start
 }
 
-// begin asks for a slot for a request that has arrived.
-type begin struct {
+// requestArrived requests a slot for a request that has arrived.
+type requestArrived struct {
 	head   *msg.RequestHead
 	entry  model.EntryID
-	reply  chan<- verdict // has room for one verdict
-	cancel func()         // ends the exchange's call to the backend server
+	reply  chan<- decision // buffers one decision
+	cancel func()          // cancels the HTTP request to the backend server
 }
 
-// verdict is the decision on a begin.
-type verdict struct {
+// decision is the reply to requestArrived.
+type decision struct {
 	start   bool
-	address string
-	refused msg.RefusedReason
+	address string            // of the backend server, host:port
+	refused msg.RefusedReason // if start is false
 }
 
-// cancelled says that the entry no longer wants the request.
-type cancelled struct{ id model.RequestID }
+// requestCancelled reports that the entry has cancelled the request or that its
+// link or deadline has ended.
+type requestCancelled struct{ id model.RequestID }
 
-// ended says that the exchange has ended.
-type ended struct {
-	id        model.RequestID
-	unreached bool // no connection could be made
-	early     bool // the connection was closed before the response ended
-	ran       time.Duration
+// exchangeEnded reports that an exchange that was started has ended.
+type exchangeEnded struct {
+	id            model.RequestID
+	connectFailed bool // no connection could be made
+	closedEarly   bool // the connection was closed before the response ended
+	duration      time.Duration
 }
 
-func (EntryUp) isMessage()     {}
-func (EntryDown) isMessage()   {}
-func (FromEntry) isMessage()   {}
-func (Announce) isMessage()    {}
-func (Drain) isMessage()       {}
-func (StatusQuery) isMessage() {}
-func (begin) isMessage()       {}
-func (cancelled) isMessage()   {}
-func (ended) isMessage()       {}
+func (EntryUp) isMessage()          {}
+func (EntryDown) isMessage()        {}
+func (FromEntry) isMessage()        {}
+func (Announce) isMessage()         {}
+func (Drain) isMessage()            {}
+func (StatusQuery) isMessage()      {}
+func (requestArrived) isMessage()   {}
+func (requestCancelled) isMessage() {}
+func (exchangeEnded) isMessage()    {}
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	keepRecords = 65_536          // outcomes kept per agent
-	keepFor     = 2 * time.Minute // after the end of the exchange
+	maxRecords      = 65_536          // outcomes kept per agent
+	recordRetention = 2 * time.Minute // after the end of the exchange
 )
 
-// exchangeRecord is what the agent knows of one request.
+// exchangeRecord is the agent's record of a request.
 type exchangeRecord struct {
-	id      model.RequestID
-	state   chart.State
-	entry   model.EntryID
-	class   model.Class
-	long    bool
-	began   time.Time // of the wait, then of the run
-	refusal msg.RefusedReason
-	reply   chan<- verdict
-	cancel  func()
-	credit  *credit
-	address string
-	settles time.Time // the backend server may run the request until then
+	id         model.RequestID
+	state      chart.State
+	entry      model.EntryID
+	class      model.Class
+	long       bool
+	stateSince time.Time // start of the wait, then of the run
+	refusal    msg.RefusedReason
+	reply      chan<- decision
+	cancel     func()
+	credit     *credit
+	address    string
+	settledAt  time.Time // until then the backend server may still run the request
 }
 
-func (r *exchangeRecord) tell(v verdict) {
+// sendDecision sends d to the exchange, if one waits for a decision.
+func (r *exchangeRecord) sendDecision(d decision) {
 	if r.reply == nil {
 		return
 	}
-	v.address = r.address
+	d.address = r.address
 	select {
-	case r.reply <- v:
-	default: // the exchange takes one verdict; a second one comes too late
+	case r.reply <- d:
+	default: // the exchange reads only the first decision
 	}
 }
 
-// incarnation identifies an entry process.
-type incarnation struct {
+// entryIncarnation identifies an entry process.
+type entryIncarnation struct {
 	entry model.EntryID
 	boot  model.Boot
 }
 
-// records holds the exchanges of an agent and the outcome of ended ones.
+// records holds the exchanges of an agent, including ended ones for
+// recordRetention.
 type records struct {
 	byID map[model.RequestID]*exchangeRecord
-	// dropped is the highest sequence number whose outcome was dropped: of a
-	// lower unknown one it is not known whether it ever arrived.
-	dropped map[incarnation]uint64
-	ended   []endedRecord // oldest first
+	// highestDropped is the highest sequence number of a deleted record. A
+	// request with a lower number and no record may have arrived or not.
+	highestDropped map[entryIncarnation]uint64
+	ended          []endedRecord // oldest first
 }
 
 type endedRecord struct {
 	id model.RequestID
-	at time.Time
+	at time.Time // of its end
 }
 
 func newRecords() records {
-	return records{byID: map[model.RequestID]*exchangeRecord{}, dropped: map[incarnation]uint64{}}
+	return records{byID: map[model.RequestID]*exchangeRecord{}, highestDropped: map[entryIncarnation]uint64{}}
 }
 
-// get returns the record of id, a new one if it may be created, or nil if the
-// outcome was dropped.
+// get returns the record of id. It creates one for a request that cannot have
+// arrived before, and returns nil if the record may have been deleted.
 func (r *records) get(id model.RequestID) *exchangeRecord {
 	if rec, ok := r.byID[id]; ok {
 		return rec
 	}
-	if id.Seq <= r.dropped[incarnation{id.Entry, id.Boot}] {
+	if id.Seq <= r.highestDropped[entryIncarnation{id.Entry, id.Boot}] {
 		return nil
 	}
 	rec := &exchangeRecord{id: id, state: exchangeChart.Initial()}
@@ -78,25 +80,25 @@
 	return rec
 }
 
-// retire starts the time for which the outcome of rec is kept.
+// retire starts the retention of an ended exchange and deletes old records.
 func (r *records) retire(rec *exchangeRecord, now time.Time) {
 	rec.reply, rec.cancel, rec.credit = nil, nil, nil
 	r.ended = append(r.ended, endedRecord{rec.id, now})
-	for len(r.ended) > keepRecords || (len(r.ended) > 0 && now.Sub(r.ended[0].at) > keepFor) {
+	for len(r.ended) > maxRecords || (len(r.ended) > 0 && now.Sub(r.ended[0].at) > recordRetention) {
 		old := r.ended[0].id
 		r.ended = r.ended[1:]
 		delete(r.byID, old)
-		from := incarnation{old.Entry, old.Boot}
-		r.dropped[from] = max(r.dropped[from], old.Seq)
+		process := entryIncarnation{old.Entry, old.Boot}
+		r.highestDropped[process] = max(r.highestDropped[process], old.Seq)
 	}
 }
 
-// outcome is the state that an OutcomeReply reports.
+// outcome returns the state that an OutcomeReply reports.
 func (r *exchangeRecord) outcome(now time.Time) msg.ExchangeState {
 	switch {
 	case r.state == exRefused:
 		return msg.ExchangeNotStarted
-	case r.state == exFinished && !now.Before(r.settles):
+	case r.state == exFinished && !now.Before(r.settledAt):
 		return msg.ExchangeFinished
 	}
 	return msg.ExchangeStarted
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -12,25 +12,25 @@
 	"github.com/bambooscale/bambooscale/internal/policy/dispatch"
 )
 
-// credit is one unit of what the agent lends.
+// credit is the right to send one request; see charts/credit.scxml.
 type credit struct {
-	state    chart.State
-	borrower *borrower
+	state  chart.State
+	holder *linkedEntry
 }
 
-// borrower is an entry with a link.
-type borrower struct {
+// linkedEntry is an entry with a link to the agent.
+type linkedEntry struct {
 	credits.Holder
-	generation uint64
-	out        peer.Out
-	longSent   int // last Long that the entry was told
+	generation  uint64
+	out         peer.Out
+	maxLongSent int // MaxLong of the last CreditGrant; -1: none sent
 }
 
-// timerKey names a deadline of the slots actor.
+// timerKey identifies a timer of the slots actor.
 type timerKey struct {
 	kind  timerKind
-	id    model.RequestID
-	index int
+	id    model.RequestID // timerAccepted
+	index int             // of the credit, timerSettle
 }
 
 type timerKind uint8
@@ -43,21 +43,21 @@
 
 // slots is the state of the slots actor.
 type slots struct {
-	dataCentre model.DataCentre
-	backend    backend
-	credits    []credit
-	borrowers  []*borrower
-	records    records
-	waiting    []*exchangeRecord // accepted, first come first served
-	running    map[model.RequestID]*exchangeRecord
-	classes    *dispatch.ClassEstimates
-	mean       float64 // of all classes, nanoseconds
-	usage      usage
-	worker     model.WorkerID
-	timers     *actor.Timers[timerKey]
-	now        time.Time
-	grants     []credits.Grant // scratch
-	flat       []credits.Holder
+	dataCentre   model.DataCentre
+	backend      backend
+	credits      []credit
+	entries      []*linkedEntry
+	records      records
+	waiting      []*exchangeRecord // accepted requests, in order of arrival
+	running      map[model.RequestID]*exchangeRecord
+	classes      *dispatch.ClassEstimates
+	meanDuration float64 // smoothed over all classes, nanoseconds
+	usage        usage
+	worker       model.WorkerID
+	timers       *actor.Timers[timerKey]
+	now          time.Time
+	grants       []credits.Grant  // reused by grantCredits
+	holders      []credits.Holder // reused by grantCredits
 }
 
 func newSlots(host model.Worker) *slots {
@@ -67,7 +67,7 @@
 	}
 }
 
-// handle processes one message, then lends what became free.
+// handle processes a message, then uses the slots and credits that it freed.
 func (s *slots) handle(m Message) {
 	s.now = time.Now()
 	switch m := m.(type) {
@@ -81,38 +81,41 @@
 		s.announce(m)
 	case Drain:
 		s.stepBackend(beDrain)
-	case begin:
-		s.begin(m)
-	case cancelled:
-		s.cancelled(m.id)
-	case ended:
-		s.ended(m)
+	case requestArrived:
+		s.requestArrived(m)
+	case requestCancelled:
+		s.requestCancelled(m.id)
+	case exchangeEnded:
+		s.exchangeEnded(m)
 	case StatusQuery:
 		m.Reply.Put(s.status())
 	}
-	s.settle()
+	s.startAndGrant()
 }
 
-// settle starts what can start and lends what is free.
-func (s *slots) settle() {
+// startAndGrant starts waiting requests, completes a drain and grants free
+// credits.
+func (s *slots) startAndGrant() {
 	s.startWaiting()
-	if s.idle() {
+	if s.drainComplete() {
 		s.stepBackend(beIdle)
 	}
-	s.lend()
+	s.grantCredits()
 }
 
-// idle reports whether a drain is complete: nothing runs or waits, and no
-// entry holds a credit, with which a request may be on its way. After the
-// start bound such a request is refused, so credits no longer count.
-func (s *slots) idle() bool {
+// drainComplete reports whether a drain is complete: no request runs or waits,
+// and no entry holds a credit, because a request that uses it may be in transit.
+// After startBound such a request is refused, so credits no longer count.
+func (s *slots) drainComplete() bool {
 	if len(s.running)+len(s.waiting) > 0 {
 		return false
 	}
-	return s.backend.state != beDraining || s.lent() == 0
+	return s.backend.state != beDraining || s.grantedCredits() == 0
 }
 
-func (s *slots) lent() int {
+// grantedCredits counts the unspent credits that entries hold, recalled ones
+// included.
+func (s *slots) grantedCredits() int {
 	n := 0
 	for i := range s.credits {
 		if st := s.credits[i].state; st == crGranted || st == crRecalled {
@@ -122,6 +125,7 @@
 	return n
 }
 
+// expire handles a timer that has expired.
 func (s *slots) expire(k timerKey) {
 	s.now = time.Now()
 	switch k.kind {
@@ -130,124 +134,129 @@
 	case timerAccepted:
 		if rec := s.records.byID[k.id]; rec != nil {
 			rec.refusal = msg.RefusedDown
-			s.stepWaiting(rec, exExpire)
+			s.stepExchange(rec, exExpire)
 		}
 	case timerSettle:
 		creditChart.Step(&s.credits[k.index], &s.credits[k.index].state, crSettled)
 	}
-	s.settle()
+	s.startAndGrant()
 }
 
-// tick closes a second: it fades the traffic by which idle slots are divided,
-// and reports what the classes use.
+// tick is called each second. It halves the counts of recent requests, by which
+// idle slots are divided, and reports the usage of the classes.
 func (s *slots) tick() {
 	s.now = time.Now()
-	for _, b := range s.borrowers {
-		b.RecentRequests /= 2
+	for _, e := range s.entries {
+		e.RecentRequests /= 2
 	}
 	s.reportUsage()
-	s.settle()
+	s.startAndGrant()
 }
 
+// entryUp adds an entry and removes its earlier link, if any.
 func (s *slots) entryUp(m EntryUp) {
 	s.entryDown(EntryDown{Entry: m.Hello.Entry, Generation: m.Hello.Generation})
-	b := &borrower{generation: m.Hello.Generation, out: m.Out, longSent: -1}
-	b.Entry, b.SameDataCentre = m.Hello.Entry, m.Hello.DataCentre == s.dataCentre
-	s.borrowers = append(s.borrowers, b)
-	s.sendBackend(b)
+	e := &linkedEntry{generation: m.Hello.Generation, out: m.Out, maxLongSent: -1}
+	e.Entry, e.SameDataCentre = m.Hello.Entry, m.Hello.DataCentre == s.dataCentre
+	s.entries = append(s.entries, e)
+	s.sendBackend(e)
 }
 
-// entryDown voids the idle credits of a link. Spent credits stay with their
-// exchanges until those have ended at the backend server.
+// entryDown frees the unspent credits of a link. Spent credits stay in use until
+// their exchanges have ended at the backend server.
 func (s *slots) entryDown(m EntryDown) {
-	for i, b := range s.borrowers {
-		if b.Entry != m.Entry || b.generation > m.Generation {
+	for i, e := range s.entries {
+		if e.Entry != m.Entry || e.generation > m.Generation {
 			continue
 		}
 		for k := range s.credits {
-			if c := &s.credits[k]; c.borrower == b {
+			if c := &s.credits[k]; c.holder == e {
 				creditChart.Step(c, &c.state, crVoid)
-				c.borrower = nil
+				c.holder = nil
 			}
 		}
-		s.borrowers = append(s.borrowers[:i], s.borrowers[i+1:]...)
+		s.entries = append(s.entries[:i], s.entries[i+1:]...)
 		return
 	}
 }
 
-func (s *slots) borrower(entry model.EntryID, generation uint64) *borrower {
-	for _, b := range s.borrowers {
-		if b.Entry == entry && b.generation == generation {
-			return b
+// findEntry returns the entry with the link of that generation, or nil.
+func (s *slots) findEntry(entry model.EntryID, generation uint64) *linkedEntry {
+	for _, e := range s.entries {
+		if e.Entry == entry && e.generation == generation {
+			return e
 		}
 	}
 	return nil
 }
 
 func (s *slots) fromEntry(m FromEntry) {
-	b := s.borrower(m.Entry, m.Generation)
-	if b == nil {
+	e := s.findEntry(m.Entry, m.Generation)
+	if e == nil {
 		return
 	}
 	switch m := m.Msg.(type) {
 	case *msg.Demand:
-		b.Queued, b.MinRemaining, b.GrantedSinceReport = m.Queued, m.MinRemaining, 0
+		e.Queued, e.MinRemaining, e.GrantedSinceReport = m.Queued, m.MinRemaining, 0
 	case *msg.CreditReturn:
-		if m.Generation == b.generation {
-			s.returned(b, m.Count)
+		if m.Generation == e.generation {
+			s.creditsReturned(e, m.Count)
 		}
 	case *msg.OutcomeQuery:
-		s.query(b, m.ID)
+		s.queryOutcome(e, m.ID)
 	case *msg.DrainBackend:
 		s.stepBackend(beDrain)
 	}
 }
 
-// returned takes back the credits with which an entry answered a recall. The
-// recalled ones that it did not return were spent meanwhile; the heads of
-// those requests are on their way and take any credit of the entry.
-func (s *slots) returned(b *borrower, count int) {
-	defer s.keep(b)
+// creditsReturned frees the credits that an entry returned after a recall. It
+// spent the other recalled ones meanwhile: the heads of those requests are in
+// transit and use any credit of the entry.
+func (s *slots) creditsReturned(e *linkedEntry, count int) {
+	defer s.keepUnreturned(e)
 	for range count {
-		c := s.find(b, crRecalled)
+		c := s.findCredit(e, crRecalled)
 		if c == nil {
-			c = s.find(b, crGranted)
+			c = s.findCredit(e, crGranted)
 		}
 		if c == nil {
 			return
 		}
 		creditChart.Step(c, &c.state, crReturn)
-		c.borrower = nil
+		c.holder = nil
 	}
 }
 
-func (s *slots) keep(b *borrower) {
-	for c := s.find(b, crRecalled); c != nil; c = s.find(b, crRecalled) {
+// keepUnreturned cancels the recall of the entry's recalled credits.
+func (s *slots) keepUnreturned(e *linkedEntry) {
+	for c := s.findCredit(e, crRecalled); c != nil; c = s.findCredit(e, crRecalled) {
 		creditChart.Step(c, &c.state, crKeep)
 	}
 }
 
-func (s *slots) find(b *borrower, state chart.State) *credit {
+// findCredit returns a credit of e in the state, or nil. Free credits have no
+// holder: e is nil.
+func (s *slots) findCredit(e *linkedEntry, state chart.State) *credit {
 	for i := range s.credits {
-		if c := &s.credits[i]; c.borrower == b && c.state == state {
+		if c := &s.credits[i]; c.holder == e && c.state == state {
 			return c
 		}
 	}
 	return nil
 }
 
-// query answers what became of a request. One that has not started is
-// refused first, so that the answer stays true.
-func (s *slots) query(b *borrower, id model.RequestID) {
+// queryOutcome replies with the outcome of a request. It first refuses one that
+// has not started, so that it cannot start after the reply.
+func (s *slots) queryOutcome(e *linkedEntry, id model.RequestID) {
 	reply := &msg.OutcomeReply{ID: id, State: msg.ExchangeUnknown}
 	if rec := s.records.get(id); rec != nil {
 		if rec.refusal == 0 {
 			rec.refusal = msg.RefusedCancelled
 		}
-		s.stepWaiting(rec, exQuery)
+		s.stepExchange(rec, exQuery)
 		reply.State = rec.outcome(s.now)
 	}
-	b.out.TrySend(reply)
+	e.out.TrySend(reply)
 }
 
 func (s *slots) status() Status {
@@ -255,8 +264,8 @@
 		Backend: s.backend.Backend, Service: s.backend.Service, State: backendChart.StateName(s.backend.state),
 		Slots: s.backend.Slots, Running: len(s.running), Waiting: len(s.waiting), LongRunning: s.longRunning(),
 	}
-	st.GrantedCredits, st.Settling = s.lent(), s.busy()-len(s.running)
+	st.GrantedCredits, st.Settling = s.grantedCredits(), s.busySlots()-len(s.running)
 	st.Drained = s.backend.state != beReady && s.backend.state != beSuspect &&
-		s.backend.state != beDraining && s.idle()
+		s.backend.state != beDraining && s.drainComplete()
 	return st
 }
--- a/internal/agent/slots_model_test.go
+++ b/internal/agent/slots_model_test.go
@@ -18,42 +18,44 @@
 
 const testSlots = 4
 
-// entrySide is an entry as its protocol prescribes, with what is in transit.
-type entrySide struct {
+// testEntry models an entry that follows the protocol, with the messages in
+// transit on its link.
+type testEntry struct {
 	id         model.EntryID
 	up         bool
 	generation uint64
-	credits    int
-	out        <-chan msg.Control
-	fromAgent  []msg.Control // in transit
-	toAgent    []msg.Control
+	credits    int                // unspent
+	out        <-chan msg.Control // messages that the agent has queued
+	fromAgent  []msg.Control      // in transit
+	toAgent    []msg.Control      // in transit
 }
 
-// testRequest is what callers and the backend server saw of a request.
+// testRequest records what the entry and the backend server observed of a
+// request.
 type testRequest struct {
-	head       *msg.RequestHead
-	entry      *entrySide
-	arrived    bool
-	reply      chan verdict
-	started    bool
-	ended      bool
-	notStarted bool // the agent said so
+	head               *msg.RequestHead
+	entry              *testEntry
+	arrived            bool
+	reply              chan decision
+	started            bool
+	ended              bool
+	reportedNotStarted bool // the agent refused it or reported that outcome
 }
 
-// slotsTest drives the state of the slots with messages in any order that the
-// links allow, and compares it with what the other sides know.
+// slotsTest sends messages to the slots in any order that the links allow, and
+// compares their state with the states of the entries and the backend server.
 type slotsTest struct {
-	s        *slots
-	group    *actor.Group
-	entries  []*entrySide
-	requests []*testRequest
-	instance int
-	drained  time.Time // zero: not draining
+	s         *slots
+	group     *actor.Group
+	entries   []*testEntry
+	requests  []*testRequest
+	instance  int
+	drainedAt time.Time // zero: not draining
 }
 
 func newSlotsTest() *slotsTest {
 	x := &slotsTest{s: newSlots(model.Worker{DataCentre: "east"}), group: actor.NewGroup(context.Background(), nil),
-		entries: []*entrySide{{id: "a"}, {id: "b"}}}
+		entries: []*testEntry{{id: "a"}, {id: "b"}}}
 	x.announce()
 	for _, e := range x.entries {
 		x.linkUp(e)
@@ -66,7 +68,7 @@
 		Instance: fmt.Sprint(x.instance)})
 }
 
-func (x *slotsTest) linkUp(e *entrySide) {
+func (x *slotsTest) linkUp(e *testEntry) {
 	in := make(chan (<-chan msg.Control), 1)
 	out := actor.Spawn(x.group, actor.Spec[msg.Control]{Name: "out", Mailbox: 4096,
 		Run: func(ctx context.Context, m <-chan msg.Control) error {
@@ -79,13 +81,13 @@
 	x.s.handle(EntryUp{Hello: msg.EntryHello{Entry: e.id, Generation: e.generation}, Out: out})
 }
 
-func (x *slotsTest) linkDown(e *entrySide) {
+func (x *slotsTest) linkDown(e *testEntry) {
 	e.up = false
 	x.s.handle(EntryDown{Entry: e.id, Generation: e.generation})
 }
 
 // deliverToEntry delivers the oldest message in transit to an entry.
-func (x *slotsTest) deliverToEntry(t *rapid.T, e *entrySide) {
+func (x *slotsTest) deliverToEntry(t *rapid.T, e *testEntry) {
 	m := e.fromAgent[0]
 	e.fromAgent = e.fromAgent[1:]
 	switch m := m.(type) {
@@ -96,45 +98,46 @@
 		e.credits -= n
 		e.toAgent = append(e.toAgent, &msg.CreditReturn{Generation: e.generation, Count: n})
 	case *msg.OutcomeReply:
-		x.outcome(t, m)
+		x.checkOutcome(t, m)
 	}
 }
 
-func (x *slotsTest) outcome(t *rapid.T, m *msg.OutcomeReply) {
+func (x *slotsTest) checkOutcome(t *rapid.T, m *msg.OutcomeReply) {
 	r := x.requests[m.ID.Seq-1]
 	switch m.State {
 	case msg.ExchangeNotStarted:
 		assert.False(t, r.started, "%v was started", m.ID)
-		r.notStarted = true
+		r.reportedNotStarted = true
 	case msg.ExchangeFinished:
 		assert.True(t, r.ended, "%v has not ended", m.ID)
 	case msg.ExchangeStarted:
 		assert.True(t, r.started, "%v was not started", m.ID)
 	default:
-		assert.Fail(t, "forgotten", "%v", m.ID)
+		assert.Fail(t, "no record of the request", "%v", m.ID)
 	}
 }
 
-func (x *slotsTest) deliverToAgent(e *entrySide) {
+func (x *slotsTest) deliverToAgent(e *testEntry) {
 	m := e.toAgent[0]
 	e.toAgent = e.toAgent[1:]
 	x.s.handle(FromEntry{Entry: e.id, Generation: e.generation, Msg: m})
 }
 
-func (x *slotsTest) spend(e *entrySide, long bool) {
+func (x *slotsTest) spend(e *testEntry, long bool) {
 	e.credits--
 	id := model.RequestID{Entry: e.id, Seq: uint64(len(x.requests) + 1)}
-	x.requests = append(x.requests, &testRequest{entry: e, reply: make(chan verdict, 1),
+	x.requests = append(x.requests, &testRequest{entry: e, reply: make(chan decision, 1),
 		head: &msg.RequestHead{ID: id, Generation: e.generation, Class: "read", LongClass: long}})
 }
 
 func (x *slotsTest) arrive(r *testRequest) {
 	r.arrived = true
-	x.s.handle(begin{head: r.head, entry: r.entry.id, reply: r.reply, cancel: func() {}})
+	x.s.handle(requestArrived{head: r.head, entry: r.entry.id, reply: r.reply, cancel: func() {}})
 }
 
-// pass lets virtual time pass and fires what is due, as the actor does.
-func (x *slotsTest) pass(t assert.TestingT, d time.Duration) {
+// advance advances the virtual time and handles expired timers as the actor
+// does.
+func (x *slotsTest) advance(t assert.TestingT, d time.Duration) {
 	end := time.NewTimer(d)
 	for {
 		select {
@@ -142,16 +145,16 @@
 			for k, ok := x.s.timers.Pop(time.Now()); ok; k, ok = x.s.timers.Pop(time.Now()) {
 				x.s.expire(k)
 			}
-			x.readVerdicts(t)
+			x.readDecisions(t)
 		case <-end.C:
 			return
 		}
 	}
 }
 
-// check compares the state with what the entries and the backend server know.
+// check compares the state with those of the entries and the backend server.
 func (x *slotsTest) check(t *rapid.T) {
-	running, waiting := x.readVerdicts(t)
+	running, waiting := x.readDecisions(t)
 	assert.LessOrEqual(t, running+x.s.status().Settling, testSlots)
 	assert.Equal(t, running, len(x.s.running))
 	assert.Equal(t, waiting, len(x.s.waiting))
@@ -162,7 +165,7 @@
 			used++
 		}
 		if c.state == crGranted || c.state == crRecalled {
-			assert.NotNil(t, c.borrower, "a credit is lent to nobody")
+			assert.NotNil(t, c.holder, "a granted credit has no holder")
 		}
 	}
 	assert.LessOrEqual(t, used, 2*testSlots, "slots and look-ahead")
@@ -173,8 +176,9 @@
 	}
 }
 
-// checkCredits: what the agent counts as lent is with the entry or in transit.
-func (x *slotsTest) checkCredits(t *rapid.T, e *entrySide) {
+// checkCredits requires that the credits that the agent counts as granted are
+// at the entry or in transit.
+func (x *slotsTest) checkCredits(t *rapid.T, e *testEntry) {
 	known := e.credits
 	for len(e.out) > 0 {
 		e.fromAgent = append(e.fromAgent, <-e.out)
@@ -194,39 +198,40 @@
 			known++
 		}
 	}
-	b := x.s.borrower(e.id, e.generation)
-	require.NotNil(t, b)
-	x.s.count(b)
-	assert.Equal(t, known, b.Idle, "credits of entry %s", e.id)
+	linked := x.s.findEntry(e.id, e.generation)
+	require.NotNil(t, linked)
+	x.s.countCredits(linked)
+	assert.Equal(t, known, linked.Idle, "credits of entry %s", e.id)
 }
 
-func (x *slotsTest) readVerdicts(t assert.TestingT) (running, waiting int) {
+// readDecisions records the decisions and counts running and waiting requests.
+func (x *slotsTest) readDecisions(t assert.TestingT) (running, waiting int) {
 	for _, r := range x.requests {
 		select {
 		case v := <-r.reply:
 			if v.start {
-				assert.False(t, r.notStarted, "%v was reported as not started", r.head.ID)
+				assert.False(t, r.reportedNotStarted, "%v was reported as not started", r.head.ID)
 				assert.False(t, r.started, "%v started twice", r.head.ID)
-				assert.False(t, !x.drained.IsZero() && time.Since(x.drained) > 3*time.Second, "started after the drain")
+				assert.False(t, !x.drainedAt.IsZero() && time.Since(x.drainedAt) > 3*time.Second, "started after the drain")
 				r.started = true
 			} else {
 				assert.False(t, r.started)
-				r.notStarted = true
+				r.reportedNotStarted = true
 			}
 		default:
 		}
 		switch {
 		case r.started && !r.ended:
 			running++
-		case r.arrived && !r.started && !r.notStarted:
+		case r.arrived && !r.started && !r.reportedNotStarted:
 			waiting++
 		}
 	}
 	return running, waiting
 }
 
-// pick draws a request that satisfies want, or skips the action.
-func (x *slotsTest) pick(t *rapid.T, want func(*testRequest) bool) *testRequest {
+// drawRequest draws a request that satisfies want, or skips the action.
+func (x *slotsTest) drawRequest(t *rapid.T, want func(*testRequest) bool) *testRequest {
 	var list []*testRequest
 	for _, r := range x.requests {
 		if want(r) {
@@ -239,7 +244,8 @@
 	return rapid.SampledFrom(list).Draw(t, "request")
 }
 
-func (x *slotsTest) entry(t *rapid.T, want func(*entrySide) bool) *entrySide {
+// drawEntry draws an entry, and skips the action if it does not satisfy want.
+func (x *slotsTest) drawEntry(t *rapid.T, want func(*testEntry) bool) *testEntry {
 	e := rapid.SampledFrom(x.entries).Draw(t, "entry")
 	if !want(e) {
 		t.Skip("not now")
@@ -247,78 +253,81 @@
 	return e
 }
 
+// actions returns the actions of the random test. A repeated action is drawn
+// more often.
 func (x *slotsTest) actions() map[string]func(*rapid.T) {
-	up := func(e *entrySide) bool { return e.up }
-	arrive := func(t *rapid.T) { x.arrive(x.pick(t, func(r *testRequest) bool { return !r.arrived })) }
-	end := func(t *rapid.T) {
-		r := x.pick(t, func(r *testRequest) bool { return r.started && !r.ended })
+	isUp := func(e *testEntry) bool { return e.up }
+	arriveAction := func(t *rapid.T) { x.arrive(x.drawRequest(t, func(r *testRequest) bool { return !r.arrived })) }
+	endAction := func(t *rapid.T) {
+		r := x.drawRequest(t, func(r *testRequest) bool { return r.started && !r.ended })
 		r.ended = true
-		x.s.handle(ended{id: r.head.ID, early: rapid.Bool().Draw(t, "early"), ran: 10 * time.Millisecond})
+		x.s.handle(exchangeEnded{id: r.head.ID, closedEarly: rapid.Bool().Draw(t, "early"), duration: 10 * time.Millisecond})
 	}
-	spend := func(t *rapid.T) {
-		e := x.entry(t, func(e *entrySide) bool { return e.up && e.credits > 0 })
+	spendAction := func(t *rapid.T) {
+		e := x.drawEntry(t, func(e *testEntry) bool { return e.up && e.credits > 0 })
 		x.spend(e, rapid.Bool().Draw(t, "long"))
 	}
-	toEntry := func(t *rapid.T) {
-		x.deliverToEntry(t, x.entry(t, func(e *entrySide) bool { return e.up && len(e.fromAgent) > 0 }))
+	deliverToEntry := func(t *rapid.T) {
+		x.deliverToEntry(t, x.drawEntry(t, func(e *testEntry) bool { return e.up && len(e.fromAgent) > 0 }))
 	}
-	// rarely keeps faults from hiding what needs many steps in a row.
-	rarely := func(t *rapid.T) {
+	// oneInSix makes faults rare enough for long sequences without one.
+	oneInSix := func(t *rapid.T) {
 		if rapid.IntRange(0, 5).Draw(t, "rarely") > 0 {
 			t.Skip("not now")
 		}
 	}
-	toAgent := func(t *rapid.T) {
-		x.deliverToAgent(x.entry(t, func(e *entrySide) bool { return e.up && len(e.toAgent) > 0 }))
+	deliverToAgent := func(t *rapid.T) {
+		x.deliverToAgent(x.drawEntry(t, func(e *testEntry) bool { return e.up && len(e.toAgent) > 0 }))
 	}
 	return map[string]func(*rapid.T){
-		"to entry": toEntry, "to entry 2": toEntry, "to entry 3": toEntry, "to agent": toAgent, "to agent 2": toAgent,
-		"spend": spend, "spend 2": spend, "spend 3": spend, "arrive": arrive, "arrive 2": arrive, "arrive 3": arrive, "end": end, "end 2": end,
+		"to entry": deliverToEntry, "to entry 2": deliverToEntry, "to entry 3": deliverToEntry, "to agent": deliverToAgent, "to agent 2": deliverToAgent,
+		"spend": spendAction, "spend 2": spendAction, "spend 3": spendAction, "arrive": arriveAction, "arrive 2": arriveAction, "arrive 3": arriveAction, "end": endAction, "end 2": endAction,
 		"demand": func(t *rapid.T) {
-			e := x.entry(t, up)
+			e := x.drawEntry(t, isUp)
 			e.toAgent = append(e.toAgent, &msg.Demand{Queued: rapid.IntRange(0, 20).Draw(t, "queued")})
 		},
 		"query": func(t *rapid.T) {
-			e := x.entry(t, up)
-			r := x.pick(t, func(r *testRequest) bool { return r.entry == e && r.head.Generation < e.generation })
+			e := x.drawEntry(t, isUp)
+			r := x.drawRequest(t, func(r *testRequest) bool { return r.entry == e && r.head.Generation < e.generation })
 			e.toAgent = append(e.toAgent, &msg.OutcomeQuery{ID: r.head.ID})
 		},
 		"cancel": func(t *rapid.T) {
-			rarely(t)
-			x.s.handle(cancelled{id: x.pick(t, func(r *testRequest) bool { return !r.ended }).head.ID})
+			oneInSix(t)
+			x.s.handle(requestCancelled{id: x.drawRequest(t, func(r *testRequest) bool { return !r.ended }).head.ID})
 		},
 		"link down": func(t *rapid.T) {
-			rarely(t)
-			x.linkDown(x.entry(t, up))
+			oneInSix(t)
+			x.linkDown(x.drawEntry(t, isUp))
 		},
-		"link up":  func(t *rapid.T) { x.linkUp(x.entry(t, func(e *entrySide) bool { return !e.up })) },
+		"link up":  func(t *rapid.T) { x.linkUp(x.drawEntry(t, func(e *testEntry) bool { return !e.up })) },
 		"announce": func(*rapid.T) { x.announce() },
 		"drain": func(t *rapid.T) {
-			rarely(t)
-			if x.drained.IsZero() {
-				x.drained = time.Now()
+			oneInSix(t)
+			if x.drainedAt.IsZero() {
+				x.drainedAt = time.Now()
 			}
 			x.s.handle(Drain{})
 		},
 		"replace": func(t *rapid.T) {
-			rarely(t)
+			oneInSix(t)
 			x.instance++
-			x.drained = time.Time{}
+			x.drainedAt = time.Time{}
 			x.announce()
 		},
 		"pass": func(t *rapid.T) {
-			x.pass(t, time.Duration(rapid.SampledFrom([]int{1, 10, 30, 300, 3000}).Draw(t, "ms"))*time.Millisecond)
+			x.advance(t, time.Duration(rapid.SampledFrom([]int{1, 10, 30, 300, 3000}).Draw(t, "ms"))*time.Millisecond)
 		},
 		"": x.check,
 	}
 }
 
-// Guards, under any order of messages, against more exchanges than slots,
-// starts after a tombstone or a drain, false outcomes, and credits that are
-// lost or doubled.
+// Guards against more running exchanges than slots, starts after a tombstone or
+// a drain, wrong outcomes, and lost or duplicated credits when messages arrive in
+// an unusual order.
 func TestSlotsUnderAnyOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// testing.T.Deadline must not be called inside a bubble.
+		// testing.T.Deadline must not be called in a synctest bubble; the struct
+		// hides it.
 		rapid.Check(struct{ rapid.TB }{t}, func(t *rapid.T) {
 			x := newSlotsTest()
 			defer x.group.Stop()
--- a/internal/agent/slots_test.go
+++ b/internal/agent/slots_test.go
@@ -16,23 +16,23 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against a cancellation that overtakes the request: the request would
-// hold a slot although nobody waits for it, a watcher for hours.
+// Guards against a request that occupies a slot after its cancellation, which
+// may arrive first. A long request would occupy the slot for hours.
 func TestCancelBeforeBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newSlotsTest()
 		defer x.group.Stop()
 		x.spend(x.entries[0], false)
 		r := x.requests[0]
-		x.s.handle(cancelled{id: r.head.ID})
+		x.s.handle(requestCancelled{id: r.head.ID})
 		x.arrive(r)
-		assert.Equal(t, verdict{refused: msg.RefusedCancelled}, <-r.reply)
+		assert.Equal(t, decision{refused: msg.RefusedCancelled}, <-r.reply)
 		assert.Zero(t, x.s.status().Running)
 	})
 }
 
-// Guards against slots that stay lent for ever: a head that is refused has
-// used up the entry's credit.
+// Guards against credits that are never freed: the entry has spent one on each
+// head, also on a refused one.
 func TestRefusedHeadReturnsItsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newSlotsTest()
@@ -56,33 +56,35 @@
 }
 
 // Guards against a start later than 3 s after a drain: a request that is
-// accepted just before the bound waits for a slot until it is refused.
+// accepted just before startBound must be refused at the bound, although a slot
+// becomes free later.
 func TestDrainBoundsStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newSlotsTest()
 		defer x.group.Stop()
 		x.linkDown(x.entries[1])
-		x.fill(t)
+		x.startInEachSlot(t)
 		x.s.handle(Drain{})
-		x.pass(t, 2400*time.Millisecond)
+		x.advance(t, 2400*time.Millisecond)
 		late := x.requests[len(x.requests)-1]
 		x.arrive(late)
 		require.Equal(t, 1, x.s.status().Waiting)
-		x.pass(t, 700*time.Millisecond)
+		x.advance(t, 700*time.Millisecond)
 		for _, r := range x.requests[:testSlots] {
-			x.s.handle(ended{id: r.head.ID})
+			x.s.handle(exchangeEnded{id: r.head.ID})
 		}
-		x.readVerdicts(t)
+		x.readDecisions(t)
 		assert.False(t, late.started)
-		assert.True(t, late.notStarted)
+		assert.True(t, late.reportedNotStarted)
 		assert.Equal(t, "left", x.s.status().State)
 	})
 }
 
-// fill starts a request in each slot and leaves one more head in transit.
-func (x *slotsTest) fill(t *testing.T) {
+// startInEachSlot starts a request in each slot and leaves one more head in
+// transit.
+func (x *slotsTest) startInEachSlot(t *testing.T) {
 	e := x.entries[0]
-	x.s.mean = float64(time.Millisecond) // look-ahead
+	x.s.meanDuration = float64(time.Millisecond) // short enough for a look-ahead
 	x.s.handle(FromEntry{Entry: e.id, Generation: e.generation, Msg: &msg.Demand{Queued: 2 * testSlots}})
 	for range testSlots + 1 {
 		x.spend(e, false)
@@ -93,8 +95,9 @@
 	}
 }
 
-// Guards against a second run of a request while the first one may still run:
-// a backend server notices a closed connection later than the agent closes it.
+// Guards against a second run of a request while the first may still run: a
+// backend server notices a closed connection some time after the agent has
+// closed it.
 func TestOutcomeWaitsForTheBackendServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newSlotsTest()
@@ -102,15 +105,15 @@
 		x.spend(x.entries[0], false)
 		r := x.requests[0]
 		x.arrive(r)
-		x.s.handle(ended{id: r.head.ID, early: true})
+		x.s.handle(exchangeEnded{id: r.head.ID, closedEarly: true})
 		rec := x.s.records.get(r.head.ID)
 		assert.Equal(t, msg.ExchangeStarted, rec.outcome(x.s.now))
-		x.pass(t, settleTime)
+		x.advance(t, settleTime)
 		assert.Equal(t, msg.ExchangeFinished, rec.outcome(time.Now()))
 	})
 }
 
-// headStream carries one request head and then nothing until it is closed.
+// headStream delivers one request head and then blocks until it is closed.
 type headStream struct {
 	head   chan msg.Frame
 	closed chan struct{}
@@ -140,8 +143,9 @@
 	return nil
 }
 
-// Guards against slots that stay lent for ever: heads that arrive after their
-// deadline, as after a freeze of the agent, have used up a credit.
+// Guards against credits that are never freed: the entry has spent one on each
+// head, also on one that arrives after its deadline because the agent was
+// suspended.
 func TestExpiredHeadReturnsItsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
@@ -157,7 +161,7 @@
 			x := &exchange{stream: s, slots: slots, entry: "a", transport: http.DefaultTransport}
 			_ = x.run(t.Context())
 			require.Len(t, s.sent, 1)
-			// A credit that was not lost serves every next request.
+			// A returned credit serves the next request.
 			assert.NotEqual(t, &msg.Refused{Reason: msg.RefusedNoCredit}, <-s.sent)
 		}
 	})
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -9,32 +9,36 @@
 )
 
 const (
-	// leastSamples in a window give a P99.
-	leastSamples = 20
-	// maxSamples of a window and class are kept, the first ones.
+	// minP99Samples is the number of samples in a window from which a P99 is
+	// computed.
+	minP99Samples = 20
+	// maxSamples bounds the samples of a class in a window; later ones are
+	// dropped.
 	maxSamples = 4096
-	// arrivalSmoothing is the weight of the last second.
+	// arrivalSmoothing is the weight of the last second in the arrival rate.
 	arrivalSmoothing = 0.5
-	// forgetAfter windows without a request a class is no longer reported.
-	forgetAfter = 6
+	// maxIdleWindows is the number of windows without a request after which a
+	// class is removed.
+	maxIdleWindows = 6
 )
 
-// usage measures the classes of a backend server for the controllers, which
-// weigh the effect of tasks on it.
+// usage measures the classes of a backend server. The controllers use the
+// measurements to estimate the effect of tasks on it.
 type usage struct {
 	classes map[model.Class]*classUsage
-	ticks   int // since the window began
+	seconds int // since the start of the window
 }
 
 type classUsage struct {
-	ran      []time.Duration // of the present window
-	busy     time.Duration   // slot time in the present window
-	arrived  int             // in the present second
-	arrivals float64
-	quiet    int // windows without a request
-	last     msg.ServiceUsage
+	durations         []time.Duration // of the current window, at most maxSamples
+	slotTime          time.Duration   // in the current window
+	arrivedThisSecond int
+	arrivals          float64 // smoothed, requests per second
+	idleWindows       int     // consecutive windows without an ended request
+	lastWindow        msg.ServiceUsage
 }
 
+// class returns the measurements of a class, which it creates when necessary.
 func (u *usage) class(name model.Class) *classUsage {
 	c := u.classes[name]
 	if c == nil {
@@ -47,70 +51,71 @@
 	return c
 }
 
-func (u *usage) arrived(name model.Class) { u.class(name).arrived++ }
+func (u *usage) requestArrived(name model.Class) { u.class(name).arrivedThisSecond++ }
 
-func (u *usage) ended(name model.Class, ran time.Duration) {
+func (u *usage) requestEnded(name model.Class, duration time.Duration) {
 	c := u.class(name)
-	c.busy += min(ran, msg.UsageWindow)
-	if len(c.ran) < maxSamples {
-		c.ran = append(c.ran, ran)
+	c.slotTime += min(duration, msg.UsageWindow)
+	if len(c.durations) < maxSamples {
+		c.durations = append(c.durations, duration)
 	}
 }
 
-// second closes the present second, and the window when it is complete.
-func (u *usage) second(slots int) {
-	u.ticks++
-	windowEnds := u.ticks >= int(msg.UsageWindow/time.Second)
+// endSecond ends the current second, and the window when it is complete. slots is
+// the number of slots of the backend server.
+func (u *usage) endSecond(slots int) {
+	u.seconds++
+	windowEnds := u.seconds >= int(msg.UsageWindow/time.Second)
 	for name, c := range u.classes {
-		c.arrivals += (float64(c.arrived) - c.arrivals) * arrivalSmoothing
-		c.arrived = 0
+		c.arrivals += (float64(c.arrivedThisSecond) - c.arrivals) * arrivalSmoothing
+		c.arrivedThisSecond = 0
 		if windowEnds && c.endWindow(slots) {
 			delete(u.classes, name)
 		}
 	}
 	if windowEnds {
-		u.ticks = 0
+		u.seconds = 0
 	}
 }
 
 // endWindow computes the measurements of the window and reports whether the
-// class can be forgotten.
+// class can be removed.
 func (c *classUsage) endWindow(slots int) bool {
-	c.quiet++
-	if len(c.ran) > 0 {
-		c.quiet = 0
+	c.idleWindows++
+	if len(c.durations) > 0 {
+		c.idleWindows = 0
 	}
-	c.last.Requests, c.last.P99 = len(c.ran), 0
-	if len(c.ran) >= leastSamples {
-		slices.Sort(c.ran)
-		c.last.P99 = c.ran[len(c.ran)*99/100]
+	c.lastWindow.Requests, c.lastWindow.P99 = len(c.durations), 0
+	if len(c.durations) >= minP99Samples {
+		slices.Sort(c.durations)
+		c.lastWindow.P99 = c.durations[len(c.durations)*99/100]
 	}
-	c.last.Busy = 0
+	c.lastWindow.Busy = 0
 	if slots > 0 {
-		c.last.Busy = min(1, c.busy.Seconds()/(msg.UsageWindow.Seconds()*float64(slots)))
+		c.lastWindow.Busy = min(1, c.slotTime.Seconds()/(msg.UsageWindow.Seconds()*float64(slots)))
 	}
-	c.ran, c.busy = c.ran[:0], 0
-	return c.quiet >= forgetAfter
+	c.durations, c.slotTime = c.durations[:0], 0
+	return c.idleWindows >= maxIdleWindows
 }
 
-// reportUsage tells the entries, one of which owns the cell, what the backend
-// server's classes use.
+// reportUsage sends the usage of the backend server's classes to all entries.
+// One of them owns the cell.
 func (s *slots) reportUsage() {
-	s.usage.second(s.backend.Slots)
+	s.usage.endSecond(s.backend.Slots)
 	if s.backend.Backend == "" || len(s.usage.classes) == 0 {
 		return
 	}
 	queued := len(s.waiting)
-	for _, b := range s.borrowers {
-		queued += b.Queued
+	for _, e := range s.entries {
+		queued += e.Queued
 	}
 	r := &msg.UsageReport{Worker: s.worker}
 	for name, c := range s.usage.classes {
-		u := c.last
+		u := c.lastWindow
 		u.Service, u.Class, u.Slots = s.backend.Service, name, s.backend.Slots
 		u.Arrivals, u.Queued, u.Mean = c.arrivals, queued, s.classes.Mean(name)
-		if s.usage.ticks != 0 {
-			u.P99 = 0 // of a window that was reported already
+		if s.usage.seconds != 0 {
+			u.P99 = 0 // the P99 of the window has been reported
 		}
 		r.Services = append(r.Services, u)
 	}
@@ -120,7 +125,7 @@
 		}
 		return 1
 	})
-	for _, b := range s.borrowers {
-		b.out.TrySend(r)
+	for _, e := range s.entries {
+		e.out.TrySend(r)
 	}
 }
