--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps the list of living entries in the table: each entry
-// renews a row of its own, and others follow the rows. It does not know what
-// the list is used for.
+// Package directory maintains the list of running entries in the table: each
+// entry renews a row of its own, and other processes poll the rows. It does not
+// depend on the users of the list.
 package directory
 
 import (
@@ -19,15 +19,16 @@
 )
 
 const (
-	// renewInterval costs 1.5 writes/s with 30 entries.
+	// renewInterval is the time between renewals of an entry's row: 1.5 writes/s
+	// with 30 entries.
 	renewInterval = 20 * time.Second
-	// A row that did not change for this long, or for three polls if that is
-	// longer, belongs to an entry that has gone.
-	goneAfter = 3 * renewInterval
+	// minExpiry is how long an entry is listed after the last change of its
+	// row, or three polling intervals if these are longer.
+	minExpiry = 3 * renewInterval
 )
 
-// Announce renews the row of an entry until g ends. A renewal that fails is
-// not repeated before the next one is due.
+// Announce renews the row of an entry until g ends. It does not retry a failed
+// renewal: the next one follows after renewInterval.
 func Announce(g *actor.Group, table storage.Table, e rows.Entry) {
 	actor.Go(g, "entry announcer", func(ctx context.Context) error {
 		for {
@@ -44,14 +45,15 @@
 	})
 }
 
-// List is the living entries. Rows that changed after UpTo are not in it yet.
+// List holds the running entries as of revision UpTo.
 type List struct {
 	Entries []rows.Entry
 	UpTo    storage.Revision
 }
 
-// Follow calls deliver, from one goroutine, with the living entries whenever
-// a row has changed or an entry has gone.
+// Follow polls the table every interval until g ends. It calls deliver, from one
+// goroutine, with the running entries whenever a row has changed or an entry has
+// expired.
 func Follow(g *actor.Group, table storage.Table, interval time.Duration, l log.Interface, deliver func(List)) {
 	to := actor.Spawn(g, actor.Spec[storage.Changes]{Name: "entry directory", Mailbox: 4, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan storage.Changes) error {
@@ -61,32 +63,35 @@
 		to, func(c storage.Changes) storage.Changes { return c })
 }
 
-// follower judges which entries live by its own clock.
+// follower tracks the rows of entries. It expires entries by its own clock, so
+// that clocks of different hosts are not compared.
 type follower struct {
-	gone    time.Duration
-	deliver func(List)
-	upTo    storage.Revision
-	known   map[model.EntryID]*sighting
+	expiry   time.Duration
+	deliver  func(List)
+	upTo     storage.Revision
+	observed map[model.EntryID]*observedRow
 }
 
-type sighting struct {
-	entry   rows.Entry
-	changed time.Time
+// observedRow is the last row of an entry and the time at which its change was
+// observed.
+type observedRow struct {
+	entry     rows.Entry
+	changedAt time.Time
 }
 
 func newFollower(interval time.Duration, deliver func(List)) *follower {
-	return &follower{gone: max(goneAfter, 3*interval), deliver: deliver, known: map[model.EntryID]*sighting{}}
+	return &follower{expiry: max(minExpiry, 3*interval), deliver: deliver, observed: map[model.EntryID]*observedRow{}}
 }
 
 func (f *follower) run(ctx context.Context, in <-chan storage.Changes) error {
-	check := time.NewTicker(renewInterval)
-	defer check.Stop()
+	expiryTicker := time.NewTicker(renewInterval)
+	defer expiryTicker.Stop()
 	for {
 		select {
 		case c := <-in:
 			f.upTo = c.UpTo
 			f.apply(time.Now(), c.Rows)
-		case <-check.C:
+		case <-expiryTicker.C:
 			f.apply(time.Now(), nil)
 		case <-ctx.Done():
 			return nil
@@ -94,29 +99,31 @@
 	}
 }
 
-// apply records changed rows and delivers the list if something has changed.
+// apply records changed rows, removes expired entries and delivers the list if
+// it has changed.
 func (f *follower) apply(now time.Time, changed []storage.Row) {
-	dirty := len(changed) > 0
+	listChanged := len(changed) > 0
 	for _, r := range changed {
 		e, err := rows.Decode[rows.Entry](r.Value)
 		if r.Deleted || err != nil || e.ID == "" {
-			continue // an entry's row is never deleted; what it does not hold, it does not list
+			continue // entries never delete their rows; a row that is not an entry is ignored
 		}
-		f.known[e.ID] = &sighting{entry: e, changed: now}
+		f.observed[e.ID] = &observedRow{entry: e, changedAt: now}
 	}
-	for id, s := range f.known {
-		if now.Sub(s.changed) > f.gone {
-			delete(f.known, id)
-			dirty = true
+	for id, s := range f.observed {
+		if now.Sub(s.changedAt) > f.expiry {
+			delete(f.observed, id)
+			listChanged = true
 		}
 	}
-	if dirty {
-		f.deliver(List{f.list(), f.upTo})
+	if listChanged {
+		f.deliver(List{f.entries(), f.upTo})
 	}
 }
 
-// Current returns the list with the entries added whose rows have changed since the list was read: they
-// live, and some may be new.
+// Current returns the entries of the list and those whose rows have changed
+// since the list was read, which are running and may be new. It returns the
+// error of the scan. The order is random.
 func (l List) Current(ctx context.Context, table storage.Table) ([]rows.Entry, error) {
 	changed, _, err := table.Scan(ctx, rows.EntryPrefix, l.UpTo)
 	if err != nil {
@@ -134,9 +141,10 @@
 	return slices.Collect(maps.Values(entries)), nil
 }
 
-func (f *follower) list() []rows.Entry {
-	list := make([]rows.Entry, 0, len(f.known))
-	for _, s := range f.known {
+// entries returns the entries that have not expired, in random order.
+func (f *follower) entries() []rows.Entry {
+	list := make([]rows.Entry, 0, len(f.observed))
+	for _, s := range f.observed {
 		list = append(list, s.entry)
 	}
 	return list
