--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -84,9 +84,9 @@
 // exchangeEnded reports that an exchange that was started has ended.
 type exchangeEnded struct {
 	id            model.RequestID
-	connectFailed bool // no connection could be made
-	closedEarly   bool // the connection was closed before the response ended
-	duration      time.Duration
+	connectFailed bool          // no connection could be made
+	closedEarly   bool          // the connection was closed before the response ended
+	duration      time.Duration // since the start
 }
 
 func (EntryUp) isMessage()          {}
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxRecords      = 65_536          // outcomes kept per agent
+	maxRecords      = 65_536          // of ended exchanges
 	recordRetention = 2 * time.Minute // after the end of the exchange
 )
 
@@ -23,8 +23,8 @@
 	stateSince time.Time // start of the wait, then of the run
 	refusal    msg.RefusedReason
 	reply      chan<- decision
-	cancel     func()
-	credit     *credit
+	cancel     func()  // cancels the HTTP request to the backend server
+	credit     *credit // spent on the request; nil after its end
 	address    string
 	settledAt  time.Time // until then the backend server may still run the request
 }
@@ -57,6 +57,7 @@
 	ended          []endedRecord // oldest first
 }
 
+// endedRecord is the time at which an exchange ended.
 type endedRecord struct {
 	id model.RequestID
 	at time.Time // of its end
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -12,8 +12,7 @@
 // openTimeout bounds the opening of a stream on an established link.
 const openTimeout = 2 * time.Second
 
-// attempt is one offer of a request to an agent. Its fields are used by the
-// request's actor.
+// attempt is one offer of a request to an agent.
 type attempt struct {
 	assignment    assignment
 	stream        link.Stream
--- a/internal/entry/credits.go
+++ b/internal/entry/credits.go
@@ -53,6 +53,7 @@
 	d.removeInstance(a)
 }
 
+// removeInstance removes the agent's backend server from its service.
 func (d *dispatcher) removeInstance(a *agent) {
 	if a.backend == nil {
 		return
@@ -224,9 +225,9 @@
 	for _, s := range d.services {
 		for id, r := range s.running {
 			age := d.now.Sub(r.startedAt)
-			if !r.startedAt.IsZero() && age > max(r.sampledAge, time.Second) && s.classes.CountsAsLong(r.class, age) {
+			if !r.startedAt.IsZero() && age > max(r.nextSampleAge, time.Second) && s.classes.CountsAsLong(r.class, age) {
 				s.classes.AddSample(r.class, age)
-				r.sampledAge = 2 * age
+				r.nextSampleAge = 2 * age
 				s.running[id] = r
 			}
 		}
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -35,13 +35,13 @@
 type dispatcher struct {
 	self           Self
 	now            time.Time
-	nextID         uint64
+	nextID         uint64 // sequence number of the last assignment
 	services       map[model.Service]*service
 	agents         map[model.WorkerID]*agent
 	outcomeQueries map[model.RequestID]outcomeQuery
 	configured     *RoutingTable              // from the configuration
 	table          *actor.Value[RoutingTable] // published services
-	demandPending  bool                       // a queue is not empty, or agents must be informed that it is
+	demandPending  bool                       // a queue is not empty, or agents must be informed that it is empty
 	hasRunning     bool                       // requests may be running
 }
 
@@ -52,8 +52,8 @@
 	generation uint64
 	conn       link.Conn
 	out        peer.Out
-	endLink    func()
-	backend    *instance
+	endLink    func()    // may be nil
+	backend    *instance // nil until the agent reports a backend server
 }
 
 // SpawnDispatcher starts the actor that owns the queues and credits of an
@@ -179,6 +179,7 @@
 	d.table.Set(&all)
 }
 
+// applyRule sets the classes that the configuration declares long or short.
 func (d *dispatcher) applyRule(s *service) {
 	rule, ok := d.configured.Services[s.name]
 	if !ok {
@@ -202,8 +203,8 @@
 		s.queue.Requeue(d.now, m.request)
 	} else {
 		s.budget.AddRequest()
-		if why := s.queue.Admit(d.now, m.request, s.currentLoad(), s.hasIdleCredit()); why != dispatch.Accepted {
-			s.refuse(m.inbox, why)
+		if reason := s.queue.Admit(d.now, m.request, s.currentLoad(), s.hasIdleCredit()); reason != dispatch.Accepted {
+			s.refuse(m.inbox, reason)
 			return
 		}
 	}
@@ -224,15 +225,15 @@
 	}
 }
 
-// dispatch gives free credits to queued requests.
+// dispatch assigns free credits to queued requests.
 func (d *dispatcher) dispatch(s *service) {
 	for s.queue.Len() > 0 {
 		i, longAllowed := s.choose(d.now)
 		if i == nil {
 			return
 		}
-		r, ok := s.queue.Next(d.now, longAllowed, func(r dispatch.Request, why dispatch.Refusal) {
-			s.refuse(s.queuedCalls[r.Key], why)
+		r, ok := s.queue.Next(d.now, longAllowed, func(r dispatch.Request, reason dispatch.Refusal) {
+			s.refuse(s.queuedCalls[r.Key], reason)
 			delete(s.queuedCalls, r.Key)
 		})
 		if !ok {
@@ -244,7 +245,7 @@
 	}
 }
 
-// assign spends a credit of i on a request.
+// assign assigns a credit of i to a request and sends it to the request's actor.
 func (d *dispatcher) assign(s *service, i *instance, r dispatch.Request, inbox chan<- callMessage) {
 	d.nextID++
 	i.Credits--
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -12,8 +12,8 @@
 	dispatch.Candidate
 	service     *service
 	agent       *agent
-	state       string // of the backend server, as its agent reports it
-	longPermits int
+	state       string    // of the backend server, as its agent reports it
+	longPermits int       // long requests that the agent still accepts
 	reserved    bool      // accepts no long requests
 	slowness    float64   // smoothed ratio of its slot times to the class means
 	avoidUntil  time.Time // not chosen before this time, because a stream could not be opened
@@ -37,10 +37,10 @@
 
 // runningRequest is a request with an assigned credit.
 type runningRequest struct {
-	long       bool
-	class      model.Class
-	startedAt  time.Time     // zero: not started
-	sampledAge time.Duration // minimum age for the next sample
+	long          bool
+	class         model.Class
+	startedAt     time.Time     // zero: not started
+	nextSampleAge time.Duration // minimum age for the next sample
 }
 
 // demand counts queued requests.
@@ -48,9 +48,9 @@
 	queued, short int
 }
 
-func (s *service) refuse(inbox chan<- callMessage, why dispatch.Refusal) {
+func (s *service) refuse(inbox chan<- callMessage, reason dispatch.Refusal) {
 	s.refused++
-	sendToCall(inbox, callMessage{kind: callRefused, refusal: why})
+	sendToCall(inbox, callMessage{kind: callRefused, refusal: reason})
 }
 
 func (s *service) currentLoad() dispatch.Load {
@@ -72,6 +72,7 @@
 	return false
 }
 
+// readySlots returns the number of slots of the instances in state ready.
 func (s *service) readySlots() int {
 	n := 0
 	for _, i := range s.instances {
@@ -114,14 +115,15 @@
 	return s.instances[k], s.longAllowed(s.instances[k])
 }
 
+// meanOverClasses returns the unweighted mean of the classes' mean durations.
 func (s *service) meanOverClasses() time.Duration {
 	names := s.classes.Names()
 	if len(names) == 0 {
 		return 0
 	}
 	var sum time.Duration
-	for _, n := range names {
-		sum += s.classes.Mean(n)
+	for _, name := range names {
+		sum += s.classes.Mean(name)
 	}
 	return sum / time.Duration(len(names))
 }
