--- a/internal/agent/lifecycle.go
+++ b/internal/agent/lifecycle.go
@@ -36,7 +36,7 @@
 	acceptedBound = 2 * time.Second
 	// announceInterval is the time between announcements of a backend server.
 	announceInterval = 2 * time.Second
-	suspectAfter     = 3 * announceInterval
+	suspectAfter     = 3 * announceInterval // since the last announcement
 	downAfter        = 7 * announceInterval // after suspectAfter: 10 missing announcements in all
 	// startBound is how long requests may start after a drain. Guarantee G7
 	// allows 3 s; the difference is for the message and the connection.
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -32,10 +32,11 @@
 	chunkRequested   bool          // a chunk was requested and has not been received
 	replay           []byte        // the body so far, up to maxReplayBytes
 	replayIncomplete bool          // the body so far exceeds maxReplayBytes
-	total            int64
-	ended            bool
+	total            int64         // bytes received from the reader
+	ended            bool          // the last chunk has been received
 }
 
+// chunk is a part of a request body.
 type chunk struct {
 	data []byte // valid until the next chunk is requested
 	last bool
@@ -53,6 +54,8 @@
 	return b
 }
 
+// read reads a chunk for each request on chunkRequests, until the end of the body
+// or an error. A body of more than limit bytes is an error.
 func (b *requestBody) read(ctx context.Context, from io.Reader, limit int64) error {
 	buf := make([]byte, chunkBytes)
 	var total int64
@@ -131,6 +134,8 @@
 	}
 }
 
+// bufferForReplay appends data to the replay buffer, or drops the buffer when it
+// would exceed maxReplayBytes.
 func (b *requestBody) bufferForReplay(data []byte) {
 	if b.replayIncomplete || len(b.replay)+len(data) > maxReplayBytes {
 		b.replay, b.replayIncomplete = nil, b.replayIncomplete || len(data) > 0
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -17,7 +17,8 @@
 	// queryInterval is the time between outcome queries while the agent
 	// reports that the request is still running.
 	queryInterval = 100 * time.Millisecond
-	// writeTimeout bounds each write to the caller.
+	// writeTimeout bounds each write to the caller. A caller that does not
+	// read its response within this time is treated as disconnected.
 	writeTimeout = 30 * time.Second
 	// readGrace is how much later than the request's timer the socket's read
 	// deadline expires. The timer ends a slow body; the read deadline only
@@ -40,16 +41,16 @@
 	attempt        *attempt
 	id             model.RequestID // of the last assignment
 	arrivedAt      time.Time
-	timer          *time.Timer // deadline of the request, then time-out of a state
-	queryTimer     *time.Timer // expires when the next outcome query is due
-	refusal        dispatch.Refusal
-	agentRefusal   msg.RefusedReason
-	status         int
-	outcome        model.Outcome
-	localReply     bool
-	aborted        bool
-	outcomeQueried bool      // the dispatcher may hold an outcome query
-	startedAt      time.Time // when the agent's Started was received; zero before
+	timer          *time.Timer       // deadline of the request, then time-out of a state
+	queryTimer     *time.Timer       // expires when the next outcome query is due
+	refusal        dispatch.Refusal  // by the dispatcher
+	agentRefusal   msg.RefusedReason // of the last refused offer
+	status         int               // HTTP status of the response; 0: none
+	outcome        model.Outcome     // valid if localReply
+	localReply     bool              // the entry generated the response
+	aborted        bool              // close the connection without ending the response
+	outcomeQueried bool              // the dispatcher may hold an outcome query
+	startedAt      time.Time         // when the agent's Started was received; zero before
 }
 
 func newCall(f *Frontend, w http.ResponseWriter, r *http.Request, rt route, arrivedAt time.Time) *call {
@@ -137,6 +138,7 @@
 	}
 }
 
+// performEffect performs one effect of a step of the lifecycle.
 func (c *call) performEffect(f effect) {
 	switch f {
 	case effEnqueue:
--- a/internal/entry/frontend.go
+++ b/internal/entry/frontend.go
@@ -37,7 +37,7 @@
 	// Semaphore holds one element for each request in progress, queued ones
 	// included. A request beyond its capacity is refused.
 	Semaphore chan struct{}
-	// StartedAt is when the process started. For settleTime afterwards an
+	// StartedAt is when the process started. For startupGrace afterwards an
 	// unknown service may be one whose agents are not linked yet. The zero
 	// value disables this grace period.
 	StartedAt time.Time
