--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -68,8 +68,8 @@
 	m := Model{Jobs: 1, Work: 8 * time.Second, Faults: 1, Kinds: everyKind, Window: 15 * time.Second, Durations: []time.Duration{9 * time.Second}}
 	early, silent, open := m, m, m
 	early.Charts = changed(t, `<transition event="stop" target="stopping"><script>callStop</script></transition>`,
-		`<transition event="stop" target="reporting"><script>bar report</script></transition>`)
-	const lost = "\n    <transition event=\"lost\" target=\"reporting\"><script>lose report</script></transition>"
+		`<transition event="stop" target="reporting"><script>recordStopped report</script></transition>`)
+	const lost = "\n    <transition event=\"lost\" target=\"reporting\"><script>recordLost report</script></transition>"
 	silent.Charts = changed(t, `<transition event="ended" target="reporting"><script>record report</script></transition>`+lost, lost)
 	open.NoFence = true
 	for name, c := range map[string]struct {
--- a/internal/taskagent/attempt.go
+++ b/internal/taskagent/attempt.go
@@ -42,47 +42,47 @@
 const (
 	stopRetry   = 2 * time.Second
 	reportRetry = 5 * time.Second
-	// keepFor is longer than a command can stay under way on a link, which is
-	// closed after 4 s of silence.
+	// keepFor is how long the record of an ended attempt is kept. A command
+	// cannot be delayed that long, because a link is closed after 4 s of
+	// silence.
 	keepFor = 2 * time.Minute
 )
 
-// attempt is what the agent knows of one attempt.
+// attempt is the agent's record of one attempt.
 type attempt struct {
 	id       model.AttemptID
 	state    chart.State
-	deadline time.Duration // of the state's timeout; 0 when it has none
-
-	spec       model.JobSpec // only the id is known of an adopted attempt
-	resume     string        // checkpoint to start from
-	adoptedAt  time.Duration
-	adopted    bool
-	unwanted   bool // stop as soon as the start call answered
-	percent    int
-	report     report
-	changedAt  time.Duration // when the state began
-	renewing   bool          // a renew call is under way
-	listed     bool          // the worker's last list had it
-	checkpoint bool          // a checkpoint call is under way
-
-	core *Core // set during a step
+	deadline time.Duration // of the state's timeout; 0: the state has none
+
+	spec               model.JobSpec // of an adopted attempt only the ID is known
+	resumeFrom         string        // checkpoint to start from; empty: none
+	adoptedAt          time.Duration
+	adopted            bool // found running; no renewal has been received since
+	stopRequested      bool // the task is stopped as soon as the start call returns
+	cpuLimitPercent    int
+	report             report
+	stateChangedAt     time.Duration
+	renewInFlight      bool
+	listed             bool // the most recent list of the worker contains the task
+	checkpointInFlight bool
+
+	core *Core // set by stepAttempt, for the actions of the chart
 }
 
-// report is the part of a TaskReport that the attempt itself determines.
+// report holds the fields of a TaskReport that are kept for each attempt.
 type report struct {
-	state      model.TaskState
-	checkpoint string
-	result     string
-	reason     string
-	usage      model.Usage
-	usageAt    time.Duration // when usage was received
-	ranFor     time.Duration
+	state           model.TaskState
+	checkpoint      string
+	result          string
+	reason          string
+	usage           model.Usage
+	usageReceivedAt time.Duration // 0: none was received
+	ranFor          time.Duration
 }
 
 var attemptChart = chart.MustCompile(charts.Files, AttemptBinding())
 
-// AttemptBinding binds charts/agentattempt.scxml. It is exported for the checks that
-// explore the chart.
+// AttemptBinding returns the binding of charts/agentattempt.scxml.
 func AttemptBinding() chart.Binding[attempt] {
 	return chart.Binding[attempt]{
 		Chart:  "agentattempt",
@@ -90,9 +90,9 @@
 		Events: []string{"start", "started", "notStarted", "unknown", "stop", "expire", "found", "ended", "lost",
 			"checkpoint", "checkpointed", "throttle", "renew", "stopped", "retry", "acknowledge"},
 		Guards: map[string]func(*attempt) bool{
-			"leased":   func(h *attempt) bool { return h.core.lease.Valid(h.core.now, h.spec.LongRunning) },
-			"unwanted": func(h *attempt) bool { return h.unwanted },
-			"listed":   func(h *attempt) bool { return h.listed },
+			"leased":        func(a *attempt) bool { return a.core.lease.Valid(a.core.now, a.spec.LongRunning) },
+			"stopRequested": func(a *attempt) bool { return a.stopRequested },
+			"listed":        func(a *attempt) bool { return a.listed },
 		},
 		Actions: attemptActions(),
 		Delays:  map[string]time.Duration{"stopRetry": stopRetry, "reportRetry": reportRetry, "keepFor": keepFor},
@@ -101,78 +101,80 @@
 
 func attemptActions() map[string]func(*attempt) {
 	stopped := func(reason string) func(*attempt) {
-		return func(h *attempt) { h.report.state, h.report.reason = model.TaskStopped, reason }
+		return func(a *attempt) { a.report.state, a.report.reason = model.TaskStopped, reason }
 	}
 	return map[string]func(*attempt){
 		"callStart":      (*attempt).callStart,
 		"callStop":       (*attempt).callStop,
 		"callRenew":      (*attempt).callRenew,
 		"callCheckpoint": (*attempt).callCheckpoint,
-		"callThrottle":   func(h *attempt) { h.core.emit(CallThrottle{h.id, h.percent}) },
-		"report":         func(h *attempt) { h.core.sendReport(h) },
-		"refuse":         stopped("no valid lease when the start command arrived"),
-		"bar":            stopped("stopped before it started"),
-		"lapse":          stopped("lease expired"),
-		"lose":           stopped("lost by the worker"),
-		"fail":           (*attempt).fail,
+		"callThrottle":   func(a *attempt) { a.core.emit(CallThrottle{a.id, a.cpuLimitPercent}) },
+		"report":         func(a *attempt) { a.core.sendReport(a) },
+		"recordRefused":  stopped("no valid lease when the start command arrived"),
+		"recordStopped":  stopped("stopped before it started"),
+		"recordExpired":  stopped("lease expired"),
+		"recordLost":     stopped("lost by the worker"),
+		"recordFailed":   (*attempt).recordFailed,
 		"adopt":          (*attempt).adopt,
-		"record":         func(*attempt) {}, // the owner stored the worker's record before the event
-		"unwant":         func(h *attempt) { h.unwanted = true },
+		"record":         func(*attempt) {}, // recordStatus and recordEnd are called before the event
+		"requestStop":    func(a *attempt) { a.stopRequested = true },
 	}
 }
 
-func (h *attempt) callStart() {
-	h.report.state = model.TaskRunning
-	h.core.emit(CallStart{
+func (a *attempt) callStart() {
+	a.report.state = model.TaskRunning
+	a.core.emit(CallStart{
 		Request: StartRequest{
-			Attempt: h.id, Resources: h.spec.Resources, Program: h.spec.Program, Checkpoint: h.resume,
-			ResultName: ResultName(h.id), CheckpointPrefix: CheckpointPrefix(h.id),
+			Attempt: a.id, Resources: a.spec.Resources, Program: a.spec.Program, Checkpoint: a.resumeFrom,
+			ResultName: ResultName(a.id), CheckpointPrefix: CheckpointPrefix(a.id),
 		},
-		Until: h.core.lease.Until(h.spec.LongRunning),
+		Until: a.core.lease.Until(a.spec.LongRunning),
 	})
 }
 
-func (h *attempt) callStop() {
-	if h.report.state == model.TaskRunning {
-		h.report.state, h.report.reason = model.TaskStopped, "stopped by command"
+func (a *attempt) callStop() {
+	if a.report.state == model.TaskRunning {
+		a.report.state, a.report.reason = model.TaskStopped, "stopped by command"
 	}
-	h.core.emit(CallStop{h.id})
+	a.core.emit(CallStop{a.id})
 }
 
-func (h *attempt) callRenew() {
-	if h.renewing {
-		return // the worker is slow; the next round sends a newer lease
+func (a *attempt) callRenew() {
+	if a.renewInFlight {
+		return // the worker is slow; the next renewal sends a newer lease
 	}
-	h.renewing = true
-	h.core.emit(CallRenew{h.id, h.core.lease.Until(h.spec.LongRunning)})
+	a.renewInFlight = true
+	a.core.emit(CallRenew{a.id, a.core.lease.Until(a.spec.LongRunning)})
 }
 
-func (h *attempt) callCheckpoint() {
-	if !h.checkpoint {
-		h.checkpoint = true
-		h.core.emit(CallCheckpoint{h.id})
+func (a *attempt) callCheckpoint() {
+	if !a.checkpointInFlight {
+		a.checkpointInFlight = true
+		a.core.emit(CallCheckpoint{a.id})
 	}
 }
 
-// fail blames the task unless the start call came too late for the lease.
-func (h *attempt) fail() {
-	h.report.state = model.TaskFailed
-	if !h.core.lease.Valid(h.core.now, h.spec.LongRunning) {
-		h.report.state = model.TaskStopped
+// recordFailed records that the start call failed. When the lease has ended the
+// attempt counts as stopped, because the failure is not that of the task.
+func (a *attempt) recordFailed() {
+	a.report.state = model.TaskFailed
+	if !a.core.lease.Valid(a.core.now, a.spec.LongRunning) {
+		a.report.state = model.TaskStopped
 	}
 }
 
-func (h *attempt) adopt() {
-	h.adopted, h.adoptedAt = true, h.core.now
-	h.report.state = model.TaskRunning
+func (a *attempt) adopt() {
+	a.adopted, a.adoptedAt = true, a.core.now
+	a.report.state = model.TaskRunning
 }
 
-// expiresAt is when the attempt has to be stopped for lack of a lease. An
-// adopted attempt runs on the worker's own lease until the controller renews.
-func (h *attempt) expiresAt(c *Core) time.Duration {
-	at := max(c.lease.Until(h.spec.LongRunning), c.confirmBy)
-	if h.adopted {
-		at = max(at, h.adoptedAt+workerTTL)
+// expiresAt returns when the attempt has to be stopped for lack of a lease. An
+// adopted attempt may run for the length of the worker's own lease until the
+// controller renews.
+func (a *attempt) expiresAt(c *Core) time.Duration {
+	at := max(c.lease.Until(a.spec.LongRunning), c.confirmBy)
+	if a.adopted {
+		at = max(at, a.adoptedAt+workerTTL)
 	}
 	return at
 }
--- a/internal/taskagent/commands.go
+++ b/internal/taskagent/commands.go
@@ -11,141 +11,145 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-func (c *Core) receive(from model.EntryID, m msg.Control) {
+func (c *Core) onMessage(from model.EntryID, m msg.Control) {
 	switch m := m.(type) {
 	case *msg.CellClaim:
-		if c.admit(from, m.Command) {
+		if c.checkEpoch(from, m.Command) {
 			c.sendInventory(from)
 		}
 	case *msg.LeaseRenew:
-		if c.admit(from, m.Command) && c.lease.Receive(c.now, m.Sequence, m.TTL, m.LongRunningTTL) {
+		if c.checkEpoch(from, m.Command) && c.lease.Receive(c.now, m.Sequence, m.TTL, m.LongRunningTTL) {
 			c.send(&msg.LeaseAck{Cell: c.cell, Epoch: c.epoch, Sequence: m.Sequence})
 			c.renewAdopted()
 		}
 	case *msg.StartTask:
-		if c.admit(from, m.Command) {
+		if c.checkEpoch(from, m.Command) {
 			c.onStart(m)
 		}
 	case *msg.StopTask:
-		c.command(from, m.Command, m.Attempt, evStop)
+		c.onCommand(from, m.Command, m.Attempt, evStop)
 	case *msg.CheckpointTask:
-		c.command(from, m.Command, m.Attempt, evCheckpoint)
+		c.onCommand(from, m.Command, m.Attempt, evCheckpoint)
 	case *msg.ThrottleTask:
-		if h := c.attempts[m.Attempt]; h != nil {
+		if a := c.attempts[m.Attempt]; a != nil {
 			if m.Cell == c.cell && m.Epoch >= c.epoch {
-				h.percent = m.Percent
+				a.cpuLimitPercent = m.Percent
 			}
-			c.command(from, m.Command, m.Attempt, evThrottle)
+			c.onCommand(from, m.Command, m.Attempt, evThrottle)
 		}
 	case *msg.TaskAck:
-		if h := c.attempts[m.Attempt]; h != nil && c.admit(from, m.Command) {
-			c.step(h, evAcknowledge)
+		if a := c.attempts[m.Attempt]; a != nil && c.checkEpoch(from, m.Command) {
+			c.stepAttempt(a, evAcknowledge)
 		}
 	}
 }
 
-// admit reports whether a command comes from the current owner of the cell,
-// and adopts the sender if its epoch is higher than all before.
-func (c *Core) admit(from model.EntryID, cmd msg.Command) bool {
+// checkEpoch reports whether a command comes from the current controller of
+// the cell. A sender with a higher epoch than all before becomes the
+// controller.
+func (c *Core) checkEpoch(from model.EntryID, cmd msg.Command) bool {
 	switch {
 	case cmd.Cell != c.cell || cmd.Epoch < c.epoch:
 		c.emit(Log{event.TaskStaleCommand, map[string]any{"entry": from, "epoch": uint64(cmd.Epoch), "known": uint64(c.epoch)}})
 		return false
 	case cmd.Epoch > c.epoch:
-		c.epoch, c.owner = cmd.Epoch, from
+		c.epoch, c.controller = cmd.Epoch, from
 		c.lease.NewGranter()
 		c.emit(Log{event.TaskEpochAdopted, map[string]any{"entry": from, "epoch": uint64(cmd.Epoch)}})
 	}
 	return true
 }
 
-// attempt returns the record of an attempt, which it creates if there is room.
-func (c *Core) attempt(id model.AttemptID) *attempt {
-	h := c.attempts[id]
-	if h == nil && len(c.attempts) < maxAttempts {
-		h = &attempt{id: id, state: c.machine.Initial(), spec: model.JobSpec{ID: id.Job}}
-		c.attempts[id] = h
+// findOrCreate returns the record of an attempt. It returns nil when there is
+// none and maxAttempts records exist.
+func (c *Core) findOrCreate(id model.AttemptID) *attempt {
+	a := c.attempts[id]
+	if a == nil && len(c.attempts) < maxAttempts {
+		a = &attempt{id: id, state: c.machine.Initial(), spec: model.JobSpec{ID: id.Job}}
+		c.attempts[id] = a
 	}
-	return h
+	return a
 }
 
 func (c *Core) onStart(m *msg.StartTask) {
-	// Until the first list, a task of this attempt may run that was started
-	// before the agent was restarted. The controller repeats the command.
-	if !c.adopted {
+	// Before the first list it is not known whether the task already runs: it
+	// may have been started before the agent was restarted. The controller
+	// repeats the command.
+	if !c.listReceived {
 		return
 	}
-	h := c.attempt(m.Attempt)
-	if h == nil {
+	a := c.findOrCreate(m.Attempt)
+	if a == nil {
 		return
 	}
-	if h.state == stAbsent {
-		h.resume = m.Checkpoint
+	if a.state == stAbsent {
+		a.resumeFrom = m.Checkpoint
 	}
-	h.spec = m.Spec
-	c.step(h, evStart)
+	a.spec = m.Spec
+	c.stepAttempt(a, evStart)
 }
 
-func (c *Core) command(from model.EntryID, cmd msg.Command, id model.AttemptID, e chart.Event) {
-	if !c.admit(from, cmd) {
+func (c *Core) onCommand(from model.EntryID, cmd msg.Command, id model.AttemptID, e chart.Event) {
+	if !c.checkEpoch(from, cmd) {
 		return
 	}
-	h := c.attempts[id]
-	if h == nil && e == evStop && c.adopted {
-		h = c.attempt(id)
+	a := c.attempts[id]
+	if a == nil && e == evStop && c.listReceived {
+		a = c.findOrCreate(id)
 	}
-	if h != nil {
-		c.step(h, e)
+	if a != nil {
+		c.stepAttempt(a, e)
 	}
 }
 
-// renewAdopted renews at once what runs on the worker's lease alone.
+// renewAdopted renews the worker's leases of adopted attempts without waiting
+// for the next renewal, because these may end soon.
 func (c *Core) renewAdopted() {
-	for _, h := range c.sorted() {
-		if h.adopted && c.lease.Valid(c.now, h.spec.LongRunning) {
-			h.adopted = false
-			c.step(h, evRenew)
+	for _, a := range c.sortedAttempts() {
+		if a.adopted && c.lease.Valid(c.now, a.spec.LongRunning) {
+			a.adopted = false
+			c.stepAttempt(a, evRenew)
 		}
 	}
 }
 
 func (c *Core) inventory() *msg.Inventory {
 	inv := &msg.Inventory{Cell: c.cell, Epoch: c.epoch}
-	for _, h := range c.sorted() {
-		inv.Attempts = append(inv.Attempts, c.taskReport(h))
+	for _, a := range c.sortedAttempts() {
+		inv.Attempts = append(inv.Attempts, c.taskReport(a))
 	}
 	return inv
 }
 
-func (c *Core) taskReport(h *attempt) msg.TaskReport {
+func (c *Core) taskReport(a *attempt) msg.TaskReport {
 	r := msg.TaskReport{
-		Attempt: h.id, Epoch: c.epoch, State: h.report.state, Checkpoint: h.report.checkpoint,
-		Reason: h.report.reason, Usage: h.report.usage, RanFor: h.report.ranFor,
+		Attempt: a.id, Epoch: c.epoch, State: a.report.state, Checkpoint: a.report.checkpoint,
+		Reason: a.report.reason, Usage: a.report.usage, RanFor: a.report.ranFor,
 	}
-	if h.state == stStarting || h.state == stRunning || h.state == stStopping {
-		r.State = model.TaskRunning // until the worker confirmed the end
+	if a.state == stStarting || a.state == stRunning || a.state == stStopping {
+		r.State = model.TaskRunning // until the worker has confirmed the end
 	}
 	if r.State == model.TaskDone {
-		r.Result = h.report.result
+		r.Result = a.report.result
 	}
-	if h.report.usageAt > 0 {
-		r.Usage.Age += c.now - h.report.usageAt
+	if a.report.usageReceivedAt > 0 {
+		r.Usage.Age += c.now - a.report.usageReceivedAt
 	}
 	return r
 }
 
-func (c *Core) sendReport(h *attempt) {
-	r := c.taskReport(h)
+func (c *Core) sendReport(a *attempt) {
+	r := c.taskReport(a)
 	c.send(&r)
 }
 
 func (c *Core) reportUsage() {
 	u := &msg.UsageReport{Worker: c.worker.ID, Capacity: c.worker.Capacity}
-	for _, h := range c.sorted() {
-		if h.state != stRunning || h.report.usageAt == 0 {
+	for _, a := range c.sortedAttempts() {
+		if a.state != stRunning || a.report.usageReceivedAt == 0 {
 			continue
 		}
-		r := c.taskReport(h)
+		r := c.taskReport(a)
 		u.Tasks = append(u.Tasks, r)
 		u.Used = u.Used.Add(r.Usage.Resources)
 		u.Age = max(u.Age, r.Usage.Age)
@@ -153,63 +157,63 @@
 	c.send(u)
 }
 
-func (c *Core) onAnswer(a CallResult) {
-	h := c.attempts[a.Attempt]
-	if h == nil {
+func (c *Core) onCallResult(r CallResult) {
+	a := c.attempts[r.Attempt]
+	if a == nil {
 		return
 	}
-	if a.Err != nil && !a.over() {
-		c.emit(Log{event.TaskWorkerError, map[string]any{"call": a.Call.String(), "attempt": a.Attempt.String(), "error": a.Err.Error()}})
+	if r.Err != nil && !r.taskEnded() {
+		c.emit(Log{event.TaskWorkerError, map[string]any{"call": r.Call.String(), "attempt": r.Attempt.String(), "error": r.Err.Error()}})
 	}
-	switch a.Call {
+	switch r.Call {
 	case StartCall:
-		c.onStarted(h, a)
+		c.onStartResult(a, r)
 	case RenewCall:
-		h.renewing = false
+		a.renewInFlight = false
 	case CheckpointCall:
-		h.checkpoint = false
-		if a.Err == nil && a.Checkpoint != "" {
-			h.report.checkpoint = a.Checkpoint
-			c.step(h, evCheckpointed)
+		a.checkpointInFlight = false
+		if r.Err == nil && r.Checkpoint != "" {
+			a.report.checkpoint = r.Checkpoint
+			c.stepAttempt(a, evCheckpointed)
 		}
 	case StopCall:
-		if a.Err == nil || a.NoTask {
-			c.step(h, evStopped)
+		if r.Err == nil || r.NoTask {
+			c.stepAttempt(a, evStopped)
 		}
 	}
 }
 
-func (c *Core) onStarted(h *attempt, a CallResult) {
+func (c *Core) onStartResult(a *attempt, r CallResult) {
 	switch {
-	case a.Err == nil:
-		c.step(h, evStarted)
-	case a.Refused:
-		h.report.reason = a.Err.Error()
-		c.step(h, evNotStarted)
+	case r.Err == nil:
+		c.stepAttempt(a, evStarted)
+	case r.Refused:
+		a.report.reason = r.Err.Error()
+		c.stepAttempt(a, evNotStarted)
 	default:
-		h.report.reason = a.Err.Error()
-		c.step(h, evUnknown)
+		a.report.reason = r.Err.Error()
+		c.stepAttempt(a, evUnknown)
 	}
 }
 
-// onListed compares the worker's tasks with the attempts known here.
-func (c *Core) onListed(e ListResult) {
-	c.listing = false
+// onListResult compares the worker's tasks with the agent's attempts.
+func (c *Core) onListResult(e ListResult) {
+	c.listInFlight = false
 	if e.Err != nil {
 		c.emit(Log{event.TaskWorkerError, map[string]any{"call": "list", "error": e.Err.Error()}})
 		return
 	}
-	for _, h := range c.attempts {
-		h.listed = false
+	for _, a := range c.attempts {
+		a.listed = false
 	}
-	first := !c.adopted
-	c.adopted = true
+	first := !c.listReceived
+	c.listReceived = true
 	for _, t := range e.Tasks {
-		c.onTask(t)
+		c.onListedTask(t)
 	}
-	for _, h := range c.sorted() {
-		if h.state == stRunning && !h.listed && h.changedAt < c.listFrom {
-			c.step(h, evLost)
+	for _, a := range c.sortedAttempts() {
+		if a.state == stRunning && !a.listed && a.stateChangedAt < c.listSentAt {
+			c.stepAttempt(a, evLost)
 		}
 	}
 	if first {
@@ -219,42 +223,43 @@
 	}
 }
 
-func (c *Core) onTask(t Task) {
+func (c *Core) onListedTask(t Task) {
 	known := c.attempts[t.Attempt] != nil
-	h := c.attempt(t.Attempt)
-	if h == nil {
+	a := c.findOrCreate(t.Attempt)
+	if a == nil {
 		return
 	}
-	h.listed = true
+	a.listed = true
 	if t.State == model.TaskRunning {
-		h.record(c.now, t)
+		a.recordStatus(c.now, t)
 		if !known {
 			c.emit(Log{event.TaskAdopted, map[string]any{"attempt": t.Attempt.String()}})
 		}
-		// A list that is older than the end of the attempt proves nothing.
-		if !known || h.changedAt < c.listFrom {
-			c.step(h, evFound)
+		// A list that was requested before the attempt ended may still
+		// contain it.
+		if !known || a.stateChangedAt < c.listSentAt {
+			c.stepAttempt(a, evFound)
 		}
 		return
 	}
-	if h.state == stAbsent || h.state == stRunning || h.state == stStopping {
-		h.record(c.now, t)
-		h.finish(t)
-		c.step(h, evEnded)
+	if a.state == stAbsent || a.state == stRunning || a.state == stStopping {
+		a.recordStatus(c.now, t)
+		a.recordEnd(t)
+		c.stepAttempt(a, evEnded)
 	}
 }
 
-func (h *attempt) record(now time.Duration, t Task) {
-	h.report.usage, h.report.usageAt, h.report.ranFor = t.Usage, now, t.RanFor
+func (a *attempt) recordStatus(now time.Duration, t Task) {
+	a.report.usage, a.report.usageReceivedAt, a.report.ranFor = t.Usage, now, t.RanFor
 	if t.Checkpoint != "" {
-		h.report.checkpoint = t.Checkpoint
+		a.report.checkpoint = t.Checkpoint
 	}
 }
 
-func (h *attempt) finish(t Task) {
+func (a *attempt) recordEnd(t Task) {
 	// A task that its worker ended by command keeps the reason of the command.
-	if t.State == model.TaskStopped && h.report.state == model.TaskStopped {
+	if t.State == model.TaskStopped && a.report.state == model.TaskStopped {
 		return
 	}
-	h.report.state, h.report.result, h.report.reason = t.State, t.Result, t.Reason
+	a.report.state, a.report.result, a.report.reason = t.State, t.Result, t.Reason
 }
--- a/internal/taskagent/core.go
+++ b/internal/taskagent/core.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	workerTTL   = lease.WorkerTTL
-	renewEvery  = lease.RenewInterval
-	listEvery   = time.Second      // bounds how late the end of a task is noticed
-	usageEvery  = 10 * time.Second // the platform's usage lags by at least that much
-	maxAttempts = 65536            // attempts remembered, kept ones included
+	workerTTL     = lease.WorkerTTL
+	renewInterval = lease.RenewInterval
+	listInterval  = time.Second      // the end of a task is noticed after at most this time
+	usageInterval = 10 * time.Second // reported usage is at least this old, so shorter intervals add nothing
+	maxAttempts   = 65536            // including ended attempts whose records are kept
 )
 
-// Core decides for the task attempts of one host. It is stepped with events
-// and returns effects; it does no input or output and has no goroutine.
+// Core makes the decisions for the task attempts of one host. Step takes an
+// event and returns effects. Core does no input or output, starts no
+// goroutine and is used by one goroutine only.
 type Core struct {
-	worker   model.Worker
-	cell     model.Cell
-	now      time.Duration
-	epoch    model.Epoch
-	owner    model.EntryID // whose commands carried the epoch
-	lease    lease.Holder
-	attempts map[model.AttemptID]*attempt
-	links    map[model.EntryID]bool
-	machine  *chart.Machine[attempt]
-	effects  []Effect
-
-	// confirmBy is set after a pause: until then tasks wait for a renewal that
-	// confirms the lease before they are stopped.
-	confirmBy time.Duration
-	listing   bool // a list call is under way
-	adopted   bool // the first list of this incarnation has arrived
-	listAt    time.Duration
-	renewAt   time.Duration
-	usageAt   time.Duration
-	listFrom  time.Duration // when the list call under way was made
+	worker     model.Worker
+	cell       model.Cell
+	now        time.Duration
+	epoch      model.Epoch
+	controller model.EntryID // entry whose command carried the current epoch
+	lease      lease.Holder
+	attempts   map[model.AttemptID]*attempt
+	links      map[model.EntryID]bool
+	machine    *chart.Machine[attempt]
+	effects    []Effect
+
+	// confirmBy is set after a pause: attempts are not stopped for lack of a
+	// lease before this time, so that a renewal can confirm the lease.
+	confirmBy    time.Duration
+	listInFlight bool
+	listReceived bool // since the start of the agent
+	nextListAt   time.Duration
+	nextRenewAt  time.Duration
+	nextUsageAt  time.Duration
+	listSentAt   time.Duration // when the most recent list call was made
 }
 
 // NewCore returns the core of the agent of a worker in a cell.
@@ -52,14 +53,15 @@
 	}
 }
 
-// Step handles an event at now, after every timer that was due. The effects
-// are to be carried out in order and are valid until the next step.
+// Step runs the timers that are due at now and then handles the event. The
+// caller carries out the effects in order; the slice is valid until the next
+// call.
 func (c *Core) Step(now time.Duration, e Event) []Effect {
 	c.now, c.effects = now, nil
 	if _, paused := e.(Paused); paused {
 		c.onPaused()
 	}
-	c.timers()
+	c.runTimers()
 	switch e := e.(type) {
 	case LinkUp:
 		c.links[e.Entry] = true
@@ -67,24 +69,24 @@
 	case LinkDown:
 		delete(c.links, e.Entry)
 	case Received:
-		c.receive(e.Entry, e.Msg)
+		c.onMessage(e.Entry, e.Msg)
 	case CallResult:
-		c.onAnswer(e)
+		c.onCallResult(e)
 	case ListResult:
-		c.onListed(e)
+		c.onListResult(e)
 	}
 	return c.effects
 }
 
 // NextTick returns when the next timer is due.
 func (c *Core) NextTick() time.Duration {
-	next := min(c.listAt, c.renewAt, c.usageAt)
-	for _, h := range c.attempts {
-		if h.deadline > 0 {
-			next = min(next, h.deadline)
+	next := min(c.nextListAt, c.nextRenewAt, c.nextUsageAt)
+	for _, a := range c.attempts {
+		if a.deadline > 0 {
+			next = min(next, a.deadline)
 		}
-		if h.state == stRunning {
-			next = min(next, h.expiresAt(c))
+		if a.state == stRunning {
+			next = min(next, a.expiresAt(c))
 		}
 	}
 	return next
@@ -92,34 +94,35 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// step feeds an event to the chart of an attempt and arms its timeout.
-func (c *Core) step(h *attempt, e chart.Event) bool {
-	h.core = c
-	before := h.state
-	if !c.machine.Step(h, &h.state, e) {
+// stepAttempt applies an event to the chart of an attempt and sets the deadline
+// of its new state. It reports whether the chart has a transition for it.
+func (c *Core) stepAttempt(a *attempt, e chart.Event) bool {
+	a.core = c
+	before := a.state
+	if !c.machine.Step(a, &a.state, e) {
 		return false
 	}
-	if h.state != before {
-		h.changedAt = c.now
+	if a.state != before {
+		a.stateChangedAt = c.now
 	}
-	if h.state != before || e == evRetry {
-		h.deadline = 0
-		if d, _, ok := c.machine.Timeout(h.state); ok {
-			h.deadline = c.now + d
+	if a.state != before || e == evRetry {
+		a.deadline = 0
+		if d, _, ok := c.machine.Timeout(a.state); ok {
+			a.deadline = c.now + d
 		}
 	}
-	if c.machine.Final(h.state) {
-		delete(c.attempts, h.id)
+	if c.machine.Final(a.state) {
+		delete(c.attempts, a.id)
 	}
 	return true
 }
 
-// sorted returns the attempts in a fixed order, so that effects are
-// reproducible.
-func (c *Core) sorted() []*attempt {
+// sortedAttempts returns the attempts by job and number, so that the order of
+// effects is reproducible.
+func (c *Core) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(c.attempts))
-	for _, h := range c.attempts {
-		list = append(list, h)
+	for _, a := range c.attempts {
+		list = append(list, a)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i].id, list[j].id
@@ -128,42 +131,42 @@
 	return list
 }
 
-func (c *Core) timers() {
+func (c *Core) runTimers() {
 	c.expireLeases()
-	for _, h := range c.sorted() {
-		if h.deadline > 0 && h.deadline <= c.now {
-			c.step(h, evRetry)
+	for _, a := range c.sortedAttempts() {
+		if a.deadline > 0 && a.deadline <= c.now {
+			c.stepAttempt(a, evRetry)
 		}
 	}
-	if c.renewAt <= c.now {
-		c.renewAt = c.now + renewEvery
-		for _, h := range c.sorted() {
-			c.step(h, evRenew)
+	if c.nextRenewAt <= c.now {
+		c.nextRenewAt = c.now + renewInterval
+		for _, a := range c.sortedAttempts() {
+			c.stepAttempt(a, evRenew)
 		}
 	}
-	if c.listAt <= c.now {
-		c.listAt = c.now + listEvery
-		c.list()
+	if c.nextListAt <= c.now {
+		c.nextListAt = c.now + listInterval
+		c.listTasks()
 	}
-	if c.usageAt <= c.now {
-		c.usageAt = c.now + usageEvery
+	if c.nextUsageAt <= c.now {
+		c.nextUsageAt = c.now + usageInterval
 		c.reportUsage()
 	}
 }
 
-func (c *Core) list() {
-	if c.listing || c.adopted && len(c.attempts) == 0 {
+func (c *Core) listTasks() {
+	if c.listInFlight || c.listReceived && len(c.attempts) == 0 {
 		return
 	}
-	c.listing, c.listFrom = true, c.now
+	c.listInFlight, c.listSentAt = true, c.now
 	c.emit(CallList{})
 }
 
 func (c *Core) expireLeases() {
 	expired := 0
-	for _, h := range c.sorted() {
-		if h.state == stRunning && h.expiresAt(c) <= c.now {
-			c.step(h, evExpire)
+	for _, a := range c.sortedAttempts() {
+		if a.state == stRunning && a.expiresAt(c) <= c.now {
+			c.stepAttempt(a, evExpire)
 			expired++
 		}
 	}
@@ -172,9 +175,10 @@
 	}
 }
 
-// onPaused makes the lease count as expired: nothing is started and no
-// worker's lease is renewed until the controller confirms it. An unconfirmed
-// attempt is stopped after the worker's own lease has ended anyway.
+// onPaused treats the lease as expired, because it may have ended during the
+// pause: no attempt is started and no worker's lease is renewed until the
+// controller confirms the lease. Without a confirmation the attempts are
+// stopped after workerTTL, when the worker's own leases have ended anyway.
 func (c *Core) onPaused() {
 	if len(c.attempts) > 0 {
 		c.emit(Log{event.TaskAgentPaused, map[string]any{"attempts": len(c.attempts)}})
@@ -183,20 +187,22 @@
 		c.confirmBy = c.now + workerTTL
 	}
 	c.lease.Invalidate()
-	c.sendInventory(c.owner)
+	c.sendInventory(c.controller)
 }
 
-// sendInventory lists the attempts to an entry. Before the worker's first list
-// the inventory is not known, and an empty one would be taken for a loss.
+// sendInventory sends the list of attempts to an entry. It sends nothing
+// before the first list of the worker: the controller would read an empty
+// inventory as the loss of all attempts.
 func (c *Core) sendInventory(to model.EntryID) {
-	if c.adopted && c.links[to] {
+	if c.listReceived && c.links[to] {
 		c.emit(Send{to, c.inventory()})
 	}
 }
 
-// send addresses the owner of the cell, if there is a link to it.
+// send sends a message to the controller of the cell. It is dropped when there
+// is no link to it.
 func (c *Core) send(m msg.Control) {
-	if c.links[c.owner] {
-		c.emit(Send{c.owner, m})
+	if c.links[c.controller] {
+		c.emit(Send{c.controller, m})
 	}
 }
--- a/internal/taskagent/core_test.go
+++ b/internal/taskagent/core_test.go
@@ -12,8 +12,9 @@
 	"github.com/bambooscale/bambooscale/internal/policy/lease"
 )
 
-// script steps a Core by hand and keeps the effects of the last step.
-type script struct {
+// coreTest steps a Core with a simulated clock and keeps the effects of the
+// last call.
+type coreTest struct {
 	*testing.T
 	core    *Core
 	now     time.Duration
@@ -21,50 +22,53 @@
 	seq     uint64
 }
 
-func newScript(t *testing.T) *script {
-	s := &script{T: t, core: NewCore(model.Worker{ID: "w1"}, "c1")}
-	s.do(LinkUp{"a"})
-	s.do(LinkUp{"b"})
-	s.do(ListResult{})
-	return s
+func newCoreTest(t *testing.T) *coreTest {
+	ct := &coreTest{T: t, core: NewCore(model.Worker{ID: "w1"}, "c1")}
+	ct.step(LinkUp{"a"})
+	ct.step(LinkUp{"b"})
+	ct.step(ListResult{})
+	return ct
 }
 
-func (s *script) do(e Event) *script { s.effects = s.core.Step(s.now, e); return s }
+func (ct *coreTest) step(e Event) *coreTest { ct.effects = ct.core.Step(ct.now, e); return ct }
 
-// wait runs the timers for d.
-func (s *script) wait(d time.Duration) *script {
+// advance moves the clock by d and runs the timers that become due.
+func (ct *coreTest) advance(d time.Duration) *coreTest {
 	var all []Effect
-	for end := s.now + d; s.now < end; {
-		s.now = min(end, max(s.core.NextTick(), s.now+time.Millisecond))
-		s.do(Tick{})
-		all = append(all, s.effects...)
+	for end := ct.now + d; ct.now < end; {
+		ct.now = min(end, max(ct.core.NextTick(), ct.now+time.Millisecond))
+		ct.step(Tick{})
+		all = append(all, ct.effects...)
 	}
-	s.effects = all
-	return s
+	ct.effects = all
+	return ct
 }
 
-func (s *script) from(entry model.EntryID, m msg.Control) *script { return s.do(Received{entry, m}) }
+func (ct *coreTest) receive(entry model.EntryID, m msg.Control) *coreTest {
+	return ct.step(Received{entry, m})
+}
 
-func cmd(epoch model.Epoch) msg.Command { return msg.Command{Cell: "c1", Epoch: epoch} }
+func command(epoch model.Epoch) msg.Command { return msg.Command{Cell: "c1", Epoch: epoch} }
 
-// renew gives the agent a valid lease: the second renewal counts from the first.
-func (s *script) renew(entry model.EntryID, epoch model.Epoch) *script {
+// renew gives the agent a valid lease. It takes two renewals: the lease of the
+// second one counts from the receipt of the first.
+func (ct *coreTest) renew(entry model.EntryID, epoch model.Epoch) *coreTest {
 	for range 2 {
-		s.seq++
-		s.from(entry, &msg.LeaseRenew{Command: cmd(epoch), Sequence: s.seq, TTL: lease.TTL, LongRunningTTL: lease.TTL})
+		ct.seq++
+		ct.receive(entry, &msg.LeaseRenew{Command: command(epoch), Sequence: ct.seq, TTL: lease.TTL, LongRunningTTL: lease.TTL})
 	}
-	return s
+	return ct
 }
 
-var one = model.AttemptID{Job: "j", Number: 1}
+var attempt1 = model.AttemptID{Job: "j", Number: 1}
 
-func start(epoch model.Epoch) *msg.StartTask {
-	return &msg.StartTask{Command: cmd(epoch), Attempt: one, Spec: model.JobSpec{ID: "j"}, TTL: lease.TTL}
+func startCommand(epoch model.Epoch) *msg.StartTask {
+	return &msg.StartTask{Command: command(epoch), Attempt: attempt1, Spec: model.JobSpec{ID: "j"}, TTL: lease.TTL}
 }
 
-func effect[E Effect](s *script) (found E, n int) {
-	for _, f := range s.effects {
-		if e, ok := f.(E); ok {
+func lastEffect[E Effect](ct *coreTest) (found E, n int) {
+	for _, effect := range ct.effects {
+		if e, ok := effect.(E); ok {
 			found = e
 			n++
 		}
@@ -72,9 +76,9 @@
 	return found, n
 }
 
-func (s *script) reported() (last *msg.TaskReport) {
-	for _, f := range s.effects {
-		if send, ok := f.(Send); ok {
+func (ct *coreTest) lastReport() (last *msg.TaskReport) {
+	for _, effect := range ct.effects {
+		if send, ok := effect.(Send); ok {
 			if r, ok := send.Msg.(*msg.TaskReport); ok {
 				last = r
 			}
@@ -83,135 +87,140 @@
 	return last
 }
 
-func (s *script) running() *script {
-	s.renew("a", 1).from("a", start(1))
-	_, n := effect[CallStart](s)
-	require.Equal(s, 1, n)
-	return s.do(CallResult{Call: StartCall, Attempt: one})
+func (ct *coreTest) startAttempt() *coreTest {
+	ct.renew("a", 1).receive("a", startCommand(1))
+	_, n := lastEffect[CallStart](ct)
+	require.Equal(ct, 1, n)
+	return ct.step(CallResult{Call: StartCall, Attempt: attempt1})
 }
 
-// Guards against a start command that arrives after the stop of its attempt.
-func TestStopBeforeStart(t *testing.T) {
-	s := newScript(t).renew("a", 1)
-	s.from("a", &msg.StopTask{Command: cmd(1), Attempt: one})
-	require.Equal(t, model.TaskStopped, s.reported().State)
-	s.from("a", &msg.TaskAck{Command: cmd(1), Attempt: one}).from("a", start(1))
-	_, n := effect[CallStart](s)
+// Guards against an attempt that runs after it was stopped, because the start
+// command arrives after the stop command.
+func TestStartAfterStopHasNoEffect(t *testing.T) {
+	ct := newCoreTest(t).renew("a", 1)
+	ct.receive("a", &msg.StopTask{Command: command(1), Attempt: attempt1})
+	require.Equal(t, model.TaskStopped, ct.lastReport().State)
+	ct.receive("a", &msg.TaskAck{Command: command(1), Attempt: attempt1}).receive("a", startCommand(1))
+	_, n := lastEffect[CallStart](ct)
 	require.Zero(t, n)
-	require.Equal(t, model.TaskStopped, s.reported().State)
+	require.Equal(t, model.TaskStopped, ct.lastReport().State)
 }
 
-// Guards against a start without a lease that the granter counts on.
-func TestStartNeedsALease(t *testing.T) {
-	s := newScript(t).from("a", &msg.LeaseRenew{Command: cmd(1), Sequence: 7, TTL: lease.TTL})
-	s.from("a", start(1))
-	_, n := effect[CallStart](s)
+// Guards against a start without a valid lease: after the first renewal of a
+// controller the agent does not yet hold one.
+func TestStartWithoutLeaseIsRefused(t *testing.T) {
+	ct := newCoreTest(t).receive("a", &msg.LeaseRenew{Command: command(1), Sequence: 7, TTL: lease.TTL})
+	ct.receive("a", startCommand(1))
+	_, n := lastEffect[CallStart](ct)
 	require.Zero(t, n)
-	require.Equal(t, model.TaskStopped, s.reported().State)
+	require.Equal(t, model.TaskStopped, ct.lastReport().State)
 }
 
-// Guards against an older controller that still commands the agent.
-func TestOlderEpochIsRefused(t *testing.T) {
-	s := newScript(t).running()
-	s.from("b", &msg.CellClaim{Command: cmd(2)})
-	inv, ok := s.effects[len(s.effects)-1].(Send)
+// Guards against an agent that still accepts commands and renewals of the
+// earlier controller after another one has claimed the cell.
+func TestCommandOfLowerEpochIsRejected(t *testing.T) {
+	ct := newCoreTest(t).startAttempt()
+	ct.receive("b", &msg.CellClaim{Command: command(2)})
+	inv, ok := ct.effects[len(ct.effects)-1].(Send)
 	require.True(t, ok)
 	require.Equal(t, model.EntryID("b"), inv.Entry)
 	require.Len(t, inv.Msg.(*msg.Inventory).Attempts, 1)
-	s.from("a", &msg.StopTask{Command: cmd(1), Attempt: one})
-	_, n := effect[CallStop](s)
+	ct.receive("a", &msg.StopTask{Command: command(1), Attempt: attempt1})
+	_, n := lastEffect[CallStop](ct)
 	require.Zero(t, n)
-	s.wait(lease.TTL) // the renewals of the older owner are refused, too
-	s.renew("a", 1)
-	_, n = effect[CallStop](s)
+	ct.advance(lease.TTL) // the renewals of the older owner are refused, too
+	ct.renew("a", 1)
+	_, n = lastEffect[CallStop](ct)
 	require.Zero(t, n)
 }
 
-// Guards against tasks that outlive the agent's lease, and against worker
-// leases that end after it.
+// Guards against tasks that run after the agent's lease has ended, and against
+// worker leases that end later than the agent's.
 func TestLeaseExpiryStopsAttempts(t *testing.T) {
-	s := newScript(t).running()
-	until := s.core.lease.Until(false)
-	s.wait(lease.TTL - time.Second)
-	renewed, n := effect[CallRenew](s)
+	ct := newCoreTest(t).startAttempt()
+	until := ct.core.lease.Until(false)
+	ct.advance(lease.TTL - time.Second)
+	renewed, n := lastEffect[CallRenew](ct)
 	require.Equal(t, 1, n, "an unanswered renewal is not followed by another")
 	require.Equal(t, until, renewed.Until)
-	s.wait(time.Second)
-	_, n = effect[CallStop](s)
+	ct.advance(time.Second)
+	_, n = lastEffect[CallStop](ct)
 	require.Equal(t, 1, n)
-	s.do(CallResult{Call: StopCall, Attempt: one})
-	require.Equal(t, model.TaskStopped, s.reported().State)
-	require.Equal(t, "lease expired", s.reported().Reason)
+	ct.step(CallResult{Call: StopCall, Attempt: attempt1})
+	require.Equal(t, model.TaskStopped, ct.lastReport().State)
+	require.Equal(t, "lease expired", ct.lastReport().Reason)
 }
 
-// Guards against an agent that renews workers' leases after a pause on the
-// strength of a lease that may have ended, and against stopping every task
-// for a short pause.
+// Guards against an agent that renews worker leases after a pause although its
+// own lease may have ended meanwhile, and against one that stops every task
+// because of a short pause.
 func TestPauseSuspendsRenewalUntilConfirmed(t *testing.T) {
-	s := newScript(t).running()
-	s.now += 3 * time.Second
-	s.do(Paused{})
-	s.wait(lease.RenewInterval)
-	_, n := effect[CallRenew](s)
+	ct := newCoreTest(t).startAttempt()
+	ct.now += 3 * time.Second
+	ct.step(Paused{})
+	ct.advance(lease.RenewInterval)
+	_, n := lastEffect[CallRenew](ct)
 	require.Zero(t, n)
-	_, n = effect[CallStop](s)
+	_, n = lastEffect[CallStop](ct)
 	require.Zero(t, n)
-	s.renew("a", 1).wait(lease.RenewInterval)
-	_, n = effect[CallRenew](s)
+	ct.renew("a", 1).advance(lease.RenewInterval)
+	_, n = lastEffect[CallRenew](ct)
 	require.Equal(t, 1, n)
-	s.now += 3 * time.Second
-	s.do(Paused{})
-	s.wait(lease.WorkerTTL)
-	_, n = effect[CallStop](s)
+	ct.now += 3 * time.Second
+	ct.step(Paused{})
+	ct.advance(lease.WorkerTTL)
+	_, n = lastEffect[CallStop](ct)
 	require.Equal(t, 1, n, "not confirmed")
 }
 
-// Guards against a lost or a doubled final report.
+// Guards against a final report that is lost, or sent again after it was
+// acknowledged.
 func TestFinalReportIsRepeatedUntilAcknowledged(t *testing.T) {
-	s := newScript(t).running()
-	s.do(ListResult{Tasks: []Task{{Attempt: one, State: model.TaskDone, Result: "result/j/1"}}})
-	require.Equal(t, "result/j/1", s.reported().Result)
-	require.Equal(t, "result/j/1", s.wait(reportRetry).reported().Result)
-	s.from("a", &msg.TaskAck{Command: cmd(1), Attempt: one}).wait(keepFor - time.Second)
-	require.Nil(t, s.reported())
-}
-
-// Guards against a restarted agent that abandons running tasks, starts them
-// again or never renews their leases.
-func TestRestartedAgentAdopts(t *testing.T) {
-	s := &script{T: t, core: NewCore(model.Worker{ID: "w1"}, "c1")}
-	s.do(LinkUp{"a"}).from("a", &msg.CellClaim{Command: cmd(4)}).from("a", start(4))
-	_, n := effect[CallStart](s)
+	ct := newCoreTest(t).startAttempt()
+	ct.step(ListResult{Tasks: []Task{{Attempt: attempt1, State: model.TaskDone, Result: "result/j/1"}}})
+	require.Equal(t, "result/j/1", ct.lastReport().Result)
+	require.Equal(t, "result/j/1", ct.advance(reportRetry).lastReport().Result)
+	ct.receive("a", &msg.TaskAck{Command: command(1), Attempt: attempt1}).advance(keepFor - time.Second)
+	require.Nil(t, ct.lastReport())
+}
+
+// Guards against a restarted agent that ignores the tasks that run already,
+// starts them again or does not renew their leases.
+func TestRestartedAgentAdoptsRunningTasks(t *testing.T) {
+	ct := &coreTest{T: t, core: NewCore(model.Worker{ID: "w1"}, "c1")}
+	ct.step(LinkUp{"a"}).receive("a", &msg.CellClaim{Command: command(4)}).receive("a", startCommand(4))
+	_, n := lastEffect[CallStart](ct)
 	require.Zero(t, n, "the worker's tasks are not known yet")
-	s.do(ListResult{Tasks: []Task{{Attempt: one, State: model.TaskRunning}}})
-	require.Equal(t, model.TaskRunning, s.reported().State)
-	s.wait(2*time.Second).renew("a", 4)
-	_, n = effect[CallRenew](s)
+	ct.step(ListResult{Tasks: []Task{{Attempt: attempt1, State: model.TaskRunning}}})
+	require.Equal(t, model.TaskRunning, ct.lastReport().State)
+	ct.advance(2*time.Second).renew("a", 4)
+	_, n = lastEffect[CallRenew](ct)
 	require.Equal(t, 1, n)
 }
 
-// Guards against a task whose start call timed out and which runs nevertheless.
-func TestUnknownStartIsStopped(t *testing.T) {
-	s := newScript(t).renew("a", 1).from("a", start(1))
-	s.do(CallResult{Call: StartCall, Attempt: one, Err: errors.New("timeout")})
-	require.Nil(t, s.reported(), "the attempt may run")
-	_, n := effect[CallStop](s)
+// Guards against a task that goes on running although its attempt is reported
+// as failed: its start call timed out after the worker had started it.
+func TestStartWithUnknownOutcomeIsStopped(t *testing.T) {
+	ct := newCoreTest(t).renew("a", 1).receive("a", startCommand(1))
+	ct.step(CallResult{Call: StartCall, Attempt: attempt1, Err: errors.New("timeout")})
+	require.Nil(t, ct.lastReport(), "the attempt may run")
+	_, n := lastEffect[CallStop](ct)
 	require.Equal(t, 1, n)
-	s.wait(stopRetry)
-	_, n = effect[CallStop](s)
+	ct.advance(stopRetry)
+	_, n = lastEffect[CallStop](ct)
 	require.Equal(t, 1, n)
-	s.do(CallResult{Call: StopCall, Attempt: one, NoTask: true, Err: ErrNoTask})
-	require.Equal(t, model.TaskFailed, s.reported().State)
+	ct.step(CallResult{Call: StopCall, Attempt: attempt1, NoTask: true, Err: ErrNoTask})
+	require.Equal(t, model.TaskFailed, ct.lastReport().State)
 }
 
-// Guards against a warning for a call whose task had just ended, and against
-// silence when the worker fails.
-func TestEndedTaskIsNoWorkerError(t *testing.T) {
+// Guards against a logged error for a call whose task had just ended, and
+// against a failure of the worker that is not logged.
+func TestCallToEndedTaskIsNotLogged(t *testing.T) {
 	for _, call := range []Call{RenewCall, CheckpointCall, ThrottleCall} {
-		s := newScript(t).running()
-		_, n := effect[Log](s.do(CallResult{Call: call, Attempt: one, Err: ErrRefused, Refused: true}))
+		ct := newCoreTest(t).startAttempt()
+		_, n := lastEffect[Log](ct.step(CallResult{Call: call, Attempt: attempt1, Err: ErrRefused, Refused: true}))
 		require.Zero(t, n, call.String())
-		_, n = effect[Log](s.do(CallResult{Call: call, Attempt: one, Err: errors.New("timeout")}))
+		_, n = lastEffect[Log](ct.step(CallResult{Call: call, Attempt: attempt1, Err: errors.New("timeout")}))
 		require.Equal(t, 1, n, call.String())
 	}
 }
--- a/internal/taskagent/events.go
+++ b/internal/taskagent/events.go
@@ -13,52 +13,52 @@
 
 // Events of Core.
 type (
-	// Tick only runs the timers that are due.
+	// Tick runs the timers that are due.
 	Tick struct{}
 	// Paused reports that the process was paused.
 	Paused struct{}
-	// LinkUp reports a link to an entry.
+	// LinkUp reports that a link to an entry is up.
 	LinkUp struct{ Entry model.EntryID }
 	// LinkDown reports that the link to an entry is lost.
 	LinkDown struct{ Entry model.EntryID }
-	// Received is a message of an entry.
+	// Received is a message from an entry.
 	Received struct {
 		Entry model.EntryID
 		Msg   msg.Control
 	}
-	// CallResult is the result of a call to the worker. Each call but CallList is
-	// answered once.
+	// CallResult is the result of a call to the worker. Each call has exactly
+	// one; that of CallList is a ListResult.
 	CallResult struct {
 		Call       Call
 		Attempt    model.AttemptID
 		Checkpoint string
 		Err        error
-		Refused    bool // the call certainly had no effect
+		Refused    bool // the call had no effect
 		NoTask     bool // the worker does not know the task
 	}
-	// ListResult answers CallList.
+	// ListResult is the result of CallList.
 	ListResult struct {
 		Tasks []Task
 		Err   error
 	}
 )
 
-// over reports whether a call failed only because the task has ended at the
-// worker, which the next list shows.
-func (a CallResult) over() bool {
-	switch a.Call {
+// taskEnded reports whether a call failed because the task has ended at the
+// worker. Such a failure is not logged; the next list shows the end.
+func (r CallResult) taskEnded() bool {
+	switch r.Call {
 	case RenewCall, CheckpointCall, ThrottleCall:
-		return a.NoTask || a.Refused
+		return r.NoTask || r.Refused
 	case StopCall:
-		return a.NoTask
+		return r.NoTask
 	}
 	return false
 }
 
-// Call names a call to the worker.
+// Call is the kind of a call to the worker.
 type Call uint8
 
-// Calls to the worker.
+// Kinds of calls to the worker.
 const (
 	StartCall Call = iota
 	RenewCall
@@ -67,7 +67,7 @@
 	StopCall
 )
 
-// String returns the name of the call for logs.
+// String returns the name of the call as it is logged.
 func (c Call) String() string {
 	return [...]string{"start", "renew", "checkpoint", "throttle", "stop"}[c]
 }
@@ -75,8 +75,8 @@
 // Effect is an output of Core.
 type Effect interface{ isEffect() }
 
-// Effects of Core. Until is the end of the agent's lease, which the worker's
-// lease must not outlast; it is applied immediately before the call.
+// Effects of Core. Until is the end of the agent's lease. The worker's lease
+// must not end later, so its length is computed immediately before the call.
 type (
 	Send struct {
 		Entry model.EntryID
--- a/internal/taskagent/http.go
+++ b/internal/taskagent/http.go
@@ -16,10 +16,10 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// maxWorkerResponse bounds what is read of one response of the worker.
+// maxWorkerResponse bounds the bytes read of one response of the worker.
 const maxWorkerResponse = 8 << 20
 
-// HTTPWorkerClient is the Worker behind the HTTP interface of docs/design.md
+// HTTPWorkerClient is a WorkerClient for the HTTP interface of docs/design.md
 // section 7.
 type HTTPWorkerClient struct {
 	base   string
@@ -58,8 +58,8 @@
 	Checkpoint string `json:"checkpoint"`
 }
 
-// TaskEntry is one task of the list that GET /v1/tasks answers. Usage is
-// absent until the first measurement is old enough.
+// TaskEntry is one task of the response of GET /v1/tasks. Usage is absent while
+// the worker has no measurement that is old enough to be reported.
 type TaskEntry struct {
 	ID         string          `json:"id"`
 	State      model.TaskState `json:"state"`
@@ -70,7 +70,7 @@
 	RanMs      int64           `json:"ranMs"`
 }
 
-// TaskUsage is a measured consumption of AgeMs ago.
+// TaskUsage is the measured use of resources AgeMs ago.
 type TaskUsage struct {
 	model.Resources
 	AgeMs int64 `json:"ageMs"`
@@ -83,7 +83,7 @@
 	return model.Usage{Resources: u.Resources, Age: time.Duration(u.AgeMs) * time.Millisecond}
 }
 
-// Start implements Worker.
+// Start implements WorkerClient.
 func (w *HTTPWorkerClient) Start(ctx context.Context, r StartRequest) error {
 	return w.call(ctx, http.MethodPost, "/v1/tasks", StartBody{
 		ID: r.Attempt.String(), Resources: r.Resources, LeaseMs: r.Lease.Milliseconds(), Program: r.Program,
@@ -91,24 +91,24 @@
 	}, nil)
 }
 
-// Renew implements Worker.
+// Renew implements WorkerClient.
 func (w *HTTPWorkerClient) Renew(ctx context.Context, id model.AttemptID, d time.Duration) error {
 	return w.call(ctx, http.MethodPost, taskPath(id, "renew"), RenewBody{LeaseMs: d.Milliseconds()}, nil)
 }
 
-// Checkpoint implements Worker.
+// Checkpoint implements WorkerClient.
 func (w *HTTPWorkerClient) Checkpoint(ctx context.Context, id model.AttemptID) (string, error) {
 	var reply CheckpointReply
 	err := w.call(ctx, http.MethodPost, taskPath(id, "checkpoint"), struct{}{}, &reply)
 	return reply.Checkpoint, err
 }
 
-// Throttle implements Worker.
+// Throttle implements WorkerClient.
 func (w *HTTPWorkerClient) Throttle(ctx context.Context, id model.AttemptID, percent int) error {
 	return w.call(ctx, http.MethodPost, taskPath(id, "throttle"), ThrottleBody{Percent: percent}, nil)
 }
 
-// Stop implements Worker.
+// Stop implements WorkerClient.
 func (w *HTTPWorkerClient) Stop(ctx context.Context, id model.AttemptID) error {
 	err := w.call(ctx, http.MethodPost, taskPath(id, "stop"), struct{}{}, nil)
 	if errors.Is(err, ErrRefused) {
@@ -117,8 +117,8 @@
 	return err
 }
 
-// List implements Worker. Tasks whose id is not that of an attempt are not
-// ours and are left out.
+// List implements WorkerClient. Tasks whose ID is not an attempt ID were not
+// started by an agent and are ignored.
 func (w *HTTPWorkerClient) List(ctx context.Context) ([]Task, error) {
 	var list []TaskEntry
 	if err := w.call(ctx, http.MethodGet, "/v1/tasks", nil, &list); err != nil {
@@ -139,7 +139,7 @@
 	return tasks, nil
 }
 
-// Describe implements Worker.
+// Describe implements WorkerClient.
 func (w *HTTPWorkerClient) Describe(ctx context.Context) (model.Worker, error) {
 	var worker model.Worker
 	err := w.call(ctx, http.MethodGet, "/v1/worker", nil, &worker)
--- a/internal/taskagent/http_test.go
+++ b/internal/taskagent/http_test.go
@@ -12,9 +12,9 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Guards against requests that the worker's published interface does not
-// define, and against an error taken for a success.
-func TestHTTPWorkerSpeaksTheInterface(t *testing.T) {
+// Guards against requests that do not conform to the worker's HTTP interface,
+// and against error responses that are treated as success.
+func TestHTTPWorkerClientRequests(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/tasks", func(w http.ResponseWriter, r *http.Request) {
 		var b map[string]any
@@ -36,17 +36,17 @@
 	srv := httptest.NewServer(mux)
 	defer srv.Close()
 	w := NewHTTPWorkerClient(srv.URL, srv.Client())
-	require.NoError(t, w.Start(t.Context(), StartRequest{Attempt: one, Resources: model.Resources{CPU: 500},
-		Lease: 15 * time.Second, ResultName: ResultName(one)}))
-	require.ErrorIs(t, w.Start(t.Context(), StartRequest{Attempt: one}), ErrRefused)
-	name, err := w.Checkpoint(t.Context(), one)
+	require.NoError(t, w.Start(t.Context(), StartRequest{Attempt: attempt1, Resources: model.Resources{CPU: 500},
+		Lease: 15 * time.Second, ResultName: ResultName(attempt1)}))
+	require.ErrorIs(t, w.Start(t.Context(), StartRequest{Attempt: attempt1}), ErrRefused)
+	name, err := w.Checkpoint(t.Context(), attempt1)
 	require.NoError(t, err)
-	require.Equal(t, CheckpointPrefix(one)+"1", name)
-	require.ErrorIs(t, w.Stop(t.Context(), one), ErrNoTask)
+	require.Equal(t, CheckpointPrefix(attempt1)+"1", name)
+	require.ErrorIs(t, w.Stop(t.Context(), attempt1), ErrNoTask)
 	require.NoError(t, w.Stop(t.Context(), model.AttemptID{Job: "j", Number: 2}), "it has ended")
 	list, err := w.List(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, []Task{{Attempt: one, State: model.TaskRunning, RanFor: 12 * time.Second,
+	require.Equal(t, []Task{{Attempt: attempt1, State: model.TaskRunning, RanFor: 12 * time.Second,
 		Usage: model.Usage{Resources: model.Resources{CPU: 7}, Age: 10 * time.Second}}}, list)
-	require.Error(t, w.Throttle(t.Context(), one, 50))
+	require.Error(t, w.Throttle(t.Context(), attempt1, 50))
 }
--- a/internal/taskagent/snapshot.go
+++ b/internal/taskagent/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// UseCharts replaces the lifecycle of attempts by another version of its
-// chart, for checks that have to fail with a faulty one.
+// UseCharts replaces the chart of attempts by the one in files. Tests use it to
+// check that a faulty chart is detected.
 func (c *Core) UseCharts(files fs.FS) error {
 	m, err := chart.Compile(files, AttemptBinding())
 	if err == nil {
@@ -20,29 +20,30 @@
 	return err
 }
 
-// Clone returns an independent copy for an exploration of alternatives.
+// Clone returns an independent copy, from which a model checker explores the
+// alternatives of a state.
 func (c *Core) Clone() *Core {
 	n := *c
 	n.effects = nil
 	n.links = maps.Clone(c.links)
 	n.attempts = make(map[model.AttemptID]*attempt, len(c.attempts))
-	for id, h := range c.attempts {
-		k := *h
+	for id, a := range c.attempts {
+		k := *a
 		k.core = nil
 		n.attempts[id] = &k
 	}
 	return &n
 }
 
-// Sequence returns the newest lease sequence number received.
+// Sequence returns the highest lease sequence number received.
 func (c *Core) Sequence() uint64 {
 	seq, _, _ := c.lease.State()
 	return seq
 }
 
-// AppendState appends an encoding of the state that is equal for states with
-// the same future. Instants are relative to the last step and seq scales lease
-// sequence numbers.
+// AppendState appends an encoding of the state. States that behave alike from
+// now on have the same encoding: times are encoded relative to the last step,
+// and seq normalises lease sequence numbers.
 func (c *Core) AppendState(b []byte, seq func(uint64) int64) []byte {
 	ints := func(values ...int64) {
 		for _, v := range values {
@@ -65,26 +66,26 @@
 		}
 	}
 	number, ackAt, basis := c.lease.State()
-	ints(int64(c.epoch), seq(number), int64(len(c.owner)))
-	b = append(b, c.owner...)
+	ints(int64(c.epoch), seq(number), int64(len(c.controller)))
+	b = append(b, c.controller...)
 	flag(basis)
-	flag(c.adopted)
-	flag(c.listing)
+	flag(c.listReceived)
+	flag(c.listInFlight)
 	rel(time.Hour, ackAt)
-	rel(0, c.lease.Until(false), c.lease.Until(true), c.confirmBy, c.listAt, c.renewAt, c.usageAt)
-	for _, h := range c.sorted() {
-		b = append(b, h.id.String()...)
-		ints(int64(h.state))
-		b = append(append(b, h.report.state...), ' ')
-		b = append(append(b, h.report.checkpoint...), ' ')
-		flag(h.unwanted)
-		flag(h.adopted)
-		flag(h.renewing)
-		flag(h.checkpoint)
-		flag(h.listed)
-		rel(0, h.deadline)
-		rel(10*time.Second, h.changedAt, c.listFrom)
-		rel(workerTTL, h.adoptedAt)
+	rel(0, c.lease.Until(false), c.lease.Until(true), c.confirmBy, c.nextListAt, c.nextRenewAt, c.nextUsageAt)
+	for _, a := range c.sortedAttempts() {
+		b = append(b, a.id.String()...)
+		ints(int64(a.state))
+		b = append(append(b, a.report.state...), ' ')
+		b = append(append(b, a.report.checkpoint...), ' ')
+		flag(a.stopRequested)
+		flag(a.adopted)
+		flag(a.renewInFlight)
+		flag(a.checkpointInFlight)
+		flag(a.listed)
+		rel(0, a.deadline)
+		rel(10*time.Second, a.stateChangedAt, c.listSentAt)
+		rel(workerTTL, a.adoptedAt)
 	}
 	return b
 }
--- a/internal/taskagent/taskagent.go
+++ b/internal/taskagent/taskagent.go
@@ -1,6 +1,6 @@
-// Package taskagent is the agent's side of task attempts: it owns the attempts of
-// its host, their leases and the calls to the worker. It knows nothing of
-// placement.
+// Package taskagent manages the task attempts of one host: their lifecycles,
+// their leases and the calls to the worker that runs them. It makes no
+// placement decisions.
 package taskagent
 
 import (
@@ -17,24 +17,26 @@
 	"github.com/bambooscale/bambooscale/internal/policy/lease"
 )
 
-// Message is a message to the actor. Senders wait for room in the mailbox.
+// Message is a message to the actor. Senders block while its mailbox is full.
 type Message interface{ isMessage() }
 
-// EntryUp reports a link to an entry. Link receives the messages for it.
+// EntryUp reports that a link to an entry is up. Messages for the entry are
+// sent to Link.
 type EntryUp struct {
 	Entry model.EntryID
 	Boot  model.Boot
 	Link  actor.Address[msg.Control]
 }
 
-// EntryDown reports that a link is lost; it is ignored when a newer link to
-// the same entry is up.
+// EntryDown reports that a link to an entry is lost. It is ignored when a
+// newer link to the same entry is up.
 type EntryDown struct {
 	Entry model.EntryID
 	Link  actor.Address[msg.Control]
 }
 
-// FromEntry carries a message of an entry, in the order of its link.
+// FromEntry carries a message from an entry. Messages of one link arrive in
+// the order in which they were sent.
 type FromEntry struct {
 	Entry model.EntryID
 	Msg   msg.Control
@@ -44,7 +46,7 @@
 func (EntryDown) isMessage() {}
 func (FromEntry) isMessage() {}
 
-// Config describes the host whose attempts an actor owns.
+// Config describes the host whose attempts the actor manages.
 type Config struct {
 	Worker model.Worker
 	Cell   model.Cell
@@ -54,65 +56,66 @@
 
 const (
 	mailbox = 256
-	// callTimeout bounds a call to the worker. A checkpoint may take longer.
+	// callTimeout bounds every call to the worker except Checkpoint, which
+	// writes the state of the task and may take longer.
 	callTimeout       = 5 * time.Second
 	checkpointTimeout = 2 * time.Minute
 )
 
-// Start spawns the actor that owns the task attempts of a host.
+// Start spawns the actor that manages the task attempts of a host.
 func Start(g *actor.Group, cfg Config) actor.Address[Message] {
-	links := map[model.EntryID]actor.Address[msg.Control]{} // outlives a failed run
+	links := map[model.EntryID]actor.Address[msg.Control]{} // kept when the actor is restarted
 	return actor.Spawn(g, actor.Spec[Message]{
 		Name: "tasks", Mailbox: mailbox, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan Message) error {
 			sub := g.Sub()
 			defer sub.Stop()
-			o := &owner{
-				cfg: cfg, group: sub, core: NewCore(cfg.Worker, cfg.Cell), began: time.Now(),
-				links: links, answers: make(chan Event, mailbox),
+			a := &agent{
+				cfg: cfg, group: sub, core: NewCore(cfg.Worker, cfg.Cell), startedAt: time.Now(),
+				links: links, results: make(chan Event, mailbox),
 			}
-			return o.run(ctx, in)
+			return a.run(ctx, in)
 		},
 	})
 }
 
-// owner carries out the effects of the core. Its helpers make the calls to the
-// worker and send their results to answers.
-type owner struct {
-	cfg     Config
-	group   *actor.Group
-	core    *Core
-	began   time.Time
-	links   map[model.EntryID]actor.Address[msg.Control]
-	answers chan Event
+// agent carries out the effects of the core. Each call to the worker is made
+// by a goroutine of its own, which sends the result to results.
+type agent struct {
+	cfg       Config
+	group     *actor.Group
+	core      *Core
+	startedAt time.Time
+	links     map[model.EntryID]actor.Address[msg.Control]
+	results   chan Event
 }
 
-func (o *owner) now() time.Duration { return time.Since(o.began) }
+func (a *agent) now() time.Duration { return time.Since(a.startedAt) }
 
-func (o *owner) run(ctx context.Context, in <-chan Message) error {
-	for entry := range o.links {
-		o.apply(LinkUp{entry})
+func (a *agent) run(ctx context.Context, in <-chan Message) error {
+	for entry := range a.links {
+		a.apply(LinkUp{entry})
 	}
 	return actor.Loop[Message, Event]{
-		Now: o.now, NextTick: o.core.NextTick, Apply: o.apply,
+		Now: a.now, NextTick: a.core.NextTick, Apply: a.apply,
 		Translate: func(m Message) (Event, bool) {
-			e := o.translate(m)
+			e := a.translate(m)
 			return e, e != nil
 		},
 		Tick: Tick{}, Paused: Paused{}, PauseGap: lease.PauseGap,
-	}.Run(ctx, in, o.answers)
+	}.Run(ctx, in, a.results)
 }
 
-func (o *owner) translate(m Message) Event {
+func (a *agent) translate(m Message) Event {
 	switch m := m.(type) {
 	case EntryUp:
-		o.links[m.Entry] = m.Link
+		a.links[m.Entry] = m.Link
 		return LinkUp{m.Entry}
 	case EntryDown:
-		if o.links[m.Entry] != m.Link {
+		if a.links[m.Entry] != m.Link {
 			return nil
 		}
-		delete(o.links, m.Entry)
+		delete(a.links, m.Entry)
 		return LinkDown{m.Entry}
 	case FromEntry:
 		return Received(m)
@@ -120,82 +123,86 @@
 	return nil
 }
 
-func (o *owner) apply(e Event) {
-	for _, f := range o.core.Step(o.now(), e) {
-		switch f := f.(type) {
+func (a *agent) apply(e Event) {
+	for _, effect := range a.core.Step(a.now(), e) {
+		switch effect := effect.(type) {
 		case Send:
-			// A full link drops the message: reports, acknowledgements and
-			// renewals are all repeated.
-			o.links[f.Entry].TrySend(f.Msg)
+			// The message is dropped when the link's mailbox is full. This
+			// is safe because reports, acknowledgements and renewals are
+			// repeated.
+			a.links[effect.Entry].TrySend(effect.Msg)
 		case Log:
-			event.Log(o.cfg.Log, f.Event, f.Fields)
+			event.Log(a.cfg.Log, effect.Event, effect.Fields)
 		case CallList:
-			o.call(callTimeout, func(ctx context.Context) Event {
-				tasks, err := o.cfg.Client.List(ctx)
+			a.call(callTimeout, func(ctx context.Context) Event {
+				tasks, err := a.cfg.Client.List(ctx)
 				return ListResult{Tasks: tasks, Err: err}
 			})
 		default:
-			o.callTask(f)
+			a.callTask(effect)
 		}
 	}
 }
 
 // callTask makes a call that concerns one attempt.
-func (o *owner) callTask(f Effect) {
-	host := o.cfg.Client
-	switch f := f.(type) {
+func (a *agent) callTask(effect Effect) {
+	host := a.cfg.Client
+	switch effect := effect.(type) {
 	case CallStart:
-		o.callLeased(StartCall, f.Request.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
-			r := f.Request
+		a.callLeased(StartCall, effect.Request.Attempt, effect.Until, func(ctx context.Context, d time.Duration) error {
+			r := effect.Request
 			r.Lease = d
 			return host.Start(ctx, r)
 		})
 	case CallRenew:
-		o.callLeased(RenewCall, f.Attempt, f.Until, func(ctx context.Context, d time.Duration) error {
-			return host.Renew(ctx, f.Attempt, d)
+		a.callLeased(RenewCall, effect.Attempt, effect.Until, func(ctx context.Context, d time.Duration) error {
+			return host.Renew(ctx, effect.Attempt, d)
 		})
 	case CallStop:
-		o.call(callTimeout, func(ctx context.Context) Event { return answer(StopCall, f.Attempt, host.Stop(ctx, f.Attempt)) })
+		a.call(callTimeout, func(ctx context.Context) Event {
+			return newCallResult(StopCall, effect.Attempt, host.Stop(ctx, effect.Attempt))
+		})
 	case CallThrottle:
-		o.call(callTimeout, func(ctx context.Context) Event {
-			return answer(ThrottleCall, f.Attempt, host.Throttle(ctx, f.Attempt, f.Percent))
+		a.call(callTimeout, func(ctx context.Context) Event {
+			return newCallResult(ThrottleCall, effect.Attempt, host.Throttle(ctx, effect.Attempt, effect.Percent))
 		})
 	case CallCheckpoint:
-		o.call(checkpointTimeout, func(ctx context.Context) Event {
-			name, err := host.Checkpoint(ctx, f.Attempt)
-			a := answer(CheckpointCall, f.Attempt, err)
+		a.call(checkpointTimeout, func(ctx context.Context) Event {
+			name, err := host.Checkpoint(ctx, effect.Attempt)
+			a := newCallResult(CheckpointCall, effect.Attempt, err)
 			a.Checkpoint = name
 			return a
 		})
 	}
 }
 
-// callLeased makes a call that extends the worker's lease. The length is
-// computed by the helper immediately before the call, because the process may
-// have been paused since the owner decided.
-func (o *owner) callLeased(call Call, id model.AttemptID, until time.Duration, do func(context.Context, time.Duration) error) {
-	o.call(callTimeout, func(ctx context.Context) Event {
-		d := min(lease.WorkerTTL, until-o.now())
+// callLeased makes a call that extends the worker's lease of a task until the
+// given time at the latest. The remaining time is computed in the goroutine of
+// the call, because the process may have been paused since the core decided.
+func (a *agent) callLeased(call Call, id model.AttemptID, until time.Duration, do func(context.Context, time.Duration) error) {
+	a.call(callTimeout, func(ctx context.Context) Event {
+		d := min(lease.WorkerTTL, until-a.now())
 		if d <= 0 {
 			return CallResult{Call: call, Attempt: id, Refused: true, Err: errLeaseEnded}
 		}
-		return answer(call, id, do(ctx, d))
+		return newCallResult(call, id, do(ctx, d))
 	})
 }
 
 var errLeaseEnded = errors.New("the lease ended before the call was made")
 
-func answer(call Call, id model.AttemptID, err error) CallResult {
+func newCallResult(call Call, id model.AttemptID, err error) CallResult {
 	return CallResult{Call: call, Attempt: id, Err: err, Refused: errors.Is(err, ErrRefused), NoTask: errors.Is(err, ErrNoTask)}
 }
 
-func (o *owner) call(timeout time.Duration, do func(context.Context) Event) {
-	actor.Go(o.group, "worker-call", func(ctx context.Context) error {
+// call runs do in a goroutine and sends its result to the core.
+func (a *agent) call(timeout time.Duration, do func(context.Context) Event) {
+	actor.Go(a.group, "worker-call", func(ctx context.Context) error {
 		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		e := do(bounded)
 		select {
-		case o.answers <- e:
+		case a.results <- e:
 		case <-ctx.Done():
 		}
 		return nil
