--- a/internal/policy/credits/credits.go
+++ b/internal/policy/credits/credits.go
@@ -1,5 +1,6 @@
-// Package credits decides which entry gets the free slots of a backend server,
-// and from whom idle credits are recalled. It is pure.
+// Package credits decides how many credits the agent of a backend server
+// grants to each entry, and which idle credits it recalls. A credit permits an
+// entry to send one request. The functions have no side effects.
 package credits
 
 import (
@@ -9,83 +10,86 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Holder is an entry as the agent sees it.
+// Holder is the state of an entry's credits as the agent knows it.
 type Holder struct {
 	Entry          model.EntryID
-	SameDataCentre bool // in the agent's data centre
-	Idle           int  // credits lent and not known to be spent
-	// Running counts spent credits whose exchange has not ended.
+	SameDataCentre bool // as the agent
+	Idle           int  // credits granted and not known to be spent
+	// Running is the number of spent credits whose exchange has not ended.
 	Running      int
-	Recalled     int           // credits asked back and not yet returned or spent
-	Queued       int           // from the newest demand report
-	MinRemaining time.Duration // time left of the tightest queued request; 0: none
-	// GrantedSinceReport counts the credits granted since the newest demand report: the
-	// report does not know of them yet.
+	Recalled     int           // credits recalled and not yet returned or spent
+	Queued       int           // requests, from the newest demand report
+	MinRemaining time.Duration // until the earliest deadline of a queued request; 0: none is queued
+	// GrantedSinceReport is the number of credits granted since the newest
+	// demand report, whose Queued does not account for them.
 	GrantedSinceReport int
-	// RecentRequests is a fading count of requests, for dividing idle slots.
+	// RecentRequests is an exponentially decaying count of requests. Slots
+	// that no queue needs are divided in proportion to it.
 	RecentRequests float64
 }
 
-// need is how many more requests the entry could start than it has credits.
-func (b *Holder) need() int { return b.Queued - b.GrantedSinceReport }
+// unmetNeed returns the number of queued requests for which no credit has been
+// granted.
+func (h *Holder) unmetNeed() int { return h.Queued - h.GrantedSinceReport }
 
 // Slots is the state of a backend server's slots.
 type Slots struct {
 	Total     int
-	LookAhead int // credits lent beyond Total while requests queue at entries
-	Open      bool
+	LookAhead int  // credits granted beyond Total while requests queue at entries
+	Open      bool // false: no credit is granted and all idle ones are recalled
 }
 
-// Grant gives credits to, or recalls them from, the borrower at an index.
+// Grant is a number of credits to grant to an entry, or to recall from it.
 type Grant struct {
-	Holder int
+	Holder int // index in the argument of Plan
 	Count  int // negative: recall
 }
 
-// Plan appends to out the grants and recalls for the current state. The
-// borrowers are changed as if they had been carried out.
-func Plan(s Slots, borrowers []Holder, out []Grant) []Grant {
-	if !s.Open || len(borrowers) == 0 {
-		return recallAll(borrowers, out)
+// Plan appends the grants and recalls for the current state to out. It updates
+// holders as if they had been carried out.
+func Plan(slots Slots, holders []Holder, out []Grant) []Grant {
+	if !slots.Open || len(holders) == 0 {
+		return recallAll(holders, out)
 	}
-	free := s.Total - lent(borrowers)
-	queued := anyNeed(borrowers)
+	free := slots.Total - outstanding(holders)
+	queued := anyUnmetNeed(holders)
 	if queued {
-		free += s.LookAhead
+		free += slots.LookAhead
 	}
 	for ; free > 0; free-- {
-		i := neediest(borrowers)
+		i := nextHolder(holders)
 		if i < 0 {
 			break
 		}
-		out = grant(borrowers, out, i)
+		out = grant(holders, out, i)
 	}
 	if queued {
-		return recallFor(borrowers, out, free)
+		return recallIdle(holders, out, free)
 	}
-	return spread(s, borrowers, free, out)
+	return grantInAdvance(slots, holders, free, out)
 }
 
-func lent(borrowers []Holder) int {
+// outstanding returns the number of idle credits and unfinished exchanges.
+func outstanding(holders []Holder) int {
 	n := 0
-	for i := range borrowers {
-		n += borrowers[i].Idle + borrowers[i].Running
+	for i := range holders {
+		n += holders[i].Idle + holders[i].Running
 	}
 	return n
 }
 
-func anyNeed(borrowers []Holder) bool {
-	for i := range borrowers {
-		if borrowers[i].need() > 0 {
+func anyUnmetNeed(holders []Holder) bool {
+	for i := range holders {
+		if holders[i].unmetNeed() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func grant(borrowers []Holder, out []Grant, i int) []Grant {
-	borrowers[i].Idle++
-	borrowers[i].GrantedSinceReport++
+func grant(holders []Holder, out []Grant, i int) []Grant {
+	holders[i].Idle++
+	holders[i].GrantedSinceReport++
 	for k := range out {
 		if out[k].Holder == i && out[k].Count > 0 {
 			out[k].Count++
@@ -95,29 +99,31 @@
 	return append(out, Grant{Holder: i, Count: 1})
 }
 
-// neediest returns the borrower with unmet need that holds the fewest credits
-// for its need, so that entries get shares in proportion to their queues and
-// requests wait equally long at each. Giving every slot to the entry with the
-// earliest deadline made the shares of two equal entries swing between 5 and
-// 102 of 88 slots. Ties go to the earlier deadline, then to the near entry.
-func neediest(borrowers []Holder) int {
+// nextHolder returns the index of the holder that gets the next credit: the one
+// with the fewest credits relative to its unmet need, or -1 if there is no
+// need. Entries thus get shares in proportion to their queues and requests wait
+// equally long at each. When every slot went to the entry with the earliest
+// deadline, the shares of two equal entries varied between 5 and 102 of 88
+// slots. Ties go to the earlier deadline, then to an entry in the same data
+// centre.
+func nextHolder(holders []Holder) int {
 	best := -1
-	for i := range borrowers {
-		if borrowers[i].need() <= 0 {
+	for i := range holders {
+		if holders[i].unmetNeed() <= 0 {
 			continue
 		}
-		if best < 0 || before(&borrowers[i], &borrowers[best]) {
+		if best < 0 || hasPriority(&holders[i], &holders[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func before(a, b *Holder) bool {
-	// held(a)/need(a) < held(b)/need(b) without division
-	x, y := (a.Idle+a.Running)*b.need(), (b.Idle+b.Running)*a.need()
-	if x != y {
-		return x < y
+func hasPriority(a, b *Holder) bool {
+	// credits(a)/unmetNeed(a) < credits(b)/unmetNeed(b) without division
+	left, right := (a.Idle+a.Running)*b.unmetNeed(), (b.Idle+b.Running)*a.unmetNeed()
+	if left != right {
+		return left < right
 	}
 	if a.MinRemaining != b.MinRemaining {
 		return a.MinRemaining < b.MinRemaining
@@ -125,24 +131,24 @@
 	return a.SameDataCentre && !b.SameDataCentre
 }
 
-// recallFor asks back idle credits of entries without a queue while others
-// wait for more than the free slots and the credits asked back already.
-func recallFor(borrowers []Holder, out []Grant, free int) []Grant {
+// recallIdle recalls idle credits of entries without a queue, as many as the
+// other entries need beyond the free slots and the credits recalled already.
+func recallIdle(holders []Holder, out []Grant, free int) []Grant {
 	wanted := 0
-	for i := range borrowers {
-		wanted += max(0, borrowers[i].need()) - borrowers[i].Recalled
+	for i := range holders {
+		wanted += max(0, holders[i].unmetNeed()) - holders[i].Recalled
 	}
 	wanted -= free
-	for i := range borrowers {
-		b := &borrowers[i]
+	for i := range holders {
+		h := &holders[i]
 		if wanted <= 0 {
 			break
 		}
-		if b.Queued > 0 {
+		if h.Queued > 0 {
 			continue
 		}
-		if n := min(wanted, b.Idle-b.Recalled); n > 0 {
-			b.Recalled += n
+		if n := min(wanted, h.Idle-h.Recalled); n > 0 {
+			h.Recalled += n
 			wanted -= n
 			out = append(out, Grant{Holder: i, Count: -n})
 		}
@@ -150,43 +156,44 @@
 	return out
 }
 
-// spread lends free slots in advance, in proportion to recent use, so that a
-// request at a quiet time finds a credit at its entry.
-func spread(s Slots, borrowers []Holder, free int, out []Grant) []Grant {
+// grantInAdvance grants credits for the free slots in proportion to recent
+// requests, so that a request that arrives under low load finds a credit at its
+// entry.
+func grantInAdvance(slots Slots, holders []Holder, free int, out []Grant) []Grant {
 	total := 0.0
-	for i := range borrowers {
-		total += borrowers[i].RecentRequests + 1
+	for i := range holders {
+		total += holders[i].RecentRequests + 1
 	}
 	for ; free > 0; free-- {
 		best, gap := -1, math.Inf(-1)
-		for i := range borrowers {
-			b := &borrowers[i]
-			share := float64(s.Total) * (b.RecentRequests + 1) / total
-			if g := share - float64(b.Idle+b.Running); g > gap {
+		for i := range holders {
+			h := &holders[i]
+			share := float64(slots.Total) * (h.RecentRequests + 1) / total
+			if g := share - float64(h.Idle+h.Running); g > gap {
 				best, gap = i, g
 			}
 		}
-		out = grant(borrowers, out, best)
-		borrowers[best].GrantedSinceReport-- // not an answer to a demand report
+		out = grant(holders, out, best)
+		holders[best].GrantedSinceReport-- // these credits do not serve the reported queue
 	}
 	return out
 }
 
-func recallAll(borrowers []Holder, out []Grant) []Grant {
-	for i := range borrowers {
-		b := &borrowers[i]
-		if n := b.Idle - b.Recalled; n > 0 {
-			b.Recalled += n
+func recallAll(holders []Holder, out []Grant) []Grant {
+	for i := range holders {
+		h := &holders[i]
+		if n := h.Idle - h.Recalled; n > 0 {
+			h.Recalled += n
 			out = append(out, Grant{Holder: i, Count: -n})
 		}
 	}
 	return out
 }
 
-// LookAhead returns how many requests may wait at the agent, so that a slot
-// is not idle for the round trip rtt between two requests of mean length. On
-// average slots*rtt/mean requests end within a round trip; twice that covers
-// most of the variation.
+// LookAhead returns how many requests may wait at the agent, so that no slot
+// is idle for the round-trip time rtt between two requests. mean is their mean
+// slot time. On average slots*rtt/mean requests end within a round trip; twice
+// that covers most of the variation. The result is 0 if mean is not known.
 func LookAhead(slots int, rtt, mean time.Duration) int {
 	if mean <= 0 {
 		return 0
--- a/internal/policy/credits/credits_test.go
+++ b/internal/policy/credits/credits_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawBorrowers(t *rapid.T) []Holder {
+func drawHolders(t *rapid.T) []Holder {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Holder {
 		b := Holder{
 			SameDataCentre: rapid.Bool().Draw(t, "near"), Idle: rapid.IntRange(0, 6).Draw(t, "idle"), Running: rapid.IntRange(0, 6).Draw(t, "running"),
@@ -18,18 +18,19 @@
 		b.Recalled = rapid.IntRange(0, b.Idle).Draw(t, "recalled")
 		b.GrantedSinceReport = rapid.IntRange(0, 8).Draw(t, "granted")
 		return b
-	}), 0, 5).Draw(t, "borrowers")
+	}), 0, 5).Draw(t, "holders")
 }
 
-// Guards against credits beyond the slots and the look-ahead, against recalls
-// of more than an entry can return, and against slots that stay free.
+// Guards against more credits than slots and look-ahead, against recalls of
+// more credits than an entry can return, and against slots for which no credit
+// is granted.
 func TestPlanBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Slots{Total: rapid.IntRange(-4, 16).Draw(t, "total"), LookAhead: rapid.IntRange(0, 8).Draw(t, "look-ahead"),
 			Open: rapid.Bool().Draw(t, "open")}
-		before := drawBorrowers(t)
+		before := drawHolders(t)
 		after := append([]Holder(nil), before...)
-		queued := anyNeed(before)
+		queued := anyUnmetNeed(before)
 		granted := 0
 		for _, g := range Plan(s, after, nil) {
 			b := before[g.Holder]
@@ -37,20 +38,20 @@
 				granted += g.Count
 				assert.True(t, s.Open)
 			} else {
-				assert.LessOrEqual(t, b.Recalled-g.Count, b.Idle, "more is asked back than is idle")
-				assert.True(t, !s.Open || b.Queued == 0, "a credit is taken from an entry that needs it")
+				assert.LessOrEqual(t, b.Recalled-g.Count, b.Idle, "more credits are recalled than are idle")
+				assert.True(t, !s.Open || b.Queued == 0, "a credit is recalled from an entry that needs it")
 			}
 		}
 		limit := s.Total
 		if queued {
 			limit += s.LookAhead
 		}
-		assert.LessOrEqual(t, granted, max(0, limit-lent(before)))
-		if s.Open && len(before) > 0 && (!queued || !anyNeed(after)) {
-			assert.GreaterOrEqual(t, lent(after), min(s.Total, lent(before)+granted))
+		assert.LessOrEqual(t, granted, max(0, limit-outstanding(before)))
+		if s.Open && len(before) > 0 && (!queued || !anyUnmetNeed(after)) {
+			assert.GreaterOrEqual(t, outstanding(after), min(s.Total, outstanding(before)+granted))
 		}
 		if s.Open && len(before) > 0 && !queued {
-			assert.GreaterOrEqual(t, lent(after), s.Total, "free slots are lent in advance")
+			assert.GreaterOrEqual(t, outstanding(after), s.Total, "credits for free slots are granted in advance")
 		}
 		if !s.Open {
 			for _, b := range after {
@@ -60,62 +61,64 @@
 	})
 }
 
-// Guards against an entry that keeps idle credits while another one waits.
-func TestRecallForWaiting(t *testing.T) {
-	b := []Holder{{Idle: 8}, {Queued: 3}}
-	assert.Equal(t, []Grant{{Holder: 0, Count: -3}}, Plan(Slots{Total: 8, Open: true}, b, nil))
-	assert.Empty(t, Plan(Slots{Total: 8, Open: true}, b, nil), "asked back once")
+// Guards against an entry that keeps idle credits while requests queue at
+// another one.
+func TestRecallIdleCredits(t *testing.T) {
+	holders := []Holder{{Idle: 8}, {Queued: 3}}
+	assert.Equal(t, []Grant{{Holder: 0, Count: -3}}, Plan(Slots{Total: 8, Open: true}, holders, nil))
+	assert.Empty(t, Plan(Slots{Total: 8, Open: true}, holders, nil), "credits are recalled once")
 }
 
-// Guards against shares that differ from the queues' proportions.
+// Guards against shares of the credits that are not in proportion to the
+// queues.
 func TestSharesFollowQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := []Holder{{Queued: rapid.IntRange(20, 200).Draw(t, "a")}, {Queued: rapid.IntRange(20, 200).Draw(t, "b")}}
-		want := 16 * float64(b[0].Queued) / float64(b[0].Queued+b[1].Queued)
-		Plan(Slots{Total: 8, LookAhead: 8, Open: true}, b, nil)
-		assert.InDelta(t, want, b[0].Idle, 2)
-		assert.Equal(t, 16, b[0].Idle+b[1].Idle)
+		holders := []Holder{{Queued: rapid.IntRange(20, 200).Draw(t, "a")}, {Queued: rapid.IntRange(20, 200).Draw(t, "b")}}
+		want := 16 * float64(holders[0].Queued) / float64(holders[0].Queued+holders[1].Queued)
+		Plan(Slots{Total: 8, LookAhead: 8, Open: true}, holders, nil)
+		assert.InDelta(t, want, holders[0].Idle, 2)
+		assert.Equal(t, 16, holders[0].Idle+holders[1].Idle)
 	})
 }
 
 // Guards against credits that move between entries although nothing changes.
-// One plan serves the queues, the next one gets what was asked back, and a
-// third one lends in advance what the queues left over.
+// The first plan serves the queues, the second one distributes the recalled
+// credits, and the third one grants the remaining credits in advance.
 func TestPlanIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Slots{Total: rapid.IntRange(1, 16).Draw(t, "total"), LookAhead: rapid.IntRange(0, 8).Draw(t, "look-ahead"), Open: true}
-		b := drawBorrowers(t)
+		holders := drawHolders(t)
 		for range 3 {
-			Plan(s, b, nil)
-			for i := range b { // the recalled credits come back
-				b[i].Idle -= b[i].Recalled
-				b[i].Recalled = 0
+			Plan(s, holders, nil)
+			for i := range holders { // the recalled credits are returned
+				holders[i].Idle -= holders[i].Recalled
+				holders[i].Recalled = 0
 			}
 		}
-		assert.Empty(t, Plan(s, b, nil))
+		assert.Empty(t, Plan(s, holders, nil))
 	})
 }
 
-// Guards against shares of equally loaded entries that swing: each slot that
-// becomes free is lent again, over many rounds.
+// Guards against shares of equally loaded entries that oscillate: over many
+// rounds, a new credit is granted for each slot that becomes free.
 func TestEqualQueuesKeepEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := []Holder{{Queued: 50}, {Queued: 50}}
+		holders := []Holder{{Queued: 50}, {Queued: 50}}
 		s := Slots{Total: 8, LookAhead: 4, Open: true}
 		for range 200 {
-			Plan(s, b, nil)
-			for i := range b {
-				assert.InDelta(t, 6, b[i].Idle+b[i].Running, 1)
-				b[i].Running += b[i].Idle
-				b[i].Idle = 0
+			Plan(s, holders, nil)
+			for i := range holders {
+				assert.InDelta(t, 6, holders[i].Idle+holders[i].Running, 1)
+				holders[i].Running += holders[i].Idle
+				holders[i].Idle = 0
 			}
 			if rapid.Bool().Draw(t, "report") {
-				for i := range b {
-					b[i].GrantedSinceReport = 0
+				for i := range holders {
+					holders[i].GrantedSinceReport = 0
 				}
 			}
-			if i := rapid.IntRange(0, 1).Draw(t, "ends"); b[i].Running > 0 {
-				b[i].Running--
+			if i := rapid.IntRange(0, 1).Draw(t, "ends"); holders[i].Running > 0 {
+				holders[i].Running--
 			}
 		}
 	})
@@ -131,19 +134,20 @@
 }
 
 func planInput(entries int) ([]Holder, []Holder) {
-	b := make([]Holder, entries)
-	for i := range b {
-		b[i] = Holder{Queued: 10 + i, Running: 1, Idle: i % 2, MinRemaining: time.Duration(i) * time.Millisecond}
+	holders := make([]Holder, entries)
+	for i := range holders {
+		holders[i] = Holder{Queued: 10 + i, Running: 1, Idle: i % 2, MinRemaining: time.Duration(i) * time.Millisecond}
 	}
-	return b, make([]Holder, entries)
+	return holders, make([]Holder, entries)
 }
 
-// Guards against garbage for each message that the slots actor handles.
+// Guards against memory allocation in Plan, which runs for each message that
+// the agent's slots actor handles.
 func TestPlanAllocatesNothing(t *testing.T) {
-	b, scratch := planInput(8)
-	out := make([]Grant, 0, len(b))
+	holders, scratch := planInput(8)
+	out := make([]Grant, 0, len(holders))
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
-		copy(scratch, b)
+		copy(scratch, holders)
 		out = Plan(Slots{Total: 16, LookAhead: 8, Open: true}, scratch, out[:0])
 	}))
 }
