--- a/internal/policy/dispatch/cold_test.go
+++ b/internal/policy/dispatch/admission_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an entry that has just started, or whose credits were lent
-// to others, refusing every request but the first of a tenant although
-// agents lend it slots once they hear of its demand.
-func TestAdmitWithoutCreditsYet(t *testing.T) {
+// Guards against an entry that has just started, or whose credits were granted
+// to other entries, and that refuses every request of a tenant except the
+// first, although agents grant it credits once they receive its demand.
+func TestAdmitBeforeFirstCredit(t *testing.T) {
 	q, now := NewQueue(Options{}, NewClassEstimates()), time.Now()
 	for n := range 40 {
 		r := Request{Key: Key(n), Tenant: "tenant", Arrived: now, Deadline: now.Add(30 * time.Second)}
@@ -18,9 +18,10 @@
 	}
 }
 
-// Guards against an entry refusing every request after a busy time: nothing
-// was in progress any more, which the estimate took for no slots.
-func TestAdmitAfterABusyTime(t *testing.T) {
+// Guards against an entry that refuses every request after a time of high load:
+// when no request is in progress any more, the estimate must not conclude that
+// there are no slots.
+func TestAdmitAfterHighLoad(t *testing.T) {
 	q, now := NewQueue(Options{}, NewClassEstimates()), time.Now()
 	busy := Load{Sent: Count{Short: 24}, Started: Count{Short: 24}, Slots: 24}
 	admit := func(n int, load Load) {
@@ -32,9 +33,9 @@
 	admit(1, Load{Slots: 24})
 }
 
-// Guards against an entry without credits refusing requests of a class that
-// takes seconds although the free slots of the backend servers suffice.
-func TestAdmitCountsOnFreeSlots(t *testing.T) {
+// Guards against an entry without credits that refuses requests with slot times
+// of seconds, although the backend servers have enough free slots.
+func TestAdmitWithFreeSlots(t *testing.T) {
 	classes := NewClassEstimates()
 	for range minSamples {
 		classes.AddSample("", time.Second)
@@ -46,8 +47,9 @@
 	}
 }
 
-// Guards against a burst after a busy time being refused because the requests
-// in progress are taken for all the slots there are, while most are free.
+// Guards against an entry that refuses a burst after a time of high load
+// because it takes the few requests in progress for the number of slots,
+// although most slots are free.
 func TestAdmitWithFewInProgress(t *testing.T) {
 	classes := NewClassEstimates()
 	for range minSamples {
--- a/internal/policy/dispatch/bench_test.go
+++ b/internal/policy/dispatch/bench_test.go
@@ -11,21 +11,21 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// steady is a queue of a given length and a set of instances in which one
-// request is dispatched for each that is admitted.
-type steady struct {
-	q    *Queue
-	list []Candidate
-	key  Key
-	now  time.Time
-	load Load
+// steadyLoad is a queue of constant length: for each request that is admitted
+// one is dispatched to one of the candidates.
+type steadyLoad struct {
+	queue      *Queue
+	candidates []Candidate
+	key        Key
+	now        time.Time
+	load       Load
 }
 
-func newSteady(queued, instances int) *steady {
-	classes := learned(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "consent": 25 * time.Millisecond})
-	s := &steady{q: NewQueue(Options{}, classes), list: make([]Candidate, instances), now: epoch}
-	for i := range s.list {
-		s.list[i] = Candidate{Credits: 1, Running: i % 8, Slots: 8, RTT: time.Millisecond, Slowness: 1}
+func newSteadyLoad(queued, instances int) *steadyLoad {
+	classes := newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "consent": 25 * time.Millisecond})
+	s := &steadyLoad{queue: NewQueue(Options{}, classes), candidates: make([]Candidate, instances), now: epoch}
+	for i := range s.candidates {
+		s.candidates[i] = Candidate{Credits: 1, Running: i % 8, Slots: 8, RTT: time.Millisecond, Slowness: 1}
 	}
 	n := 8 * instances
 	s.load = Load{Sent: Count{Short: n}, Started: Count{Short: n}}
@@ -35,23 +35,24 @@
 	return s
 }
 
-func (s *steady) admit(idle bool) {
+func (s *steadyLoad) admit(idle bool) {
 	s.key++
 	tenant := model.Tenant([]string{"a", "b", "c", "d"}[s.key%4])
-	s.q.Admit(s.now, Request{Key: s.key, Class: "read", Tenant: tenant, Arrived: s.now, Deadline: s.now.Add(time.Minute)}, s.load, idle)
+	s.queue.Admit(s.now, Request{Key: s.key, Class: "read", Tenant: tenant, Arrived: s.now, Deadline: s.now.Add(time.Minute)}, s.load, idle)
 }
 
-func (s *steady) step() bool {
+func (s *steadyLoad) step() bool {
 	s.now = s.now.Add(time.Millisecond)
 	s.admit(false)
-	Choose(s.list, 10*time.Millisecond)
-	_, ok := s.q.Next(s.now, true, func(Request, Refusal) {})
+	Choose(s.candidates, 10*time.Millisecond)
+	_, ok := s.queue.Next(s.now, true, func(Request, Refusal) {})
 	return ok
 }
 
-// Guards against garbage for each request, which costs the entry host CPU.
+// Guards against memory allocation for each request, which would cost
+// processor time on the entry's host.
 func TestDispatchAllocatesNothing(t *testing.T) {
-	s := newSteady(100, 690)
+	s := newSteadyLoad(100, 690)
 	for range 1000 {
 		require.True(t, s.step())
 	}
@@ -62,7 +63,7 @@
 func BenchmarkDispatch(b *testing.B) {
 	for _, size := range []struct{ queued, instances int }{{10, 11}, {100, 11}, {1000, 11}, {9000, 11}, {100, 69}, {100, 690}} {
 		b.Run(fmt.Sprintf("queued=%d/instances=%d", size.queued, size.instances), func(b *testing.B) {
-			s := newSteady(size.queued, size.instances)
+			s := newSteadyLoad(size.queued, size.instances)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.step()
--- a/internal/policy/dispatch/estimate.go
+++ b/internal/policy/dispatch/estimate.go
@@ -7,36 +7,38 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// ClassEstimates learns how long the requests of each class of a service hold a
-// slot. Lengths are not known in advance and may drift.
+// ClassEstimates estimates the slot time of the requests of each class of a
+// service, which is how long a request holds a slot. Slot times are not known
+// in advance and may drift.
 type ClassEstimates struct {
-	byName map[model.Class]*classStats
-	forced map[model.Class]bool // long by configuration
+	byName         map[model.Class]*classStats
+	configuredLong map[model.Class]bool // overrides the estimate whether a class is long
 }
 
-// NewClassEstimates returns estimates that know nothing yet.
+// NewClassEstimates returns estimates without samples.
 func NewClassEstimates() *ClassEstimates {
-	return &ClassEstimates{byName: map[model.Class]*classStats{}, forced: map[model.Class]bool{}}
+	return &ClassEstimates{byName: map[model.Class]*classStats{}, configuredLong: map[model.Class]bool{}}
 }
 
 const (
-	// Quantiles of fewer samples say too little about the tail.
+	// minSamples is the number of samples from which a class counts as known.
+	// Quantiles of fewer samples do not show the tail.
 	minSamples = 20
-	// A class is long when its 95% quantile is this many times the median of
-	// the quickest other class of the service.
+	// longRatio is the ratio of the 95% quantile of a class to the smallest
+	// median of the other classes of the service above which the class is long.
 	longRatio = 20
-	// A running request of more than this many times the 95% quantile of its
-	// class counts as long.
-	agedRatio = 4
-	// Until a class is known, its requests are expected to take this long.
-	unknownMean = 20 * time.Millisecond
-	// Classes come from path prefixes in the configuration; this bounds the
-	// state should the configuration change for ever.
+	// countsAsLongRatio is the ratio of a request's running time to the 95%
+	// quantile of its class above which the request counts as long.
+	countsAsLongRatio = 4
+	// defaultMean is the expected slot time of a class that is not known.
+	defaultMean = 20 * time.Millisecond
+	// maxClasses bounds the state. Classes come from path prefixes in the
+	// configuration, and those of earlier versions are not removed.
 	maxClasses = 1024
 )
 
-// SetLong marks a class as long by configuration.
-func (c *ClassEstimates) SetLong(name model.Class, long bool) { c.forced[name] = long }
+// SetLong sets whether a class is long, which overrides the estimate.
+func (c *ClassEstimates) SetLong(name model.Class, long bool) { c.configuredLong[name] = long }
 
 // AddSample records that a request of the class held a slot for d.
 func (c *ClassEstimates) AddSample(name model.Class, d time.Duration) {
@@ -51,63 +53,66 @@
 	s.add(d)
 }
 
-// Mean is the expected slot time of a request of the class.
+// Mean returns the expected slot time of a request of the class, or defaultMean
+// for a class that is not known.
 func (c *ClassEstimates) Mean(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return time.Duration(s.mean)
 	}
-	return unknownMean
+	return defaultMean
 }
 
-// Typical is the slot time that most requests of the class stay within, for
-// deciding whether there is time left to run one.
-func (c *ClassEstimates) Typical(name model.Class) time.Duration {
+// P95 returns the 95% quantile of the slot times of the class, or 0 if it is
+// not known. A request with less time to its deadline would probably miss it.
+func (c *ClassEstimates) P95(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.95)
 	}
 	return 0
 }
 
-// Floor is the slot time that half of the requests of the class exceed: with
-// less time left, running one would most likely be a waste.
-func (c *ClassEstimates) Floor(name model.Class) time.Duration {
+// Median returns the median slot time of the class, or 0 if it is not known.
+func (c *ClassEstimates) Median(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.5)
 	}
 	return 0
 }
 
-// IsLong reports whether the class may hold only a part of the slots. A class
-// that is not known yet counts as long once another class of the service is
-// known: its first requests could otherwise take every slot for hours.
+// IsLong reports whether the class is long, so that its requests may hold only
+// a part of the slots. A class that is not known yet counts as long if another
+// class of the service is known: its first requests could otherwise hold every
+// slot for hours.
 func (c *ClassEstimates) IsLong(name model.Class) bool {
-	if long, set := c.forced[name]; set {
+	if long, set := c.configuredLong[name]; set {
 		return long
 	}
-	quickest, others := time.Duration(math.MaxInt64), false
+	minMedian, others := time.Duration(math.MaxInt64), false
 	for n, o := range c.byName {
-		// Its own median does not count: a host that is busy for a moment gives
-		// a quick class a long tail, and nothing waits behind a sole class.
+		// The class is compared with other classes only. A short load peak on
+		// a host gives a short class a long tail, and the requests of a sole
+		// class delay no other class.
 		if o.count >= minSamples && n != name {
 			others = true
-			quickest = min(quickest, o.quantile(0.5))
+			minMedian = min(minMedian, o.quantile(0.5))
 		}
 	}
 	s := c.known(name)
 	if s == nil {
 		return others
 	}
-	return others && s.quantile(0.95) > longRatio*quickest
+	return others && s.quantile(0.95) > longRatio*minMedian
 }
 
-// CountsAsLong reports whether a request of the class that has run for d counts as
-// long from now on.
+// CountsAsLong reports whether a request of the class that has run for d counts
+// as long, whatever its class.
 func (c *ClassEstimates) CountsAsLong(name model.Class, d time.Duration) bool {
 	s := c.known(name)
-	return s != nil && d > agedRatio*s.quantile(0.95)
+	return s != nil && d > countsAsLongRatio*s.quantile(0.95)
 }
 
-// Quantile returns a quantile of the class's slot times, 0 when unknown.
+// Quantile returns the quantile q, from 0 to 1, of the slot times of the class,
+// or 0 if there is no sample.
 func (c *ClassEstimates) Quantile(name model.Class, q float64) time.Duration {
 	if s := c.byName[name]; s != nil && s.count > 0 {
 		return s.quantile(q)
@@ -115,7 +120,7 @@
 	return 0
 }
 
-// Names lists the classes that were seen, in no order.
+// Names returns the classes that have samples, in no particular order.
 func (c *ClassEstimates) Names() []model.Class {
 	names := make([]model.Class, 0, len(c.byName))
 	for n := range c.byName {
@@ -124,6 +129,7 @@
 	return names
 }
 
+// known returns the statistics of a class that has enough samples, or nil.
 func (c *ClassEstimates) known(name model.Class) *classStats {
 	if s := c.byName[name]; s != nil && s.count >= minSamples {
 		return s
@@ -132,16 +138,17 @@
 }
 
 const (
-	buckets         = 64
-	bucketsPerOct   = 2
-	firstBucket     = float64(100 * time.Microsecond)
-	halveAfter      = 512  // samples; older ones count half from then on
-	meanSmoothing   = 0.05 // weight of a new sample in the mean
-	bucketGrowthLog = math.Ln2 / bucketsPerOct
+	buckets            = 64
+	bucketsPerDoubling = 2
+	firstBucket        = float64(100 * time.Microsecond)
+	halvingInterval    = 512  // samples after which the weight of all earlier ones is halved
+	meanSmoothing      = 0.05 // weight of a new sample in the mean
+	bucketGrowthLog    = math.Ln2 / bucketsPerDoubling
 )
 
-// classStats is a histogram with buckets that grow by the square root of two,
-// from 100 microseconds to about 3 days, with old samples fading.
+// classStats is a histogram of slot times from 100 microseconds to about 3 days.
+// Each bucket is wider than the one before by a factor of the square root of
+// two. The weight of old samples decays.
 type classStats struct {
 	count  int
 	mean   float64 // nanoseconds
@@ -155,7 +162,7 @@
 		s.mean = float64(d)
 	}
 	s.mean += (float64(d) - s.mean) * max(meanSmoothing, 1/float64(s.count))
-	if s.count%halveAfter == 0 {
+	if s.count%halvingInterval == 0 {
 		s.total /= 2
 		for i := range s.weight {
 			s.weight[i] /= 2
--- a/internal/policy/dispatch/estimate_test.go
+++ b/internal/policy/dispatch/estimate_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against retries that add more than their share to the load.
+// Guards against more retries than the share of requests that the budget
+// allows.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b RetryBudget
@@ -27,8 +28,8 @@
 	})
 }
 
-// Guards against classes whose length is learned wrong or not followed when
-// it drifts.
+// Guards against wrong estimates of the slot times of classes, and against
+// estimates that do not follow when the slot times change.
 func TestClassLearning(t *testing.T) {
 	c := NewClassEstimates()
 	assert.False(t, c.IsLong("read"), "nothing is known yet")
@@ -45,7 +46,7 @@
 	assert.False(t, c.IsLong("consent"))
 	assert.True(t, c.CountsAsLong("read", time.Second))
 	assert.False(t, c.CountsAsLong("read", 20*time.Millisecond))
-	for range 4 * halveAfter {
+	for range 4 * halvingInterval {
 		c.AddSample("watch", 10*time.Millisecond)
 	}
 	assert.False(t, c.IsLong("watch"), "it has become short")
@@ -68,7 +69,7 @@
 	assert.False(t, c.IsLong("default"))
 }
 
-// Guards against quantiles that leave the range of the samples by more than a
+// Guards against quantiles that differ from the exact ones by more than a
 // bucket, which is a factor of the square root of two.
 func TestQuantileOfSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -88,29 +89,29 @@
 	})
 }
 
-// Guards against a choice without credit, and against one that a slower or
-// failing backend server wins over an equal one.
+// Guards against the choice of a backend server without a credit, and of one
+// that is slower or fails more often than another one.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Candidate {
+		candidates := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Candidate {
 			return Candidate{
 				Credits: rapid.IntRange(0, 3).Draw(t, "credits"), Running: rapid.IntRange(0, 8).Draw(t, "running"), Slots: 8,
 				RTT:      time.Duration(rapid.IntRange(0, 5).Draw(t, "rtt")) * time.Millisecond,
 				Slowness: rapid.Float64Range(0.5, 4).Draw(t, "slowness"), Failures: rapid.IntRange(0, 20).Draw(t, "failures"),
 			}
 		})).Draw(t, "candidates")
-		i := Choose(list, 10*time.Millisecond)
-		for k, c := range list {
-			if c.Credits == 0 {
+		i := Choose(candidates, 10*time.Millisecond)
+		for otherIndex, other := range candidates {
+			if other.Credits == 0 {
 				continue
 			}
 			require.GreaterOrEqual(t, i, 0)
-			a := list[i]
-			better := c.RTT <= a.RTT && c.Running <= a.Running && c.Slowness <= a.Slowness && c.Failures < min(a.Failures, maxPenalised)
-			assert.False(t, better, "%d %+v is better than %d %+v", k, c, i, a)
+			chosen := candidates[i]
+			better := other.RTT <= chosen.RTT && other.Running <= chosen.Running && other.Slowness <= chosen.Slowness && other.Failures < min(chosen.Failures, maxPenalisedFailures)
+			assert.False(t, better, "%d %+v is better than %d %+v", otherIndex, other, i, chosen)
 		}
 		if i >= 0 {
-			assert.Positive(t, list[i].Credits)
+			assert.Positive(t, candidates[i].Credits)
 		}
 	})
 }
--- a/internal/policy/dispatch/queue.go
+++ b/internal/policy/dispatch/queue.go
@@ -1,6 +1,6 @@
 // Package dispatch decides which queued request gets the next slot, which
-// requests are refused, and which backend server a request goes to. It is
-// pure: time comes in as an argument and nothing waits or sends.
+// requests are refused, and which backend server a request goes to. It does no
+// input or output, never blocks, and takes the current time as an argument.
 package dispatch
 
 import (
@@ -13,7 +13,7 @@
 // Key identifies a request within one entry.
 type Key uint64
 
-// Request is what the queue knows of a request.
+// Request holds the attributes of a request on which decisions depend.
 type Request struct {
 	Key      Key
 	Class    model.Class
@@ -22,11 +22,11 @@
 	Deadline time.Time
 }
 
-// Count is a number of requests by whether their class was long when they
-// were dispatched.
+// Count counts requests of short and of long classes. The class counts as it
+// was at dispatch.
 type Count struct{ Short, Long int }
 
-// Add changes the count of one kind.
+// Add adds n, which may be negative, to one of the counts.
 func (c *Count) Add(long bool, n int) {
 	if long {
 		c.Long += n
@@ -35,26 +35,25 @@
 	}
 }
 
-// Load is what an entry has in progress at the backend servers of a service:
-// the requests that it sent, and those of them that hold a slot. Slots is what
-// the ready backend servers have, for all entries.
+// Load describes the requests of an entry that are in progress at the backend
+// servers of a service.
 type Load struct {
-	Sent, Started Count
-	Instances     int // backend servers of the service
-	Slots         int
+	Sent, Started Count // Started: those of the requests sent that hold a slot
+	Instances     int   // backend servers of the service
+	Slots         int   // of the ready backend servers, shared by all entries
 }
 
-// Refusal says why a request is not queued or was dropped from the queue. A
-// refused request was never sent.
+// Refusal is the reason why a request was not queued or was removed from the
+// queue. A refused request was never sent.
 type Refusal uint8
 
 // Reasons for a refusal.
 const (
 	Accepted         Refusal = iota
-	RefusedFull              // the queue or the tenant's share of it is full
-	RefusedLate              // it could not start in time, or would make others late
-	RefusedNoBackend         // there is no backend server to wait for
-	RefusedExpired           // the deadline came while it was queued
+	RefusedFull              // the queue is full, or the retry budget is exhausted
+	RefusedLate              // the request or one that is queued would miss its deadline
+	RefusedNoBackend         // the service has no backend server
+	RefusedExpired           // the request could no longer meet its deadline while it was queued
 )
 
 // Options are the bounds of a queue. The zero value of a field selects its
@@ -65,12 +64,14 @@
 
 const (
 	defaultMaxQueued = 10_000
-	// Part of the requests in progress that admission counts on as slots. Some
-	// wait at an agent as look-ahead, and the estimates of cost lag. At twice
-	// the capacity 0.9 refused 1,611 of 38,488 requests later than 50 ms after
-	// their arrival, 0.7 refused 123 and 0.5 refused 4, with goodput between 0.993 and 1.005.
-	speedShare  = 0.5
-	speedMemory = 20 * time.Millisecond // of the smoothed speed
+	// servingSlotsShare is the share of servingSlots on which admission relies.
+	// Some requests in progress wait at an agent as look-ahead, and the
+	// estimates of slot times lag. At twice the capacity, a share of 0.9
+	// refused 1,611 of 38,488 requests later than 50 ms after their arrival,
+	// 0.7 refused 123 and 0.5 refused 4, with goodput between 0.993 and 1.005.
+	servingSlotsShare = 0.5
+	// smoothingTime is the time constant of the smoothing of servingSlots.
+	smoothingTime = 20 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
@@ -80,202 +81,211 @@
 	return o
 }
 
-// Queue holds the queued requests of one service at one entry. It belongs to
-// one actor.
+// Queue holds the queued requests of one service at one entry. It must be used
+// by one goroutine only.
 type Queue struct {
-	opts    Options
-	bands   [2]band // short, long
-	index   map[Key]*node
-	free    []*node
-	classes *ClassEstimates
-	speed   [2]float64 // slots that serve each band, smoothed
-	learned time.Time  // when speed was updated
-	origin  time.Time  // of the profiles' buckets
+	opts           Options
+	queues         [2]fairQueue // index: shortQueue, longQueue
+	index          map[Key]*queuedRequest
+	freeList       []*queuedRequest
+	classes        *ClassEstimates
+	servingSlots   [2]float64 // smoothed number of slots that serve each fair queue
+	slotsUpdatedAt time.Time  // when servingSlots was updated
+	origin         time.Time  // start of bucket 0 of the profiles
 }
 
 const (
-	shortBand = iota
-	longBand
+	shortQueue = iota
+	longQueue
 )
 
 // NewQueue returns an empty queue that takes its estimates from classes.
 func NewQueue(opts Options, classes *ClassEstimates) *Queue {
-	return &Queue{opts: opts.withDefaults(), index: map[Key]*node{}, classes: classes}
+	return &Queue{opts: opts.withDefaults(), index: map[Key]*queuedRequest{}, classes: classes}
 }
 
 // Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.index) }
 
 // ShortLen returns the number of queued requests of short classes.
-func (q *Queue) ShortLen() int { return q.bands[shortBand].size }
+func (q *Queue) ShortLen() int { return q.queues[shortQueue].size }
 
-// EarliestDeadline returns the earliest deadline of the queued requests.
+// EarliestDeadline returns the earliest deadline among the requests that each
+// tenant has to start first; false if no request is queued.
 func (q *Queue) EarliestDeadline() (time.Time, bool) {
 	var first time.Time
-	for i := range q.bands {
-		if at, ok := q.bands[i].tightest(); ok && (first.IsZero() || at.Before(first)) {
+	for i := range q.queues {
+		if at, ok := q.queues[i].earliestDeadline(); ok && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// Admit queues a request, or refuses it when it could not be started early
-// enough to end before its deadline, or would make another one late. load is
-// what the entry has in progress; idle says that a slot is free for this one now.
+// Admit queues a request and returns Accepted. It returns the reason for a
+// refusal when the queue is full, or when this request or another one would
+// miss its deadline. load describes the requests in progress. When idle is set
+// a slot is free for the request and it is always accepted.
 func (q *Queue) Admit(now time.Time, r Request, load Load, idle bool) Refusal {
-	n := q.node()
-	q.describe(n, r)
+	item := q.newQueuedRequest()
+	q.prepare(item, r)
 	if !idle {
-		q.learnSpeed(now, load)
-		if why := q.refuse(now, n); why != Accepted {
-			q.free = append(q.free, n)
-			return why
+		q.updateServingSlots(now, load)
+		if refusal := q.checkAdmission(now, item); refusal != Accepted {
+			q.freeList = append(q.freeList, item)
+			return refusal
 		}
 	}
-	q.push(now, n)
+	q.push(now, item)
 	return Accepted
 }
 
-func (q *Queue) describe(n *node, r Request) {
-	n.req, n.cost, n.band = r, q.classes.Mean(r.Class), shortBand
-	n.latest = r.Deadline.Add(-q.classes.Typical(r.Class))
+// prepare sets the estimates for a request.
+func (q *Queue) prepare(item *queuedRequest, r Request) {
+	item.req, item.cost, item.queueIndex = r, q.classes.Mean(r.Class), shortQueue
+	item.latestStart = r.Deadline.Add(-q.classes.P95(r.Class))
 	if q.classes.IsLong(r.Class) {
-		n.band = longBand
+		item.queueIndex = longQueue
 	}
 }
 
-func (q *Queue) push(now time.Time, n *node) {
+func (q *Queue) push(now time.Time, item *queuedRequest) {
 	if q.origin.IsZero() {
 		q.origin = now
 	}
-	q.index[n.req.Key] = n
-	q.bands[n.band].push(n, bucketAt(q.origin, now), bucketAt(q.origin, n.latest))
+	q.index[item.req.Key] = item
+	q.queues[item.queueIndex].push(item, bucketAt(q.origin, now), bucketAt(q.origin, item.latestStart))
 }
 
-// learnSpeed follows the slots that serve each band. The requests sent are
-// the first guess, because the agents' word that they started takes a round
-// trip; they are too many for good, because some wait at agents.
-func (q *Queue) learnSpeed(now time.Time, load Load) {
-	weight := 1 - math.Exp(-now.Sub(q.learned).Seconds()/speedMemory.Seconds())
-	q.learned = now
-	q.learnBand(shortBand, weight, load.Slots, load.Sent.Short, load.Started.Short)
-	q.learnBand(longBand, weight, load.Slots/2, load.Sent.Long, load.Started.Long)
-	// An entry that has just started, or was idle, has little in progress, but
-	// each backend server lends it a slot as soon as it has a queue.
-	for i := range q.speed {
-		q.speed[i] = max(q.speed[i], float64(load.Instances))
+// updateServingSlots updates the estimate of the slots that serve each fair
+// queue. The number of started requests is known only after a round trip, so
+// the first estimate is the number of requests sent. That is too high in the
+// long run, because some requests wait at agents.
+func (q *Queue) updateServingSlots(now time.Time, load Load) {
+	weight := 1 - math.Exp(-now.Sub(q.slotsUpdatedAt).Seconds()/smoothingTime.Seconds())
+	q.slotsUpdatedAt = now
+	q.updateQueueSlots(shortQueue, weight, load.Slots, load.Sent.Short, load.Started.Short)
+	q.updateQueueSlots(longQueue, weight, load.Slots/2, load.Sent.Long, load.Started.Long)
+	// An entry that has just started, or was idle, has few requests in
+	// progress, but each backend server grants it a credit as soon as it has
+	// a queue.
+	for i := range q.servingSlots {
+		q.servingSlots[i] = max(q.servingSlots[i], float64(load.Instances))
 	}
 }
 
-func (q *Queue) learnBand(band int, weight float64, slots, sent, started int) {
-	if sent == 0 || q.bands[band].size == 0 {
-		// The requests in progress tell how many slots there are only while
-		// others wait. Taken for the slots, they refused bursts although most
-		// slots were free: agents lend them once they hear of the demand.
-		q.speed[band] = float64(max(slots, sent, 1))
+func (q *Queue) updateQueueSlots(queue int, weight float64, slots, sent, started int) {
+	if sent == 0 || q.queues[queue].size == 0 {
+		// Without queued requests, the number of requests in progress does
+		// not show how many slots can be had: agents grant more credits once
+		// they receive the demand. Using it refused bursts although most
+		// slots were free.
+		q.servingSlots[queue] = float64(max(slots, sent, 1))
 		return
 	}
-	if q.speed[band] < 1 {
-		q.speed[band] = float64(sent)
+	if q.servingSlots[queue] < 1 {
+		q.servingSlots[queue] = float64(sent)
 		return
 	}
-	q.speed[band] += (float64(started) - q.speed[band]) * weight
+	q.servingSlots[queue] += (float64(started) - q.servingSlots[queue]) * weight
 }
 
-func (q *Queue) refuse(now time.Time, n *node) Refusal {
+// checkAdmission returns Accepted or the reason to refuse the request.
+func (q *Queue) checkAdmission(now time.Time, item *queuedRequest) Refusal {
 	if len(q.index) >= q.opts.MaxQueued {
 		return RefusedFull
 	}
-	if !now.Before(n.latest) {
+	if !now.Before(item.latestStart) {
 		return RefusedLate
 	}
-	b := &q.bands[n.band]
-	t := b.tenants[n.req.Tenant]
-	if t == nil || t.pos < 0 {
+	f := &q.queues[item.queueIndex]
+	t := f.tenants[item.req.Tenant]
+	if t == nil || t.activeIndex < 0 {
 		return Accepted // its first request is served after at most one of each other tenant
 	}
 	at := bucketAt(q.origin, now)
 	t.work.advance(at)
 	offset := now.Sub(q.origin) - time.Duration(at)*bucketWidth
-	speed := q.speed[n.band] * speedShare / float64(len(b.active))
-	if !t.work.feasible(bucketAt(q.origin, n.latest), offset, n.cost, speed) {
+	slots := q.servingSlots[item.queueIndex] * servingSlotsShare / float64(len(f.active))
+	if !t.work.feasible(bucketAt(q.origin, item.latestStart), offset, item.cost, slots) {
 		return RefusedLate
 	}
 	return Accepted
 }
 
-// Requeue puts a request back that was offered but certainly not run. It is
-// not refused for the expected wait, because it has waited already.
+// Requeue queues a request again that was dispatched and certainly not run. It
+// is always accepted, because it was admitted before.
 func (q *Queue) Requeue(now time.Time, r Request) { q.Admit(now, r, Load{}, true) }
 
-// Withdraw removes a queued request. It returns false when the request is not
-// queued, for instance because it was dispatched.
+// Withdraw removes a request from the queue. It returns false when the request
+// is not queued, for instance because it was dispatched.
 func (q *Queue) Withdraw(k Key) bool {
-	n, ok := q.index[k]
+	item, ok := q.index[k]
 	if !ok {
 		return false
 	}
-	q.bands[n.band].remove(n)
-	q.release(n)
+	q.queues[item.queueIndex].remove(item)
+	q.release(item)
 	return true
 }
 
-// Next removes and returns the request that gets a slot now. mayLong says
-// that the slot may be used for a long class. Requests whose deadline leaves
-// no time to run are passed to drop and skipped.
-func (q *Queue) Next(now time.Time, mayLong bool, drop func(Request, Refusal)) (Request, bool) {
+// Next removes and returns the request that gets the free slot; false if there
+// is none. allowLong permits requests of long classes. Requests that can no
+// longer meet their deadline are removed and passed to drop.
+func (q *Queue) Next(now time.Time, allowLong bool, drop func(Request, Refusal)) (Request, bool) {
 	for {
-		n := q.pick(mayLong)
-		if n == nil {
+		item := q.peek(allowLong)
+		if item == nil {
 			return Request{}, false
 		}
-		r := n.req
-		if now.After(n.latest) { // it gets no slot time, so its tenant is not charged
-			q.bands[n.band].remove(n)
-			q.release(n)
+		r := item.req
+		if now.After(item.latestStart) { // removed without charging the tenant, as it uses no slot time
+			q.queues[item.queueIndex].remove(item)
+			q.release(item)
 			drop(r, RefusedExpired)
 			continue
 		}
-		q.bands[n.band].take(n)
-		q.release(n)
+		q.queues[item.queueIndex].dequeue(item)
+		q.release(item)
 		return r, true
 	}
 }
 
-// shortWeight is how much slot time the short band gets for each unit of the
-// long band while both wait for the same slot. Long work holds its slots far
-// longer, so even a small share keeps it progressing.
+// shortWeight is the slot time that requests of short classes get for each unit
+// that those of long classes get, while both are queued. Long requests hold
+// their slots far longer, so even a small share keeps them progressing.
 const shortWeight = 4
 
-// pick chooses the band by the slot time that it has used, then the tenant
-// by fair share, then the earliest deadline.
-func (q *Queue) pick(mayLong bool) *node {
-	short, long := &q.bands[shortBand], &q.bands[longBand]
+// peek returns the request to serve next, or nil. It chooses between short and
+// long classes by weighted slot time, then the tenant by fair share, then the
+// request that has to start first.
+func (q *Queue) peek(allowLong bool) *queuedRequest {
+	short, long := &q.queues[shortQueue], &q.queues[longQueue]
 	switch {
-	case short.size == 0 && (long.size == 0 || !mayLong):
+	case short.size == 0 && (long.size == 0 || !allowLong):
 		return nil
 	case short.size == 0:
-		return long.pick()
-	case long.size == 0 || !mayLong:
-		return short.pick()
+		return long.peek()
+	case long.size == 0 || !allowLong:
+		return short.peek()
 	case long.used*shortWeight < short.used:
-		return long.pick()
+		return long.peek()
 	}
-	return short.pick()
+	return short.peek()
 }
 
-func (q *Queue) node() *node {
-	if n := len(q.free); n > 0 {
-		last := q.free[n-1]
-		q.free = q.free[:n-1]
+func (q *Queue) newQueuedRequest() *queuedRequest {
+	if n := len(q.freeList); n > 0 {
+		last := q.freeList[n-1]
+		q.freeList = q.freeList[:n-1]
 		return last
 	}
-	return &node{}
+	return &queuedRequest{}
 }
 
-func (q *Queue) release(n *node) {
-	delete(q.index, n.req.Key)
-	*n = node{}
-	q.free = append(q.free, n)
+// release removes a request from the index and keeps its memory for reuse.
+func (q *Queue) release(item *queuedRequest) {
+	delete(q.index, item.req.Key)
+	*item = queuedRequest{}
+	q.freeList = append(q.freeList, item)
 }
--- a/internal/policy/dispatch/queue_test.go
+++ b/internal/policy/dispatch/queue_test.go
@@ -13,8 +13,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// learned returns classes with known lengths.
-func learned(means map[model.Class]time.Duration) *ClassEstimates {
+// newEstimates returns estimates in which the given classes are known.
+func newEstimates(means map[model.Class]time.Duration) *ClassEstimates {
 	c := NewClassEstimates()
 	for name, d := range means {
 		for range minSamples {
@@ -28,15 +28,16 @@
 	return Request{Key: key, Class: "read", Tenant: tenant, Arrived: epoch, Deadline: epoch.Add(deadline)}
 }
 
-func noDrop(t require.TestingT) func(Request, Refusal) {
-	return func(r Request, why Refusal) { assert.Fail(t, "dropped", "%v: %v", r, why) }
+func failOnDrop(t require.TestingT) func(Request, Refusal) {
+	return func(r Request, refusal Refusal) { assert.Fail(t, "dropped", "%v: %v", r, refusal) }
 }
 
-// Guards against requests that are lost, served twice, served after their
-// withdrawal, or served out of deadline order within a tenant and class.
-func TestQueueServesEachOnceInDeadlineOrder(t *testing.T) {
+// Guards against requests that are lost, dispatched twice, dispatched after
+// they were withdrawn, or dispatched out of deadline order within a tenant and
+// class.
+func TestQueueDispatchesOnceInDeadlineOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(Options{}, learned(map[model.Class]time.Duration{"read": 10 * time.Millisecond}))
+		q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond}))
 		queued := map[Key]Request{}
 		next := Key(0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -50,20 +51,20 @@
 			},
 			"withdraw": func(t *rapid.T) {
 				k := Key(rapid.Uint64Range(1, uint64(next)+1).Draw(t, "key"))
-				_, there := queued[k]
-				assert.Equal(t, there, q.Withdraw(k))
+				_, want := queued[k]
+				assert.Equal(t, want, q.Withdraw(k))
 				delete(queued, k)
 			},
 			"next": func(t *rapid.T) {
-				r, ok := q.Next(epoch, true, noDrop(t))
+				r, ok := q.Next(epoch, true, failOnDrop(t))
 				assert.Equal(t, len(queued) > 0, ok)
 				if !ok {
 					return
 				}
 				assert.Contains(t, queued, r.Key)
 				delete(queued, r.Key)
-				for _, o := range queued {
-					assert.False(t, o.Tenant == r.Tenant && o.Deadline.Before(r.Deadline), "%v before %v", r, o)
+				for _, other := range queued {
+					assert.False(t, other.Tenant == r.Tenant && other.Deadline.Before(r.Deadline), "%v before %v", r, other)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -76,18 +77,19 @@
 				}
 				at, ok := q.EarliestDeadline()
 				assert.Equal(t, len(queued) > 0, ok)
-				assert.True(t, at.Equal(first), "tightest %v, want %v", at, first)
+				assert.True(t, at.Equal(first), "earliest deadline %v, want %v", at, first)
 			},
 		})
 	})
 }
 
-// Guards against a heavy tenant that crowds out a light one: while both wait,
-// their slot times differ by no more than one request of each.
+// Guards against a tenant with many requests that gets more slot time than one
+// with few: while both have queued requests, their slot times differ by at most
+// one request of each.
 func TestTenantsShareSlotTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		means := map[model.Class]time.Duration{"read": 10 * time.Millisecond, "roster": 100 * time.Millisecond}
-		classes := learned(means)
+		classes := newEstimates(means)
 		classes.SetLong("roster", false)
 		q := NewQueue(Options{}, classes)
 		key := Key(0)
@@ -104,7 +106,7 @@
 		}
 		used := map[model.Tenant]time.Duration{}
 		for left["heavy"] > 0 && left["light"] > 0 {
-			r, ok := q.Next(epoch, true, noDrop(t))
+			r, ok := q.Next(epoch, true, failOnDrop(t))
 			require.True(t, ok)
 			left[r.Tenant]--
 			used[r.Tenant] += means[r.Class]
@@ -114,10 +116,10 @@
 	})
 }
 
-// Guards against a tenant that pays with its share for requests that were
-// dropped unserved, and so gets less than another one afterwards.
+// Guards against a tenant that is charged for requests that were dropped
+// without running, and so gets less slot time than another tenant afterwards.
 func TestDroppedRequestsAreNotCharged(t *testing.T) {
-	q := NewQueue(Options{}, learned(map[model.Class]time.Duration{"read": 10 * time.Millisecond}))
+	q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond}))
 	for k := range Key(50) {
 		require.Equal(t, Accepted, q.Admit(epoch, request(k, "late", 20*time.Millisecond), Load{}, true))
 	}
@@ -136,13 +138,13 @@
 	assert.InDelta(t, served["late"], served["other"], 1)
 }
 
-// Guards against admission of more work than can start in time, and against
-// refusal of work for which there is room.
+// Guards against the admission of more requests than can meet their deadlines,
+// and against the refusal of requests for which there is capacity.
 func TestAdmissionIsFeasible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const mean = 10 * time.Millisecond
 		slots := rapid.IntRange(2, 64).Draw(t, "slots")
-		q := NewQueue(Options{}, learned(map[model.Class]time.Duration{"read": mean}))
+		q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": mean}))
 		load := Load{Sent: Count{Short: slots}, Started: Count{Short: slots}}
 		wait := time.Duration(rapid.IntRange(100, 2000).Draw(t, "wait")) * time.Millisecond
 		admitted, refused := 0, 0
@@ -157,16 +159,16 @@
 			}
 		}
 		// Each slot serves wait/mean requests until the deadline.
-		room := float64(slots) * float64(wait) / float64(mean)
-		assert.LessOrEqual(t, float64(admitted), min(room, defaultMaxQueued)+1)
-		assert.GreaterOrEqual(t, float64(admitted), min(0.3*room, defaultMaxQueued)-float64(8*slots)-1)
+		capacity := float64(slots) * float64(wait) / float64(mean)
+		assert.LessOrEqual(t, float64(admitted), min(capacity, defaultMaxQueued)+1)
+		assert.GreaterOrEqual(t, float64(admitted), min(0.3*capacity, defaultMaxQueued)-float64(8*slots)-1)
 	})
 }
 
-// Guards against a request that is admitted although its deadline leaves no
-// time to run it, and against a queue without a bound.
+// Guards against the admission of a request that can no longer meet its
+// deadline, and against a queue without a bound.
 func TestAdmissionBounds(t *testing.T) {
-	q := NewQueue(Options{MaxQueued: 3}, learned(map[model.Class]time.Duration{"read": 100 * time.Millisecond}))
+	q := NewQueue(Options{MaxQueued: 3}, newEstimates(map[model.Class]time.Duration{"read": 100 * time.Millisecond}))
 	assert.Equal(t, RefusedLate, q.Admit(epoch, request(1, "a", 50*time.Millisecond), Load{}, false))
 	busy := Load{Sent: Count{Short: 8}, Started: Count{Short: 8}}
 	for k := range Key(3) {
@@ -175,25 +177,25 @@
 	assert.Equal(t, RefusedFull, q.Admit(epoch, request(20, "a", time.Hour), busy, false))
 }
 
-// Guards against an entry that refuses a burst because it has nothing in
-// progress yet, although the backend servers would lend it slots.
-func TestColdEntryAdmitsABurst(t *testing.T) {
+// Guards against an entry that refuses a burst because no request is in
+// progress yet, although the agents would grant it credits.
+func TestIdleEntryAdmitsBurst(t *testing.T) {
 	q := NewQueue(Options{}, NewClassEstimates())
 	for k := range Key(28) {
 		assert.Equal(t, Accepted, q.Admit(epoch, request(k, "a", 10*time.Second), Load{Instances: 3}, false))
 	}
 	for range 28 {
-		q.Next(epoch, true, noDrop(t))
+		q.Next(epoch, true, failOnDrop(t))
 	}
 	for k := range Key(28) {
 		assert.Equal(t, Accepted, q.Admit(epoch.Add(time.Minute), request(k, "a", 70*time.Second), Load{Instances: 3}, false))
 	}
 }
 
-// Guards against short requests that wait behind long ones, and against long
-// ones that never run while short ones keep coming.
-func TestBandsShareAndMayLong(t *testing.T) {
-	q := NewQueue(Options{}, learned(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "watch": time.Second}))
+// Guards against short requests that are delayed by long ones, and against long
+// ones that never run while more short ones arrive.
+func TestShortAndLongClassesShareSlots(t *testing.T) {
+	q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "watch": time.Second}))
 	for k := range Key(500) {
 		require.Equal(t, Accepted, q.Admit(epoch, request(k, "a", time.Hour), Load{}, true))
 	}
@@ -204,44 +206,44 @@
 	}
 	long := 0
 	for range 450 {
-		r, ok := q.Next(epoch, true, noDrop(t))
+		r, ok := q.Next(epoch, true, failOnDrop(t))
 		require.True(t, ok)
 		if r.Class == "watch" {
 			long++
 		}
 	}
 	assert.InDelta(t, 2, long, 1, "one second of long work for four of short work")
-	for r, ok := q.Next(epoch, false, noDrop(t)); ok; r, ok = q.Next(epoch, false, noDrop(t)) {
+	for r, ok := q.Next(epoch, false, failOnDrop(t)); ok; r, ok = q.Next(epoch, false, failOnDrop(t)) {
 		assert.Equal(t, model.Class("read"), r.Class)
 	}
 	assert.Positive(t, q.Len(), "long requests stay queued while no slot allows them")
 }
 
-// Guards against work that stays in the admission profile after its request
-// has left, or leaves it twice: admission would drift for ever.
-func TestProfileBalances(t *testing.T) {
+// Guards against a profile that still counts the work of a removed request, or
+// subtracts it twice: the error would accumulate in all later admissions.
+func TestProfileMatchesQueuedWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
 			due  int64
 			cost time.Duration
 		}
 		var p profile
-		var held []entry
+		var entries []entry
 		now := int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += int64(rapid.IntRange(0, 300).Draw(t, "passed"))
 			p.advance(now)
-			if len(held) > 0 && rapid.Bool().Draw(t, "remove") {
-				i := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				p.remove(held[i].due, held[i].cost)
-				held = append(held[:i], held[i+1:]...)
+			if len(entries) > 0 && rapid.Bool().Draw(t, "remove") {
+				i := rapid.IntRange(0, len(entries)-1).Draw(t, "which")
+				p.remove(entries[i].due, entries[i].cost)
+				entries = append(entries[:i], entries[i+1:]...)
 			} else {
 				e := entry{cost: time.Duration(rapid.IntRange(1, 1000).Draw(t, "cost"))}
 				e.due = p.add(now+int64(rapid.IntRange(-5, 400).Draw(t, "latest")), e.cost)
-				held = append(held, e)
+				entries = append(entries, e)
 			}
 			var want, sum time.Duration
-			for _, e := range held {
+			for _, e := range entries {
 				want += e.cost
 			}
 			for _, w := range p.work {
