--- a/internal/taskagent/taskagent.go
+++ b/internal/taskagent/taskagent.go
@@ -146,32 +146,32 @@
 
 // callTask makes a call that concerns one attempt.
 func (a *agent) callTask(effect Effect) {
-	host := a.cfg.Client
+	client := a.cfg.Client
 	switch effect := effect.(type) {
 	case CallStart:
 		a.callLeased(StartCall, effect.Request.Attempt, effect.Until, func(ctx context.Context, d time.Duration) error {
 			r := effect.Request
 			r.Lease = d
-			return host.Start(ctx, r)
+			return client.Start(ctx, r)
 		})
 	case CallRenew:
 		a.callLeased(RenewCall, effect.Attempt, effect.Until, func(ctx context.Context, d time.Duration) error {
-			return host.Renew(ctx, effect.Attempt, d)
+			return client.Renew(ctx, effect.Attempt, d)
 		})
 	case CallStop:
 		a.call(callTimeout, func(ctx context.Context) Event {
-			return newCallResult(StopCall, effect.Attempt, host.Stop(ctx, effect.Attempt))
+			return newCallResult(StopCall, effect.Attempt, client.Stop(ctx, effect.Attempt))
 		})
 	case CallThrottle:
 		a.call(callTimeout, func(ctx context.Context) Event {
-			return newCallResult(ThrottleCall, effect.Attempt, host.Throttle(ctx, effect.Attempt, effect.Percent))
+			return newCallResult(ThrottleCall, effect.Attempt, client.Throttle(ctx, effect.Attempt, effect.Percent))
 		})
 	case CallCheckpoint:
 		a.call(checkpointTimeout, func(ctx context.Context) Event {
-			name, err := host.Checkpoint(ctx, effect.Attempt)
-			a := newCallResult(CheckpointCall, effect.Attempt, err)
-			a.Checkpoint = name
-			return a
+			name, err := client.Checkpoint(ctx, effect.Attempt)
+			result := newCallResult(CheckpointCall, effect.Attempt, err)
+			result.Checkpoint = name
+			return result
 		})
 	}
 }
