--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -22,18 +22,18 @@
 	// at once.
 	backoffDecay = 4
 
-	budgetBurst   = 10  // retries without a success
-	budgetPerOp   = 0.1 // retries earned by a success
-	budgetPerTime = 0.5 // retries earned per second
+	budgetBurst      = 10  // retries without a success
+	budgetPerSuccess = 0.1 // retries earned by a success
+	budgetPerSecond  = 0.5 // retries earned per second
 )
 
 // Backoff decides how long to wait between operations at a service. It is
 // pure: the caller gives the time and waits. It belongs to one actor.
 type Backoff struct {
-	delay  time.Duration // 0 while the service is healthy
-	tokens float64       // retry budget
-	last   time.Time     // when tokens was brought up to date
-	random func() float64
+	delay    time.Duration // 0 while the service is healthy
+	tokens   float64       // retry budget
+	refilled time.Time     // when tokens was brought up to date
+	random   func() float64
 }
 
 // NewBackoff returns a Backoff with a full retry budget. random returns values
@@ -53,12 +53,12 @@
 // MaxBackoff. Each retry takes a token of the budget; once it is spent, the
 // wait lasts at least until a token has been earned.
 func (b *Backoff) Failure(now time.Time) time.Duration {
-	b.earn(now, 0)
+	b.refill(now, 0)
 	upper := min(max(b.delay, MinBackoff)*backoffGrowth, MaxBackoff)
 	b.delay = MinBackoff + time.Duration(b.random()*float64(upper-MinBackoff))
 	b.tokens--
 	if b.tokens < 0 {
-		return max(b.delay, time.Duration(-b.tokens/budgetPerTime*float64(time.Second)))
+		return max(b.delay, time.Duration(-b.tokens/budgetPerSecond*float64(time.Second)))
 	}
 	return b.delay
 }
@@ -66,7 +66,7 @@
 // Success notes a successful operation and returns how long to pause before
 // the next one; 0 once the service has been healthy for a few operations.
 func (b *Backoff) Success(now time.Time) time.Duration {
-	b.earn(now, budgetPerOp)
+	b.refill(now, budgetPerSuccess)
 	b.delay /= backoffDecay
 	if b.delay < MinBackoff {
 		b.delay = 0
@@ -74,10 +74,10 @@
 	return time.Duration(b.random() * float64(b.delay))
 }
 
-func (b *Backoff) earn(now time.Time, more float64) {
-	if !b.last.IsZero() {
-		more += now.Sub(b.last).Seconds() * budgetPerTime
+func (b *Backoff) refill(now time.Time, added float64) {
+	if !b.refilled.IsZero() {
+		added += now.Sub(b.refilled).Seconds() * budgetPerSecond
 	}
-	b.last = now
-	b.tokens = min(b.tokens+more, budgetBurst)
+	b.refilled = now
+	b.tokens = min(b.tokens+added, budgetBurst)
 }
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -34,16 +34,16 @@
 // clashes reports whether two operations must not share a transaction: the
 // later one has to see the effect of the earlier one on the row, or they
 // expect different versions.
-func (a access) clashes(b access) bool {
+func (a access) conflictsWith(b access) bool {
 	return a.write || b.write || a.version != b.version
 }
 
 // pending is an operation that waits for its outcome. It belongs to the
 // writer's actor once it was sent there.
 type pending struct {
-	op    Op
-	rows  map[string]access
-	alone bool // must not share a transaction
+	op       Op
+	rows     map[string]access
+	separate bool // must not share a transaction
 	// The caller no longer waits and was told that the outcome is unknown.
 	withdrawn bool
 	reply     actor.Reply[WriteResult]
@@ -98,46 +98,46 @@
 // so does every later one that clashes with it.
 func selectBatch(queue []*pending) (batch, rest []*pending) {
 	rows := map[string]access{}
-	passed := map[string]access{} // rows of the operations that stay
+	skipped := map[string]access{} // rows of the operations that stay
 	for i, p := range queue {
-		if len(rows) >= MaxTxnRows-1 || p.alone && len(batch) > 0 {
+		if len(rows) >= MaxTxnRows-1 || p.separate && len(batch) > 0 {
 			return batch, append(rest, queue[i:]...)
 		}
-		if !fits(p, rows, passed) {
+		if !fits(p, rows, skipped) {
 			rest = append(rest, p)
-			addRows(passed, p)
+			addRows(skipped, p)
 			continue
 		}
 		batch = append(batch, p)
 		addRows(rows, p)
-		if p.alone {
+		if p.separate {
 			return batch, append(rest, queue[i+1:]...)
 		}
 	}
 	return batch, rest
 }
 
-func fits(p *pending, rows, passed map[string]access) bool {
-	more := 0
+func fits(p *pending, rows, skipped map[string]access) bool {
+	added := 0
 	for key, a := range p.rows {
-		taken, ok := rows[key]
-		if ok && a.clashes(taken) {
+		chosen, ok := rows[key]
+		if ok && a.conflictsWith(chosen) {
 			return false
 		}
-		if before, ok := passed[key]; ok && a.clashes(before) {
+		if earlier, ok := skipped[key]; ok && a.conflictsWith(earlier) {
 			return false
 		}
 		if !ok {
-			more++
+			added++
 		}
 	}
-	return len(rows)+more < MaxTxnRows
+	return len(rows)+added < MaxTxnRows
 }
 
 func addRows(rows map[string]access, p *pending) {
 	for key, a := range p.rows {
-		if old, ok := rows[key]; ok {
-			a.write = a.write || old.write || a.version != old.version
+		if other, ok := rows[key]; ok {
+			a.write = a.write || other.write || a.version != other.version
 		}
 		rows[key] = a
 	}
--- a/internal/storage/http.go
+++ b/internal/storage/http.go
@@ -79,11 +79,11 @@
 // ErrUnavailable when the request was certainly not sent, else ErrOutcomeUnknown;
 // after the end of ctx it matches the context's error as well.
 func (c *HTTPClient) Do(ctx context.Context, r Request) (Response, error) {
-	limited, cancel := context.WithTimeout(ctx, c.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(limited, trace), r.Method, c.base+r.Path, bytes.NewReader(r.Body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(callCtx, trace), r.Method, c.base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return Response{}, errors.Wrapf(ErrRefused, "%v", err)
 	}
@@ -92,19 +92,19 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		var dial *net.OpError
-		sent := connected && !(errors.As(err, &dial) && dial.Op == "dial")
+		var opErr *net.OpError
+		sent := connected && !(errors.As(err, &opErr) && opErr.Op == "dial")
 		return Response{}, transportError(ctx, sent, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
-	if err == nil && len(raw) > maxResponseBytes {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
 		err = errors.Newf("response is larger than %d bytes", maxResponseBytes)
 	}
 	if err != nil {
 		return Response{}, transportError(ctx, true, err)
 	}
-	return Response{resp.StatusCode, raw}, nil
+	return Response{resp.StatusCode, body}, nil
 }
 
 func transportError(ctx context.Context, sent bool, cause error) error {
--- a/internal/storage/http_table.go
+++ b/internal/storage/http_table.go
@@ -30,21 +30,21 @@
 	if err != nil {
 		return 0, err
 	}
-	var a struct {
+	var answer struct {
 		Revision Revision `json:"revision"`
 		Failed   []string `json:"failed"`
 	}
 	switch r.Status {
 	case http.StatusOK:
-		if err := json.Unmarshal(r.Body, &a); err != nil || a.Revision == 0 {
+		if err := json.Unmarshal(r.Body, &answer); err != nil || answer.Revision == 0 {
 			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrOutcomeUnknown)
 		}
-		return a.Revision, nil
+		return answer.Revision, nil
 	case http.StatusConflict:
-		if err := json.Unmarshal(r.Body, &a); err != nil || len(a.Failed) == 0 {
+		if err := json.Unmarshal(r.Body, &answer); err != nil || len(answer.Failed) == 0 {
 			return 0, fmt.Errorf("%w: malformed answer to a commit", ErrOutcomeUnknown)
 		}
-		return 0, &ConflictError{Keys: a.Failed}
+		return 0, &ConflictError{Keys: answer.Failed}
 	}
 	return 0, r.Failure()
 }
@@ -58,13 +58,13 @@
 
 // Scan implements Table.
 func (t *HTTPTable) Scan(ctx context.Context, prefix string, after Revision) ([]Row, Revision, error) {
-	var a struct {
+	var answer struct {
 		Rows     []Row    `json:"rows"`
 		Revision Revision `json:"revision"`
 	}
-	q := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(uint64(after), 10)}}
-	err := t.get(ctx, "/v1/rows?"+q.Encode(), &a)
-	return a.Rows, a.Revision, err
+	query := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(uint64(after), 10)}}
+	err := t.get(ctx, "/v1/rows?"+query.Encode(), &answer)
+	return answer.Rows, answer.Revision, err
 }
 
 func (t *HTTPTable) get(ctx context.Context, path string, v any) error {
--- a/internal/storage/poller.go
+++ b/internal/storage/poller.go
@@ -36,9 +36,9 @@
 }
 
 // Poller follows the rows with a prefix. Any goroutine may use it.
-type Poller struct{ to actor.Address[poke] }
+type Poller struct{ to actor.Address[scanRequest] }
 
-type poke struct{}
+type scanRequest struct{}
 
 // SpawnPoller starts a poller in g, which scans at once and then at the
 // interval. It sends the message that build makes from Changes to an actor,
@@ -52,10 +52,10 @@
 	core := &pollerCore{prefix: c.Prefix, interval: c.Interval, backoff: NewBackoff(c.Random),
 		state: pollerChart.Initial(), after: c.After}
 	deliver := func(ctx context.Context, changes Changes) error { return to.Send(ctx, build(changes)) }
-	return Poller{actor.Spawn(g, actor.Spec[poke]{
+	return Poller{actor.Spawn(g, actor.Spec[scanRequest]{
 		// A poke that arrives during a scan waits until after it.
 		Name: "poller " + c.Prefix, Mailbox: 1, Restart: actor.OnFailure,
-		Run: func(ctx context.Context, in <-chan poke) error {
+		Run: func(ctx context.Context, in <-chan scanRequest) error {
 			return (&pollerLoop{config: c, core: core, deliver: deliver}).run(ctx, in)
 		},
 	})}
@@ -63,7 +63,7 @@
 
 // Poke makes the poller scan soon, for example after a write of its rows. It
 // does not wait. While the service is unavailable it has no effect.
-func (p Poller) Poke() { p.to.TrySend(poke{}) }
+func (p Poller) ScanNow() { p.to.TrySend(scanRequest{}) }
 
 // Done is closed when the poller has ended.
 func (p Poller) Done() <-chan struct{} { return p.to.Done() }
@@ -75,45 +75,45 @@
 	deliver func(context.Context, Changes) error
 }
 
-func (l *pollerLoop) run(ctx context.Context, in <-chan poke) error {
+func (l *pollerLoop) run(ctx context.Context, in <-chan scanRequest) error {
 	for ctx.Err() == nil && !pollerChart.Final(l.core.state) {
 		switch l.core.state {
 		case psScanning:
 			l.scan(ctx)
 		case psDelivering:
 			if err := l.deliver(ctx, l.core.scanned); errors.Is(err, actor.ErrStopped) {
-				l.core.step(peRefused, time.Now())
+				l.core.step(peReceiverStopped, time.Now())
 			} else if err == nil {
 				l.core.step(peDelivered, time.Now())
 			}
 		case psWaiting:
 			l.wait(ctx, in)
 		}
-		for _, n := range l.core.notices {
+		for _, n := range l.core.logRecords {
 			event.Log(l.config.Log, n.event, n.fields)
 		}
-		l.core.notices = nil
+		l.core.logRecords = nil
 	}
 	return nil
 }
 
 func (l *pollerLoop) scan(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, upTo, err := l.config.Table.Scan(limited, l.config.Prefix, l.core.after)
-	l.core.result(rows, upTo, err, time.Now())
+	rows, upTo, err := l.config.Table.Scan(callCtx, l.config.Prefix, l.core.after)
+	l.core.handleScan(rows, upTo, err, time.Now())
 }
 
 // wait ends with the delay, a poke that the chart accepts, or ctx.
-func (l *pollerLoop) wait(ctx context.Context, in <-chan poke) {
+func (l *pollerLoop) wait(ctx context.Context, in <-chan scanRequest) {
 	timer := time.NewTimer(l.core.wait)
 	defer timer.Stop()
 	for l.core.state == psWaiting {
 		select {
 		case <-timer.C:
-			l.core.step(peDue, time.Now())
+			l.core.step(peDelayElapsed, time.Now())
 		case <-in:
-			l.core.step(pePoke, time.Now())
+			l.core.step(peScanRequested, time.Now())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/storage/poller_chart.go
+++ b/internal/storage/poller_chart.go
@@ -27,11 +27,11 @@
 // Events of charts/poller.scxml.
 const (
 	peScanned chart.Event = iota
-	peFailed
+	peScanFailed
 	peDelivered
-	peRefused
-	peDue
-	pePoke
+	peReceiverStopped
+	peDelayElapsed
+	peScanRequested
 )
 
 var pollerChart = chart.MustCompile(charts.Files, PollerBinding())
@@ -42,15 +42,15 @@
 	return chart.Binding[pollerCore]{
 		Chart:  "poller",
 		States: []string{"scanning", "delivering", "waiting", "closed"},
-		Events: []string{"scanned", "failed", "delivered", "refused", "due", "poke"},
+		Events: []string{"scanned", "scanFailed", "delivered", "receiverStopped", "delayElapsed", "scanRequested"},
 		Guards: map[string]func(*pollerCore) bool{
 			"regressed": func(p *pollerCore) bool { return p.scanned.UpTo < p.after },
-			"news":      func(p *pollerCore) bool { return p.scanned.First || len(p.scanned.Rows) > 0 },
+			"changed":   func(p *pollerCore) bool { return p.scanned.First || len(p.scanned.Rows) > 0 },
 			"healthy":   func(p *pollerCore) bool { return p.backoff.Healthy() },
 		},
 		Actions: map[string]func(*pollerCore){
 			"accept": (*pollerCore).accept, "schedule": (*pollerCore).schedule,
-			"backOff": (*pollerCore).backOff, "reportRegress": (*pollerCore).reportRegress,
+			"backOff": (*pollerCore).backOff, "reportRegression": (*pollerCore).reportRegression,
 		},
 	}
 }
@@ -58,14 +58,14 @@
 // pollerCore decides what a poller does. It is pure: it is told what happened
 // and when.
 type pollerCore struct {
-	prefix   string
-	interval time.Duration
-	backoff  *Backoff
-	state    chart.State
-	after    Revision // everything up to it was delivered
-	started  bool     // a scan has succeeded
-	wait     time.Duration
-	notices  []notice
+	prefix      string
+	interval    time.Duration
+	backoff     *Backoff
+	state       chart.State
+	after       Revision // everything up to it was delivered
+	scannedOnce bool     // a scan has succeeded
+	wait        time.Duration
+	logRecords  []logRecord
 
 	// Set for the event that is being handled.
 	now     time.Time
@@ -79,13 +79,13 @@
 }
 
 // result handles the answer to a scan.
-func (p *pollerCore) result(rows []Row, upTo Revision, err error, now time.Time) {
+func (p *pollerCore) handleScan(rows []Row, upTo Revision, err error, now time.Time) {
 	if err != nil {
 		p.cause = err
-		p.step(peFailed, now)
+		p.step(peScanFailed, now)
 		return
 	}
-	p.scanned = Changes{Rows: inOrder(rows, p.after, upTo), After: p.after, UpTo: upTo, First: !p.started}
+	p.scanned = Changes{Rows: inOrder(rows, p.after, upTo), After: p.after, UpTo: upTo, First: !p.scannedOnce}
 	p.step(peScanned, now)
 }
 
@@ -102,12 +102,12 @@
 
 // accept notes that everything up to the scan's revision is known.
 func (p *pollerCore) accept() {
-	ill := !p.backoff.Healthy()
+	wasUnhealthy := !p.backoff.Healthy()
 	p.wait = p.backoff.Success(p.now)
-	if ill && p.backoff.Healthy() {
-		p.notice(event.StoreRecovered, log.Fields{})
+	if wasUnhealthy && p.backoff.Healthy() {
+		p.log(event.StoreRecovered, log.Fields{})
 	}
-	p.after, p.started = p.scanned.UpTo, true
+	p.after, p.scannedOnce = p.scanned.UpTo, true
 }
 
 // schedule waits for the interval, or longer while the service recovers.
@@ -118,18 +118,18 @@
 
 func (p *pollerCore) backOff() {
 	if p.backoff.Healthy() && p.cause != nil {
-		p.notice(event.StoreUnavailable, log.Fields{"error": p.cause.Error()})
+		p.log(event.StoreUnavailable, log.Fields{"error": p.cause.Error()})
 	}
 	p.wait = p.backoff.Failure(p.now)
 	p.schedule()
 }
 
-func (p *pollerCore) reportRegress() {
-	p.notice(event.PollRegressed, log.Fields{"revision": p.scanned.UpTo, "known": p.after})
+func (p *pollerCore) reportRegression() {
+	p.log(event.PollRegressed, log.Fields{"revision": p.scanned.UpTo, "known": p.after})
 	p.cause = nil
 }
 
-func (p *pollerCore) notice(e event.Event, f log.Fields) {
+func (p *pollerCore) log(e event.Event, f log.Fields) {
 	f["prefix"] = p.prefix
-	p.notices = append(p.notices, notice{e, f})
+	p.logRecords = append(p.logRecords, logRecord{e, f})
 }
--- a/internal/storage/poller_test.go
+++ b/internal/storage/poller_test.go
@@ -18,7 +18,7 @@
 
 // receive starts an actor that passes on what it is sent. Its mailbox has no
 // room, so that it is slow.
-func receive(g *actor.Group) (actor.Address[storage.Changes], <-chan storage.Changes) {
+func spawnReceiver(g *actor.Group) (actor.Address[storage.Changes], <-chan storage.Changes) {
 	out := make(chan storage.Changes, 1000)
 	return actor.Spawn(g, actor.Spec[storage.Changes]{Name: "receiver", Run: func(ctx context.Context, in <-chan storage.Changes) error {
 		for {
@@ -35,9 +35,9 @@
 // withPoller runs f in virtual time with a poller of the rows "a/...".
 func withPoller(t *testing.T, f func(t *testing.T, table *standin.Table, p storage.Poller, got <-chan storage.Changes)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		table := standin.NewTable(g, standin.StoreFaults{})
-		to, got := receive(g)
+		to, got := spawnReceiver(g)
 		p := storage.SpawnPoller(g, storage.PollerConfig{Table: table, Prefix: "a/", Interval: pollInterval}, to,
 			func(c storage.Changes) storage.Changes { return c })
 		f(t, table, p, got)
@@ -88,7 +88,7 @@
 		before, err := table.State(t.Context())
 		require.NoError(t, err)
 		for range 600 {
-			p.Poke()
+			p.ScanNow()
 			actor.Sleep(t.Context(), time.Second)
 		}
 		after, err := table.State(t.Context())
@@ -103,14 +103,14 @@
 }
 
 // Guards against a poke that is lost because a scan is under way.
-func TestPokeMakesThePollerScan(t *testing.T) {
+func TestScanNowDuringScanIsNotLost(t *testing.T) {
 	withPoller(t, func(t *testing.T, table *standin.Table, p storage.Poller, got <-chan storage.Changes) {
 		<-got
 		synctest.Wait()
 		start := time.Now()
 		for i := range 10 {
 			commit(t, table, put(fmt.Sprint("a/", i)))
-			p.Poke()
+			p.ScanNow()
 			require.Len(t, (<-got).Rows, 1)
 		}
 		require.Zero(t, time.Since(start))
@@ -120,7 +120,7 @@
 // Guards against a poller that outlives its receiver.
 func TestPollerEndsWithItsReceiver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		to := actor.Spawn(g, actor.Spec[storage.Changes]{Name: "receiver", Run: func(context.Context, <-chan storage.Changes) error { return nil }})
 		<-to.Done()
 		p := storage.SpawnPoller(g, storage.PollerConfig{Table: standin.NewTable(g, standin.StoreFaults{}), Interval: time.Second}, to,
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -26,10 +26,10 @@
 	Table Table
 	// Key is the writer's row. No other writer that is alive may use it; a
 	// successor of one that has stopped may.
-	Key    string
-	Queue  int            // operations that may wait; 0: 4096
-	Log    log.Interface  // nil: no log
-	Random func() float64 // for jitter, in [0, 1); nil: math/rand/v2
+	Key       string
+	MaxQueued int            // operations that may wait; 0: 4096
+	Log       log.Interface  // nil: no log
+	Random    func() float64 // for jitter, in [0, 1); nil: math/rand/v2
 }
 
 // Writer writes to the table service with group commit: operations that are
@@ -53,8 +53,8 @@
 
 // SpawnWriter starts a writer in g.
 func SpawnWriter(g *actor.Group, c WriterConfig) Writer {
-	if c.Queue == 0 {
-		c.Queue = defaultWriterQueue
+	if c.MaxQueued == 0 {
+		c.MaxQueued = defaultWriterQueue
 	}
 	if c.Log == nil {
 		c.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
@@ -85,7 +85,7 @@
 	case r := <-p.reply.C():
 		return r.Revision, r.Err
 	case <-w.to.Done():
-		return p.last(ctx)
+		return p.outcomeAfterStop(ctx)
 	case <-ctx.Done():
 	}
 	// The writer never waits for a call, so it answers soon.
@@ -96,11 +96,11 @@
 		case <-w.to.Done():
 		}
 	}
-	return p.last(ctx)
+	return p.outcomeAfterStop(ctx)
 }
 
 // last returns the outcome after the writer has ended.
-func (p *pending) last(ctx context.Context) (Revision, error) {
+func (p *pending) outcomeAfterStop(ctx context.Context) (Revision, error) {
 	select {
 	case r := <-p.reply.C():
 		return r.Revision, withContext(ctx, r.Err)
@@ -142,7 +142,7 @@
 	prefix := fmt.Sprintf("%s/%016x", c.Key, rand.Uint64())
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
-	return &writerLoop{g, c, newWriterCore(c.Key, prefix, c.Queue, NewBackoff(c.Random)), make(chan callResult, 1), timer}
+	return &writerLoop{g, c, newWriterCore(c.Key, prefix, c.MaxQueued, NewBackoff(c.Random)), make(chan callResult, 1), timer}
 }
 
 func (l *writerLoop) run(ctx context.Context, in <-chan writerMessage) error {
@@ -154,26 +154,26 @@
 			if m.withdraw {
 				l.core.withdraw(m.op, time.Now())
 			} else {
-				l.core.offer(m.op, time.Now())
+				l.core.enqueue(m.op, time.Now())
 			}
 		case r := <-l.results:
 			if r.read {
-				l.core.rowRead(r.row, r.err, time.Now())
+				l.core.readReturned(r.row, r.err, time.Now())
 			} else {
-				l.core.committed(r.revision, r.err, time.Now())
+				l.core.commitReturned(r.revision, r.err, time.Now())
 			}
 		case <-l.timer.C:
-			l.core.expired(time.Now())
+			l.core.delayElapsed(time.Now())
 		case <-ctx.Done():
 			return nil
 		}
-		l.perform(l.core.take())
+		l.applyEffects(l.core.takeEffects())
 	}
 }
 
 // perform carries out effects and arms the timer.
-func (l *writerLoop) perform(e effects) {
-	for _, n := range e.notices {
+func (l *writerLoop) applyEffects(e effects) {
+	for _, n := range e.logRecords {
 		event.Log(l.config.Log, n.event, n.fields)
 	}
 	for _, s := range e.settled {
@@ -182,23 +182,23 @@
 	switch {
 	case e.commit != nil:
 		txn := *e.commit
-		l.call(callResult{}, func(ctx context.Context, r *callResult) {
+		l.startCall(callResult{}, func(ctx context.Context, r *callResult) {
 			r.revision, r.err = l.config.Table.Commit(ctx, txn)
 		})
 	case e.read:
-		l.call(callResult{read: true}, func(ctx context.Context, r *callResult) {
+		l.startCall(callResult{read: true}, func(ctx context.Context, r *callResult) {
 			r.row, r.err = l.config.Table.Read(ctx, l.config.Key)
 		})
 	}
-	if l.core.alarm.IsZero() {
+	if l.core.wakeAt.IsZero() {
 		l.timer.Stop()
 	} else {
-		l.timer.Reset(time.Until(l.core.alarm))
+		l.timer.Reset(time.Until(l.core.wakeAt))
 	}
 }
 
 // call runs f, which completes r. If f panics the outcome is unknown.
-func (l *writerLoop) call(r callResult, f func(context.Context, *callResult)) {
+func (l *writerLoop) startCall(r callResult, f func(context.Context, *callResult)) {
 	results := l.results
 	r.err = ErrOutcomeUnknown
 	actor.Go(l.group, "table call", func(ctx context.Context) error {
@@ -214,7 +214,7 @@
 // have not been read are answered if no other run follows.
 func (l *writerLoop) abandon(ctx context.Context, in <-chan writerMessage) {
 	l.core.abandon()
-	for _, s := range l.core.take().settled {
+	for _, s := range l.core.takeEffects().settled {
 		s.op.reply.Put(s.WriteResult)
 	}
 	for ctx.Err() != nil {
--- a/internal/storage/writer_actions.go
+++ b/internal/storage/writer_actions.go
@@ -35,30 +35,30 @@
 // settle reports the outcome of every operation that was under way, after
 // settling took effect at revision.
 func (w *writerCore) settle() {
-	for _, p := range w.settling.ops {
+	for _, p := range w.applied.ops {
 		w.settleOp(p, w.revision, nil)
 	}
-	for _, h := range w.held {
-		if !slices.Contains(w.settling.ops, h.op) {
+	for _, h := range w.deferred {
+		if !slices.Contains(w.applied.ops, h.op) {
 			w.out.settled = append(w.out.settled, h)
 		}
 	}
 	w.version = w.revision
-	w.current, w.settling, w.doubt, w.held = nil, nil, nil, nil
+	w.current, w.applied, w.unconfirmed, w.deferred = nil, nil, nil, nil
 }
 
 // failChecked removes the operations whose preconditions failed from the
 // current transaction. While an earlier version of it is in doubt, they may
 // have taken effect, so they are only held.
-func (w *writerCore) failChecked() {
+func (w *writerCore) failConflicting() {
 	var remaining []*pending
 	for _, p := range w.current.ops {
-		keys := p.failedChecks(w.failed)
+		keys := p.failedChecks(w.failedKeys)
 		switch {
 		case len(keys) == 0:
 			remaining = append(remaining, p)
-		case len(w.doubt) > 0:
-			w.held = append(w.held, settlement{p, WriteResult{Err: &ConflictError{Keys: keys}}})
+		case len(w.unconfirmed) > 0:
+			w.deferred = append(w.deferred, settlement{p, WriteResult{Err: &ConflictError{Keys: keys}}})
 		default:
 			w.settleOp(p, 0, &ConflictError{Keys: keys})
 		}
@@ -69,7 +69,7 @@
 // failRefused reports the only operation of the current transaction as
 // invalid.
 func (w *writerCore) failRefused() {
-	w.notice(event.WriteRefused, w.cause)
+	w.log(event.WriteRefused, w.cause)
 	for _, p := range w.current.ops {
 		w.settleOp(p, 0, w.cause)
 	}
@@ -78,17 +78,17 @@
 
 // divide returns the operations of a refused transaction to the queue, to be
 // sent one by one: one of them is invalid.
-func (w *writerCore) divide() {
+func (w *writerCore) split() {
 	for _, p := range w.current.ops {
-		p.alone = true
+		p.separate = true
 	}
 	w.requeue()
 }
 
 // postpone returns the operations of a transaction that had no effect to the
 // queue, unless an earlier version of it is in doubt.
-func (w *writerCore) postpone() {
-	if len(w.doubt) == 0 {
+func (w *writerCore) requeueUnlessUnconfirmed() {
+	if len(w.unconfirmed) == 0 {
 		w.requeue()
 	}
 }
@@ -100,19 +100,19 @@
 }
 
 // enterDoubt notes that the current transaction may have taken effect.
-func (w *writerCore) enterDoubt() {
-	if !slices.Contains(w.doubt, w.current) {
-		w.doubt = append(w.doubt, w.current)
+func (w *writerCore) markUnconfirmed() {
+	if !slices.Contains(w.unconfirmed, w.current) {
+		w.unconfirmed = append(w.unconfirmed, w.current)
 	}
 }
 
 // adopt accepts the version of a writer's row that someone else has written.
 // What is in doubt stays unknown: it may have been overwritten.
-func (w *writerCore) adopt() {
+func (w *writerCore) adoptVersion() {
 	if w.version != 0 { // a successor finds its predecessor's row
-		w.notice(event.WriterRowMoved, nil)
+		w.log(event.WriterRowMoved, nil)
 	}
-	if len(w.doubt) > 0 {
+	if len(w.unconfirmed) > 0 {
 		w.settleUnknown(errors.Wrap(ErrOutcomeUnknown, "the writer's row was changed by someone else"))
 	} else {
 		w.requeue()
@@ -122,15 +122,15 @@
 
 // giveUp ends a transaction that the service refuses although it did not
 // refuse an earlier version of it.
-func (w *writerCore) giveUp() {
-	w.notice(event.WriteRefused, w.cause)
+func (w *writerCore) settleRefusedAsUnknown() {
+	w.log(event.WriteRefused, w.cause)
 	w.settleUnknown(fmt.Errorf("%w: %v", ErrOutcomeUnknown, w.cause))
 }
 
 // settleUnknown gives up every operation that was sent.
 func (w *writerCore) settleUnknown(err error) {
 	ops := map[*pending]bool{}
-	for _, b := range append(w.doubt, w.current) {
+	for _, b := range append(w.unconfirmed, w.current) {
 		if b == nil {
 			continue
 		}
@@ -141,13 +141,13 @@
 			}
 		}
 	}
-	w.current, w.doubt, w.held = nil, nil, nil
+	w.current, w.unconfirmed, w.deferred = nil, nil, nil
 }
 
 // backOff waits before the service is called again.
 func (w *writerCore) backOff() {
 	if w.backoff.Healthy() {
-		w.notice(event.StoreUnavailable, w.cause)
+		w.log(event.StoreUnavailable, w.cause)
 	}
 	w.wait = w.backoff.Failure(w.now)
 }
--- a/internal/storage/writer_chart.go
+++ b/internal/storage/writer_chart.go
@@ -14,7 +14,7 @@
 // States of charts/writer.scxml.
 const (
 	wsIdle chart.State = iota
-	wsGathering
+	wsBatching
 	wsCommitting
 	wsReading
 	wsPausing
@@ -22,8 +22,8 @@
 
 // Events of charts/writer.scxml.
 const (
-	weOffer chart.Event = iota
-	weWithdraw
+	weEnqueued chart.Event = iota
+	weWithdrawn
 	weLinger
 	weCommitted
 	weConflict
@@ -31,9 +31,9 @@
 	weRefused
 	weUnavailable
 	weUnknown
-	weFound
-	weUnchanged
-	weMoved
+	weCommitFound
+	weRowUnchanged
+	weRowChanged
 	weResume
 )
 
@@ -44,29 +44,29 @@
 func WriterBinding() chart.Binding[writerCore] {
 	return chart.Binding[writerCore]{
 		Chart:  "writer",
-		States: []string{"idle", "gathering", "committing", "reading", "pausing"},
-		Events: []string{"offer", "withdraw", "linger", "committed", "conflict", "fenced", "refused",
-			"unavailable", "unknown", "found", "unchanged", "moved", "resume"},
+		States: []string{"idle", "batching", "committing", "reading", "pausing"},
+		Events: []string{"enqueued", "withdrawn", "linger", "committed", "conflict", "fenced", "refused",
+			"unavailable", "unknown", "commitFound", "rowUnchanged", "rowChanged", "resume"},
 		Guards: map[string]func(*writerCore) bool{
-			"queued":     func(w *writerCore) bool { return len(w.queue) > 0 },
-			"full":       func(w *writerCore) bool { return w.queuedRows() >= MaxTxnRows-1 },
-			"recovering": func(w *writerCore) bool { return w.wait > 0 },
-			"inDoubt":    func(w *writerCore) bool { return len(w.doubt) > 0 },
+			"queued":      func(w *writerCore) bool { return len(w.queue) > 0 },
+			"full":        func(w *writerCore) bool { return w.queuedRows() >= MaxTxnRows-1 },
+			"recovering":  func(w *writerCore) bool { return w.wait > 0 },
+			"unconfirmed": func(w *writerCore) bool { return len(w.unconfirmed) > 0 },
 			// Sent again at once only if the service did not just report that
 			// the row had changed: its answers would contradict each other.
-			"resendable": func(w *writerCore) bool { return len(w.doubt) > 0 && !w.fenced },
-			"blamed":     func(w *writerCore) bool { return w.blamed() > 0 },
+			"resendable":  func(w *writerCore) bool { return len(w.unconfirmed) > 0 && !w.fenced },
+			"checkFailed": func(w *writerCore) bool { return w.countFailedOps() > 0 },
 			// In doubt, a transaction without operations still decides whether
 			// the earlier one took effect.
-			"remains":   func(w *writerCore) bool { return w.blamed() < len(w.current.ops) || len(w.doubt) > 0 },
-			"divisible": func(w *writerCore) bool { return len(w.current.ops) > 1 },
+			"opsRemain":  func(w *writerCore) bool { return w.countFailedOps() < len(w.current.ops) || len(w.unconfirmed) > 0 },
+			"splittable": func(w *writerCore) bool { return len(w.current.ops) > 1 },
 		},
 		Actions: map[string]func(*writerCore){
 			"assemble": (*writerCore).assemble, "commit": (*writerCore).commit, "readBack": (*writerCore).readBack,
-			"settle": (*writerCore).settle, "failChecked": (*writerCore).failChecked,
-			"failRefused": (*writerCore).failRefused, "divide": (*writerCore).divide,
-			"postpone": (*writerCore).postpone, "doubt": (*writerCore).enterDoubt, "adopt": (*writerCore).adopt,
-			"giveUp": (*writerCore).giveUp, "backOff": (*writerCore).backOff,
+			"settle": (*writerCore).settle, "failConflicting": (*writerCore).failConflicting,
+			"failRefused": (*writerCore).failRefused, "split": (*writerCore).split,
+			"requeueUnlessUnconfirmed": (*writerCore).requeueUnlessUnconfirmed, "markUnconfirmed": (*writerCore).markUnconfirmed, "adoptVersion": (*writerCore).adoptVersion,
+			"settleRefusedAsUnknown": (*writerCore).settleRefusedAsUnknown, "backOff": (*writerCore).backOff,
 		},
 		Delays: map[string]time.Duration{"linger": linger},
 	}
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -27,17 +27,17 @@
 }
 
 // notice is a log event.
-type notice struct {
+type logRecord struct {
 	event  event.Event
 	fields log.Fields
 }
 
 // effects are what the writer's actor has to carry out.
 type effects struct {
-	commit  *Txn
-	read    bool // of the writer's row
-	settled []settlement
-	notices []notice
+	commit     *Txn
+	read       bool // of the writer's row
+	settled    []settlement
+	logRecords []logRecord
 }
 
 // writerCore decides what a writer does. It is pure: it is told what happened
@@ -45,9 +45,9 @@
 // certainly has no effect so far) and the batches.
 type writerCore struct {
 	key, prefix string
-	limit       int // of queue
+	maxQueued   int // of queue
 	state       chart.State
-	alarm       time.Time // when the state's delay ends; zero: never
+	wakeAt      time.Time // when the state's delay ends; zero: never
 	backoff     *Backoff
 
 	version Revision // of the writer's row, as far as known
@@ -57,27 +57,27 @@
 	// doubt are the versions of current that were sent and may have taken
 	// effect, oldest first; each contains the later ones. All check the
 	// writer's row at the same version, so at most one takes effect.
-	doubt []*batch
-	held  []settlement // failed, unless an older version of current took effect
+	unconfirmed []*batch
+	deferred    []settlement // failed, unless an older version of current took effect
 
 	// Set for the event that is being handled.
-	now      time.Time
-	wait     time.Duration   // of a pause
-	failed   map[string]bool // keys of a conflict
-	cause    error
-	revision Revision // of settling or of the writer's row
-	settling *batch
-	fenced   bool // the service reported that the writer's row has changed
+	now        time.Time
+	wait       time.Duration   // of a pause
+	failedKeys map[string]bool // keys of a conflict
+	cause      error
+	revision   Revision // of settling or of the writer's row
+	applied    *batch
+	fenced     bool // the service reported that the writer's row has changed
 
 	out effects
 }
 
-func newWriterCore(key, prefix string, limit int, b *Backoff) *writerCore {
-	return &writerCore{key: key, prefix: prefix, limit: limit, backoff: b, state: writerChart.Initial()}
+func newWriterCore(key, prefix string, maxQueued int, b *Backoff) *writerCore {
+	return &writerCore{key: key, prefix: prefix, maxQueued: maxQueued, backoff: b, state: writerChart.Initial()}
 }
 
 // take returns the effects since the last call.
-func (w *writerCore) take() effects {
+func (w *writerCore) takeEffects() effects {
 	out := w.out
 	w.out = effects{}
 	return out
@@ -88,17 +88,17 @@
 	if !writerChart.Step(w, &w.state, e) {
 		return
 	}
-	w.alarm = time.Time{}
+	w.wakeAt = time.Time{}
 	if w.state == wsPausing {
-		w.alarm = w.now.Add(w.wait)
+		w.wakeAt = w.now.Add(w.wait)
 	} else if d, _, ok := writerChart.Timeout(w.state); ok {
-		w.alarm = w.now.Add(d)
-		w.step(weOffer) // the queue may fill a transaction already
+		w.wakeAt = w.now.Add(d)
+		w.step(weEnqueued) // the queue may fill a transaction already
 	}
 }
 
 // expired handles the end of the state's delay.
-func (w *writerCore) expired(now time.Time) {
+func (w *writerCore) delayElapsed(now time.Time) {
 	w.now = now
 	if _, e, ok := writerChart.Timeout(w.state); ok {
 		w.step(e)
@@ -108,14 +108,14 @@
 }
 
 // offer queues an operation, or refuses it if the queue is full.
-func (w *writerCore) offer(p *pending, now time.Time) {
-	if len(w.queue) >= w.limit {
+func (w *writerCore) enqueue(p *pending, now time.Time) {
+	if len(w.queue) >= w.maxQueued {
 		w.settleOp(p, 0, errors.Wrap(ErrUnavailable, "the queue of writes is full"))
 		return
 	}
 	w.now = now
 	w.queue = append(w.queue, p)
-	w.step(weOffer)
+	w.step(weEnqueued)
 }
 
 // withdraw settles an operation whose caller no longer waits: it is dropped
@@ -125,7 +125,7 @@
 	if i := slices.Index(w.queue, p); i >= 0 {
 		w.queue = slices.Delete(w.queue, i, i+1)
 		w.settleOp(p, 0, errors.Wrap(ErrUnavailable, "withdrawn before it was sent"))
-		w.step(weWithdraw)
+		w.step(weWithdrawn)
 		return
 	}
 	p.withdrawn = true
@@ -133,18 +133,18 @@
 }
 
 // committed handles the answer to a commit.
-func (w *writerCore) committed(rev Revision, err error, now time.Time) {
+func (w *writerCore) commitReturned(rev Revision, err error, now time.Time) {
 	var conflict *ConflictError
 	w.now, w.cause, w.fenced = now, err, false
 	switch {
 	case err == nil:
-		w.succeed(w.current, rev, weCommitted)
+		w.handleSuccess(w.current, rev, weCommitted)
 	case errors.As(err, &conflict):
-		w.failed = map[string]bool{}
+		w.failedKeys = map[string]bool{}
 		for _, k := range conflict.Keys {
-			w.failed[k] = true
+			w.failedKeys[k] = true
 		}
-		if w.fenced = w.failed[w.key]; w.fenced {
+		if w.fenced = w.failedKeys[w.key]; w.fenced {
 			w.step(weFenced)
 			return
 		}
@@ -154,7 +154,7 @@
 	case errors.Is(err, ErrRefused):
 		// The same content is refused every time, so earlier copies had no
 		// effect either.
-		w.doubt = slices.DeleteFunc(w.doubt, func(b *batch) bool { return b == w.current })
+		w.unconfirmed = slices.DeleteFunc(w.unconfirmed, func(b *batch) bool { return b == w.current })
 		w.step(weRefused)
 	default:
 		w.step(weUnknown)
@@ -162,7 +162,7 @@
 }
 
 // rowRead handles the answer to the reading of the writer's row.
-func (w *writerCore) rowRead(row Row, err error, now time.Time) {
+func (w *writerCore) readReturned(row Row, err error, now time.Time) {
 	w.now, w.cause = now, err
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		w.step(weUnavailable)
@@ -173,25 +173,25 @@
 		_ = json.Unmarshal(row.Value, &value) // a malformed value names no operation of this writer
 	}
 	w.revision = row.Version
-	for _, b := range w.doubt {
+	for _, b := range w.unconfirmed {
 		if b.operation == value.Operation {
-			w.succeed(b, row.Version, weFound)
+			w.handleSuccess(b, row.Version, weCommitFound)
 			return
 		}
 	}
 	if row.Version == w.version {
-		w.step(weUnchanged)
+		w.step(weRowUnchanged)
 		return
 	}
-	w.step(weMoved)
+	w.step(weRowChanged)
 }
 
 // succeed settles b, which took effect.
-func (w *writerCore) succeed(b *batch, rev Revision, e chart.Event) {
-	ill := !w.backoff.Healthy()
-	w.settling, w.revision, w.wait = b, rev, w.backoff.Success(w.now)
-	if ill && w.backoff.Healthy() {
-		w.notice(event.StoreRecovered, nil)
+func (w *writerCore) handleSuccess(b *batch, rev Revision, e chart.Event) {
+	wasUnhealthy := !w.backoff.Healthy()
+	w.applied, w.revision, w.wait = b, rev, w.backoff.Success(w.now)
+	if wasUnhealthy && w.backoff.Healthy() {
+		w.log(event.StoreRecovered, nil)
 	}
 	w.step(e)
 }
@@ -200,18 +200,18 @@
 	w.out.settled = append(w.out.settled, settlement{p, WriteResult{rev, err}})
 }
 
-func (w *writerCore) notice(e event.Event, cause error) {
+func (w *writerCore) log(e event.Event, cause error) {
 	f := log.Fields{"writer": w.key}
 	if cause != nil {
 		f["error"] = cause.Error()
 	}
-	w.out.notices = append(w.out.notices, notice{e, f})
+	w.out.logRecords = append(w.out.logRecords, logRecord{e, f})
 }
 
 // blamed counts the operations of the current batch that check a failed key.
-func (w *writerCore) blamed() (n int) {
+func (w *writerCore) countFailedOps() (n int) {
 	for _, p := range w.current.ops {
-		if len(p.failedChecks(w.failed)) > 0 {
+		if len(p.failedChecks(w.failedKeys)) > 0 {
 			n++
 		}
 	}
--- a/internal/storage/writer_core_test.go
+++ b/internal/storage/writer_core_test.go
@@ -17,30 +17,30 @@
 
 // script drives a writerCore and notes the outcomes of operations by name.
 type script struct {
-	t    *testing.T
-	core *writerCore
-	now  time.Time
-	ops  map[string]*pending
-	got  map[string]WriteResult
-	sent []Txn
-	last effects
+	t       *testing.T
+	core    *writerCore
+	now     time.Time
+	pending map[string]*pending
+	results map[string]WriteResult
+	sent    []Txn
+	effects effects
 }
 
 func newScript(t *testing.T) *script {
 	b := NewBackoff(func() float64 { return 0.5 })
 	return &script{t: t, core: newWriterCore("writer/w", "w", 100, b), now: time.Unix(0, 0),
-		ops: map[string]*pending{}, got: map[string]WriteResult{}}
+		pending: map[string]*pending{}, results: map[string]WriteResult{}}
 }
 
-func (s *script) after() {
-	s.last = s.core.take()
-	if s.last.commit != nil {
-		s.sent = append(s.sent, *s.last.commit)
+func (s *script) recordEffects() {
+	s.effects = s.core.takeEffects()
+	if s.effects.commit != nil {
+		s.sent = append(s.sent, *s.effects.commit)
 	}
-	for _, r := range s.last.settled {
-		for name, p := range s.ops {
-			if _, twice := s.got[name]; p == r.op && !twice {
-				s.got[name] = r.WriteResult
+	for _, r := range s.effects.settled {
+		for name, p := range s.pending {
+			if _, twice := s.results[name]; p == r.op && !twice {
+				s.results[name] = r.WriteResult
 			}
 		}
 	}
@@ -48,142 +48,142 @@
 
 // offer offers an operation that writes the row of its own name if the row has
 // this version.
-func (s *script) offer(name string, version Revision) {
+func (s *script) enqueue(name string, version Revision) {
 	p, err := newPending(Op{Checks: []Check{{Key: name, Version: version}}, Puts: []Put{{Key: name}}})
 	require.NoError(s.t, err)
-	s.ops[name] = p
-	s.core.offer(p, s.now)
-	s.after()
+	s.pending[name] = p
+	s.core.enqueue(p, s.now)
+	s.recordEffects()
 }
 
-func (s *script) expire() {
-	require.False(s.t, s.core.alarm.IsZero())
-	s.now = s.core.alarm
-	s.core.expired(s.now)
-	s.after()
+func (s *script) advance() {
+	require.False(s.t, s.core.wakeAt.IsZero())
+	s.now = s.core.wakeAt
+	s.core.delayElapsed(s.now)
+	s.recordEffects()
 }
 
-func (s *script) answer(rev Revision, err error) {
-	s.core.committed(rev, err, s.now)
-	s.after()
+func (s *script) commitReturns(rev Revision, err error) {
+	s.core.commitReturned(rev, err, s.now)
+	s.recordEffects()
 }
 
-func (s *script) row(version Revision, operation string) {
-	s.core.rowRead(Row{Version: version, Value: []byte(`{"operation":"` + operation + `"}`)}, nil, s.now)
-	s.after()
+func (s *script) readReturns(version Revision, operation string) {
+	s.core.readReturned(Row{Version: version, Value: []byte(`{"operation":"` + operation + `"}`)}, nil, s.now)
+	s.recordEffects()
 }
 
 // Guards against a second write after the first took effect and its answer
 // was lost.
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestReadsBackAfterLostAnswer(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.expire()
-	s.answer(0, ErrOutcomeUnknown)
-	require.Nil(t, s.last.commit)
-	s.expire()
-	require.True(t, s.last.read, "reads back before it writes again")
-	s.row(7, s.sent[0].Operation)
-	require.Equal(t, WriteResult{Revision: 7}, s.got["a"])
+	s.enqueue("a", 0)
+	s.advance()
+	s.commitReturns(0, ErrOutcomeUnknown)
+	require.Nil(t, s.effects.commit)
+	s.advance()
+	require.True(t, s.effects.read, "reads back before it writes again")
+	s.readReturns(7, s.sent[0].Operation)
+	require.Equal(t, WriteResult{Revision: 7}, s.results["a"])
 	require.Len(t, s.sent, 1)
 	require.Equal(t, Revision(7), s.core.version)
 }
 
 // Guards against an operation that is reported as failed although an earlier
 // copy of its transaction, still under way, takes effect afterwards.
-func TestConflictInDoubtIsHeld(t *testing.T) {
+func TestConflictIsDeferredWhileUnconfirmed(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.offer("b", 0)
-	s.expire()
-	s.answer(0, ErrOutcomeUnknown)
-	s.expire()
-	s.row(0, "")
+	s.enqueue("a", 0)
+	s.enqueue("b", 0)
+	s.advance()
+	s.commitReturns(0, ErrOutcomeUnknown)
+	s.advance()
+	s.readReturns(0, "")
 	require.Equal(t, s.sent[0], s.sent[1], "the same transaction is sent again")
-	s.answer(0, &ConflictError{Keys: []string{"a"}})
+	s.commitReturns(0, &ConflictError{Keys: []string{"a"}})
 	require.NotEqual(t, s.sent[0].Operation, s.sent[2].Operation)
-	require.Empty(t, s.got)
-	s.answer(0, &ConflictError{Keys: []string{"writer/w"}}) // the first copy arrived
-	require.True(t, s.last.read)
-	s.row(9, s.sent[0].Operation)
-	require.Equal(t, map[string]WriteResult{"a": {Revision: 9}, "b": {Revision: 9}}, s.got)
+	require.Empty(t, s.results)
+	s.commitReturns(0, &ConflictError{Keys: []string{"writer/w"}}) // the first copy arrived
+	require.True(t, s.effects.read)
+	s.readReturns(9, s.sent[0].Operation)
+	require.Equal(t, map[string]WriteResult{"a": {Revision: 9}, "b": {Revision: 9}}, s.results)
 }
 
 // Guards against a held failure that is never reported when the doubt is
 // resolved the other way, and against a transaction in doubt whose operations
 // have all failed and that is never decided.
-func TestFenceDecidesDoubt(t *testing.T) {
+func TestFencedResendSettlesUnconfirmed(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.expire()
-	s.answer(0, ErrOutcomeUnknown)
-	s.expire()
-	s.row(0, "")
-	s.answer(0, &ConflictError{Keys: []string{"a"}})
+	s.enqueue("a", 0)
+	s.advance()
+	s.commitReturns(0, ErrOutcomeUnknown)
+	s.advance()
+	s.readReturns(0, "")
+	s.commitReturns(0, &ConflictError{Keys: []string{"a"}})
 	require.Equal(t, []Check{{Key: "writer/w", Version: 0}}, s.sent[2].Checks)
-	s.answer(3, nil)
-	require.Equal(t, WriteResult{Err: &ConflictError{Keys: []string{"a"}}}, s.got["a"])
+	s.commitReturns(3, nil)
+	require.Equal(t, WriteResult{Err: &ConflictError{Keys: []string{"a"}}}, s.results["a"])
 }
 
 // Guards against an operation in doubt that is reported as known after
 // someone else has overwritten the writer's row.
-func TestForeignWriterLeavesDoubt(t *testing.T) {
+func TestForeignWriterLeavesOutcomeUnknown(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.expire()
-	s.answer(0, ErrOutcomeUnknown)
-	s.expire()
-	s.row(5, "someone else's")
-	require.ErrorIs(t, s.got["a"].Err, ErrOutcomeUnknown)
-	s.offer("b", 0)
-	s.expire()
+	s.enqueue("a", 0)
+	s.advance()
+	s.commitReturns(0, ErrOutcomeUnknown)
+	s.advance()
+	s.readReturns(5, "someone else's")
+	require.ErrorIs(t, s.results["a"].Err, ErrOutcomeUnknown)
+	s.enqueue("b", 0)
+	s.advance()
 	require.Equal(t, Check{Key: "writer/w", Version: 5}, s.sent[1].Checks[0])
 }
 
 // Guards against one invalid operation that fails all that share its
 // transaction, or that is sent for ever.
-func TestRefusedBatchIsDivided(t *testing.T) {
+func TestRefusedBatchIsSplit(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.offer("b", 0)
-	s.expire()
-	s.answer(0, ErrRefused)
+	s.enqueue("a", 0)
+	s.enqueue("b", 0)
+	s.advance()
+	s.commitReturns(0, ErrRefused)
 	require.Len(t, s.sent[1].Puts, 2, "the writer's row and one more")
-	s.answer(0, ErrRefused)
-	require.ErrorIs(t, s.got["a"].Err, ErrRefused)
-	s.expire()
-	s.answer(4, nil)
-	require.Equal(t, WriteResult{Revision: 4}, s.got["b"])
+	s.commitReturns(0, ErrRefused)
+	require.ErrorIs(t, s.results["a"].Err, ErrRefused)
+	s.advance()
+	s.commitReturns(4, nil)
+	require.Equal(t, WriteResult{Revision: 4}, s.results["b"])
 }
 
 // Guards against a caller that is told "no effect" about an operation that was
 // sent, and against an operation that is sent after its caller was told so.
 func TestWithdrawnOperations(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.expire()
-	s.offer("b", 0)
+	s.enqueue("a", 0)
+	s.advance()
+	s.enqueue("b", 0)
 	for _, name := range []string{"a", "b"} {
-		s.core.withdraw(s.ops[name], s.now)
-		s.after()
+		s.core.withdraw(s.pending[name], s.now)
+		s.recordEffects()
 	}
-	require.ErrorIs(t, s.got["a"].Err, ErrOutcomeUnknown)
-	require.ErrorIs(t, s.got["b"].Err, ErrUnavailable)
-	s.answer(0, ErrUnavailable)
-	s.expire()
+	require.ErrorIs(t, s.results["a"].Err, ErrOutcomeUnknown)
+	require.ErrorIs(t, s.results["b"].Err, ErrUnavailable)
+	s.commitReturns(0, ErrUnavailable)
+	s.advance()
 	require.Len(t, s.sent, 1)
 	require.Equal(t, wsIdle, s.core.state)
 }
 
 // Guards against a writer that spins when the service reports a conflict on a
 // row that no operation checks.
-func TestSenselessConflictBacksOff(t *testing.T) {
+func TestConflictOnUncheckedRowBacksOff(t *testing.T) {
 	s := newScript(t)
-	s.offer("a", 0)
-	s.expire()
-	s.answer(0, &ConflictError{Keys: []string{"other"}})
-	require.Nil(t, s.last.commit)
-	require.GreaterOrEqual(t, s.core.alarm.Sub(s.now), MinBackoff)
+	s.enqueue("a", 0)
+	s.advance()
+	s.commitReturns(0, &ConflictError{Keys: []string{"other"}})
+	require.Nil(t, s.effects.commit)
+	require.GreaterOrEqual(t, s.core.wakeAt.Sub(s.now), MinBackoff)
 }
 
 // Guards against transactions that are too large, contain operations that
@@ -203,7 +203,7 @@
 			}
 			p, err := newPending(op)
 			require.NoError(t, err)
-			p.alone = rapid.IntRange(0, 9).Draw(t, "alone") == 0
+			p.separate = rapid.IntRange(0, 9).Draw(t, "alone") == 0
 			queue = append(queue, p)
 		}
 		all, position := queue, map[*pending]int{}
@@ -215,7 +215,7 @@
 			for _, p := range chosen {
 				require.NotContains(t, position, p)
 				position[p] = n
-				require.True(t, !p.alone || len(chosen) == 1)
+				require.True(t, !p.separate || len(chosen) == 1)
 				for key := range p.rows {
 					rows[key] = true
 				}
@@ -225,7 +225,7 @@
 		for i, a := range all {
 			for _, b := range all[i+1:] {
 				for key, x := range a.rows {
-					if y, ok := b.rows[key]; ok && x.clashes(y) {
+					if y, ok := b.rows[key]; ok && x.conflictsWith(y) {
 						require.Less(t, position[a], position[b])
 					}
 				}
@@ -268,5 +268,5 @@
 		b.Success(now)
 		retries++
 	}
-	require.LessOrEqual(t, retries, budgetBurst+int(budgetPerTime*60+budgetPerOp*float64(retries))+1)
+	require.LessOrEqual(t, retries, budgetBurst+int(budgetPerSecond*60+budgetPerSuccess*float64(retries))+1)
 }
--- a/internal/storage/writer_history_test.go
+++ b/internal/storage/writer_history_test.go
@@ -47,7 +47,7 @@
 
 // verify compares an outcome with the revisions at which the operation took
 // effect.
-func verify(t *testing.T, id string, got storage.WriteResult, effects []storage.Revision) {
+func verifyOutcome(t *testing.T, id string, got storage.WriteResult, effects []storage.Revision) {
 	var conflict *storage.ConflictError
 	switch {
 	case got.Err == nil:
@@ -75,24 +75,24 @@
 }
 
 func checkOutcomes(t *testing.T, r *rand.Rand) {
-	table := standin.NewTable(group(t), standin.StoreFaults{})
+	table := standin.NewTable(newGroup(t), standin.StoreFaults{})
 	type outcome struct {
 		id string
 		storage.WriteResult
 	}
-	const lives, operations = 2, 150
-	outcomes := make(chan outcome, lives*operations)
-	for life := range lives {
-		g := group(t)
+	const writerRuns, operations = 2, 150
+	outcomes := make(chan outcome, writerRuns*operations)
+	for run := range writerRuns {
+		g := newGroup(t)
 		w := storage.SpawnWriter(g, storage.WriterConfig{Table: table, Key: "writer/w", Random: rand.New(rand.NewPCG(r.Uint64(), 0)).Float64})
 		for i := range operations {
 			if i%10 == 0 {
 				require.NoError(t, table.SetFaults(t.Context(), randomFaults(r)))
 			}
-			id := fmt.Sprint(life, "/", i)
-			op, patience := randomOp(r, id), time.Duration(1+r.IntN(120))*time.Second
+			id := fmt.Sprint(run, "/", i)
+			op, timeout := randomOp(r, id), time.Duration(1+r.IntN(120))*time.Second
 			go func() {
-				ctx, cancel := context.WithTimeout(t.Context(), patience)
+				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
 				rev, err := w.Write(ctx, op)
 				outcomes <- outcome{id, storage.WriteResult{Revision: rev, Err: err}}
@@ -104,7 +104,7 @@
 	require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{}))
 	actor.Sleep(t.Context(), time.Minute) // what is under way takes effect
 	effects := map[string][]storage.Revision{}
-	for _, c := range history(t, table) {
+	for _, c := range committedTxns(t, table) {
 		seen := map[string]bool{}
 		for _, p := range c.Puts {
 			if id := string(p.Value); p.Key != "writer/w" && !seen[id] {
@@ -113,13 +113,13 @@
 			}
 		}
 	}
-	done := 0
-	for range lives * operations {
-		o := <-outcomes
-		verify(t, o.id, o.WriteResult, effects[o.id])
-		if o.Err == nil {
-			done++
+	succeeded := 0
+	for range writerRuns * operations {
+		result := <-outcomes
+		verifyOutcome(t, result.id, result.WriteResult, effects[result.id])
+		if result.Err == nil {
+			succeeded++
 		}
 	}
-	require.NotZero(t, done, "the run tests nothing")
+	require.NotZero(t, succeeded, "the run tests nothing")
 }
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -16,18 +16,18 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-func group(t *testing.T) *actor.Group {
+func newGroup(t *testing.T) *actor.Group {
 	g := actor.NewGroup(t.Context(), func(e actor.Exit) { t.Errorf("%s: %v", e.Actor, e.Err) })
 	t.Cleanup(g.Stop)
 	return g
 }
 
-func write(key string, version storage.Revision) storage.Op {
+func checkedPut(key string, version storage.Revision) storage.Op {
 	return storage.Op{Checks: []storage.Check{{Key: key, Version: version}}, Puts: []storage.Put{{Key: key, Value: []byte(key)}}}
 }
 
 // parallel writes all operations at the same time and returns the outcomes.
-func parallel(ctx context.Context, w storage.Writer, ops ...storage.Op) []storage.WriteResult {
+func writeConcurrently(ctx context.Context, w storage.Writer, ops ...storage.Op) []storage.WriteResult {
 	results := make([]storage.WriteResult, len(ops))
 	done := make(chan struct{})
 	for i, op := range ops {
@@ -47,13 +47,13 @@
 // withWriter runs f in virtual time with a writer of a simulated table.
 func withWriter(t *testing.T, f func(t *testing.T, w storage.Writer, table *standin.Table)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		table := standin.NewTable(g, standin.StoreFaults{})
 		f(t, storage.SpawnWriter(g, storage.WriterConfig{Table: table, Key: "writer/w"}), table)
 	})
 }
 
-func history(t *testing.T, table *standin.Table) []standin.Committed {
+func committedTxns(t *testing.T, table *standin.Table) []standin.Committed {
 	list, err := table.History(t.Context(), 0)
 	require.NoError(t, err)
 	return list
@@ -62,21 +62,21 @@
 // Guards against operations that are written twice, or reported as lost, when
 // answers and requests are lost.
 func TestWriterSurvivesLostAnswers(t *testing.T) {
-	for name, f := range map[string]standin.StoreFaults{
+	for name, faults := range map[string]standin.StoreFaults{
 		"answers": {LoseAnswers: 3}, "requests": {LoseRequests: 3}, "both": {LoseAnswers: 2, LoseRequests: 2, DelayMs: 50},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
-				require.NoError(t, table.SetFaults(t.Context(), f))
+				require.NoError(t, table.SetFaults(t.Context(), faults))
 				for i := range 5 {
 					key := fmt.Sprint("k", i)
-					rev, err := w.Write(t.Context(), write(key, 0))
+					rev, err := w.Write(t.Context(), checkedPut(key, 0))
 					require.NoError(t, err)
 					row, err := table.Read(t.Context(), key)
 					require.NoError(t, err)
 					require.Equal(t, rev, row.Version)
 				}
-				require.Len(t, history(t, table), 5)
+				require.Len(t, committedTxns(t, table), 5)
 			})
 		})
 	}
@@ -84,14 +84,14 @@
 
 // Guards against a batch that fails as a whole because of one row, and
 // against a failure that is reported to the wrong operation.
-func TestOneFailingRowFailsOnlyItsOperation(t *testing.T) {
+func TestFailedCheckFailsOnlyItsOperation(t *testing.T) {
 	withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
-		ops := []storage.Op{write("a", 0), write("b", 5), write("c", 0)}
-		got := parallel(t.Context(), w, ops...)
+		ops := []storage.Op{checkedPut("a", 0), checkedPut("b", 5), checkedPut("c", 0)}
+		got := writeConcurrently(t.Context(), w, ops...)
 		require.NoError(t, got[0].Err)
 		require.Equal(t, &storage.ConflictError{Keys: []string{"b"}}, got[1].Err)
 		require.NoError(t, got[2].Err)
-		list := history(t, table)
+		list := committedTxns(t, table)
 		require.Len(t, list, 1, "one transaction for the others")
 		require.Len(t, list[0].Puts, 3)
 	})
@@ -104,13 +104,13 @@
 		start := time.Now()
 		ops := make([]storage.Op, 300)
 		for i := range ops {
-			ops[i] = write(fmt.Sprint(i), 0)
+			ops[i] = checkedPut(fmt.Sprint(i), 0)
 		}
-		for _, r := range parallel(t.Context(), w, ops...) {
+		for _, r := range writeConcurrently(t.Context(), w, ops...) {
 			require.NoError(t, r.Err)
 		}
 		require.LessOrEqual(t, time.Since(start), 20*time.Millisecond)
-		list := history(t, table)
+		list := committedTxns(t, table)
 		require.Len(t, list, 3)
 		for _, c := range list {
 			require.LessOrEqual(t, len(c.Puts), storage.MaxTxnRows)
@@ -120,12 +120,12 @@
 
 // Guards against operations on one row that overtake each other or share a
 // transaction.
-func TestOperationsOnOneRowKeepTheirOrder(t *testing.T) {
+func TestOperationsOnOneRowKeepOrder(t *testing.T) {
 	withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
-		blind := func(value string) storage.Op {
+		uncheckedPut := func(value string) storage.Op {
 			return storage.Op{Puts: []storage.Put{{Key: "a", Value: []byte(value)}}}
 		}
-		got := parallel(t.Context(), w, blind("1"), blind("2"), write("b", 0), blind("3"))
+		got := writeConcurrently(t.Context(), w, uncheckedPut("1"), uncheckedPut("2"), checkedPut("b", 0), uncheckedPut("3"))
 		require.Equal(t, []storage.WriteResult{{Revision: 1}, {Revision: 2}, {Revision: 1}, {Revision: 3}}, got)
 	})
 }
@@ -134,42 +134,42 @@
 // caller that is told the wrong thing when its context ends.
 func TestWriterInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		table := standin.NewTable(g, standin.StoreFaults{Outage: true})
-		w := storage.SpawnWriter(g, storage.WriterConfig{Table: table, Key: "writer/w", Queue: 2})
+		w := storage.SpawnWriter(g, storage.WriterConfig{Table: table, Key: "writer/w", MaxQueued: 2})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		got := parallel(ctx, w, write("a", 0), write("b", 0), write("c", 0))
+		got := writeConcurrently(ctx, w, checkedPut("a", 0), checkedPut("b", 0), checkedPut("c", 0))
 		for i, r := range got {
 			require.ErrorIs(t, r.Err, storage.ErrUnavailable)
 			require.NotErrorIs(t, r.Err, storage.ErrOutcomeUnknown)
 			require.Equal(t, i < 2, errors.Is(r.Err, context.DeadlineExceeded), "the third is refused at once")
 		}
 		require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{}))
-		_, err := w.Write(t.Context(), write("a", 0))
+		_, err := w.Write(t.Context(), checkedPut("a", 0))
 		require.NoError(t, err, "it had no effect before")
 
 		require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{DelayMs: 8000}))
 		short, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err = w.Write(short, write("d", 0))
+		_, err = w.Write(short, checkedPut("d", 0))
 		require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 }
 
 // recording counts the calls of a table in each 100 ms.
-type recording struct {
+type callRecorder struct {
 	storage.Table
 	calls chan time.Time
 }
 
-func (r recording) Commit(ctx context.Context, t storage.Txn) (storage.Revision, error) {
+func (r callRecorder) Commit(ctx context.Context, t storage.Txn) (storage.Revision, error) {
 	r.calls <- time.Now()
 	return r.Table.Commit(ctx, t)
 }
 
-func (r recording) Read(ctx context.Context, key string) (storage.Row, error) {
+func (r callRecorder) Read(ctx context.Context, key string) (storage.Row, error) {
 	r.calls <- time.Now()
 	return r.Table.Read(ctx, key)
 }
@@ -181,12 +181,12 @@
 func TestNoThunderingHerd(t *testing.T) {
 	const writers, window = 50, 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		table := standin.NewTable(g, standin.StoreFaults{Outage: true})
 		calls := make(chan time.Time, 100_000)
 		done := make(chan error, writers)
 		for i := range writers {
-			w := storage.SpawnWriter(g, storage.WriterConfig{Table: recording{table, calls}, Key: fmt.Sprint("writer/", i),
+			w := storage.SpawnWriter(g, storage.WriterConfig{Table: callRecorder{table, calls}, Key: fmt.Sprint("writer/", i),
 				Random: rand.New(rand.NewPCG(1, uint64(i))).Float64})
 			for k := range 10 {
 				op := storage.Op{Puts: []storage.Put{{Key: fmt.Sprint("row/", i), Value: []byte{byte(k)}}}}
@@ -206,18 +206,18 @@
 		require.LessOrEqual(t, time.Since(recovered), 3*storage.MaxBackoff)
 		close(calls)
 		counts := map[time.Duration]int{}
-		outage, most := 0, 0
-		for at := range calls {
-			if at.Before(recovered) {
-				outage++
+		outageCalls, maxCalls := 0, 0
+		for calledAt := range calls {
+			if calledAt.Before(recovered) {
+				outageCalls++
 				continue
 			}
-			slot := at.Sub(recovered) / window
+			slot := calledAt.Sub(recovered) / window
 			counts[slot]++
-			most = max(most, counts[slot])
+			maxCalls = max(maxCalls, counts[slot])
 		}
-		t.Logf("%d calls in 2 min of outage, at most %d in 100 ms after it", outage, most)
-		require.LessOrEqual(t, most, standin.DefaultWritesPerSecond/10)
+		t.Logf("%d calls in 2 min of outage, at most %d in 100 ms after it", outageCalls, maxCalls)
+		require.LessOrEqual(t, maxCalls, standin.DefaultWritesPerSecond/10)
 		state, err := table.State(t.Context())
 		require.NoError(t, err)
 		require.Zero(t, state.Counters.Limited)
