--- a/internal/configstore/distribute_test.go
+++ b/internal/configstore/distribute_test.go
@@ -16,83 +16,83 @@
 // Guards against an agent that misses an edit, an entry that does not know
 // what is in force there, and a subscriber that is not told.
 func TestEditReachesAgents(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		var seen []model.ConfigVersion
-		agent := StartApplier(w.g, "w1", quiet)
+		agent := StartApplier(f.group, "w1", discardLog)
 		require.NoError(t, agent.Subscribe(t.Context(), func(u Update) bool {
 			if n := len(seen); n == 0 || seen[n-1] != u.Snapshot.Version() {
 				seen = append(seen, u.Snapshot.Version())
 			}
 			return true
 		}))
-		w.expect(agent, 0, "empty")
-		w.edit(set("a", 0, "x", "1"))
-		cut := w.join(w.store, agent, "w1")
-		w.expect(agent, 1, "current")
+		f.waitForVersion(agent, 0, "empty")
+		f.edit(setEdit("a", 0, "x", "1"))
+		unlink := f.link(f.store, agent, "w1")
+		f.waitForVersion(agent, 1, "current")
 		for v := range 30 {
-			w.edit(set(fmt.Sprint("b", v), model.ConfigVersion(v+1), "x", "2"))
+			f.edit(setEdit(fmt.Sprint("b", v), model.ConfigVersion(v+1), "x", "2"))
 		}
-		w.expect(agent, 31, "current")
+		f.waitForVersion(agent, 31, "current")
 		synctest.Wait()
-		status, err := w.store.Status(t.Context())
+		status, err := f.store.Status(t.Context())
 		require.NoError(t, err)
 		require.Contains(t, status.Daemons, model.AppliedVersion{Daemon: "w1", Version: 31})
 		require.IsIncreasing(t, seen)
-		cut()
-		w.expect(agent, 31, "stale")
-		w.edit(set("c", 31, "x", "3"))
-		w.join(w.store, agent, "w1")
-		require.Equal(t, "3", w.expect(agent, 32, "current").Labels(model.KindWorker, "x")["v"])
+		unlink()
+		f.waitForVersion(agent, 31, "stale")
+		f.edit(setEdit("c", 31, "x", "3"))
+		f.link(f.store, agent, "w1")
+		require.Equal(t, "3", f.waitForVersion(agent, 32, "current").Labels(model.KindWorker, "x")["v"])
 	})
 }
 
 // Guards against a restarted entry that works without the configuration, or
 // reverts agents to the empty one, while the table is away.
-func TestEntryStartsWhileTheTableIsAway(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		agent := StartApplier(w.g, "w1", quiet)
-		w.edit(set("a", 0, "x", "1"))
-		cut := w.join(w.store, agent, "w1")
-		w.expect(agent, 1, "current")
-		cut()
-		w.faults(away)
-		restarted := w.newStore("entry-2")
-		w.expect(restarted.Handle, 0, "empty")
-		w.join(restarted, agent, "w1")
-		s := w.expect(restarted.Handle, 1, "stale")
+func TestEntryStartsWhileTableUnavailable(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		agent := StartApplier(f.group, "w1", discardLog)
+		f.edit(setEdit("a", 0, "x", "1"))
+		unlink := f.link(f.store, agent, "w1")
+		f.waitForVersion(agent, 1, "current")
+		unlink()
+		f.setFaults(unavailable)
+		restarted := f.newStore("entry-2")
+		f.waitForVersion(restarted.Handle, 0, "empty")
+		f.link(restarted, agent, "w1")
+		s := f.waitForVersion(restarted.Handle, 1, "stale")
 		require.Equal(t, model.Labels{"v": "1"}, s.Labels(model.KindWorker, "x"))
-		_, err := restarted.Edit(t.Context(), set("b", 1, "x", "2"))
+		_, err := restarted.Edit(t.Context(), setEdit("b", 1, "x", "2"))
 		require.ErrorIs(t, err, storage.ErrUnavailable)
-		w.faults(healthy)
-		w.expect(restarted.Handle, 1, "current")
+		f.setFaults(healthy)
+		f.waitForVersion(restarted.Handle, 1, "current")
 	})
 }
 
 // Guards against rows of old edits and removed items that grow without bound,
 // and against an edit that misses the removal of its item in a pruned row.
 func TestOldEditsArePruned(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		store := StartStore(w.g, StoreConfig{ID: "entry-2", Table: w.table, Validator: check, Log: quiet, KeepVersions: 3})
+	withFixture(t, func(t *testing.T, f *fixture) {
+		store := StartStore(f.group, StoreConfig{ID: "entry-2", Table: f.table, Validator: testValidator, Log: discardLog, KeepVersions: 3})
 		edit := func(id string, e Edit) {
 			_, err := store.Edit(t.Context(), e)
 			require.NoError(t, err, id)
 		}
-		edit("set", set("v1", 0, "gone", "1"))
+		edit("set", setEdit("v1", 0, "gone", "1"))
 		edit("remove", Edit{ID: "v2", Base: 1, Changes: []Change{{Key: model.ConfigKey{Kind: model.KindWorker, Name: "gone"}}}})
 		for v := 2; v < 8; v++ {
-			edit("more", set(fmt.Sprint("v", v+1), model.ConfigVersion(v), "kept", "1"))
+			edit("more", setEdit(fmt.Sprint("v", v+1), model.ConfigVersion(v), "kept", "1"))
 		}
 		synctest.Wait()
-		require.NoError(t, w.table.do(t.Context(), func(d *tableData) {
+		require.NoError(t, f.table.do(t.Context(), func(d *tableData) {
 			require.Zero(t, d.version("config/key/worker/gone"))
 			require.NotZero(t, d.version("config/key/worker/kept"))
 			require.Zero(t, d.version("config/log/00000000000000000005"))
 			require.NotZero(t, d.version("config/log/00000000000000000006"))
 		}))
-		_, err := store.Edit(t.Context(), set("late", 1, "gone", "2"))
+		_, err := store.Edit(t.Context(), setEdit("late", 1, "gone", "2"))
 		require.ErrorContains(t, err, "too old")
-		restarted := w.newStore("entry-3")
-		w.expect(restarted.Handle, 8, "current")
+		restarted := f.newStore("entry-3")
+		f.waitForVersion(restarted.Handle, 8, "current")
 	})
 }
 
@@ -102,11 +102,11 @@
 		return model.ConfigChange{Version: v, Key: model.ConfigKey{Kind: model.KindTeam, Name: "t"}, Item: &model.ConfigItem{Labels: model.Labels{"quota-cpu": value}}}
 	}
 	s := (&Snapshot{}).apply(&msg.ConfigDelta{To: 2, Changes: []model.ConfigChange{change(1, "1"), change(2, "2")}})
-	require.Equal(t, fitOlder, s.fit(&msg.ConfigDelta{To: 1, Full: true}))
-	require.Equal(t, fitSame, s.fit(&msg.ConfigDelta{From: 1, To: 2}))
-	require.Equal(t, fitGap, s.fit(&msg.ConfigDelta{From: 3, To: 4}))
+	require.Equal(t, fitOlder, s.classify(&msg.ConfigDelta{To: 1, Full: true}))
+	require.Equal(t, fitSame, s.classify(&msg.ConfigDelta{From: 1, To: 2}))
+	require.Equal(t, fitGap, s.classify(&msg.ConfigDelta{From: 3, To: 4}))
 	overlapping := &msg.ConfigDelta{From: 0, To: 3, Changes: []model.ConfigChange{change(1, "1"), change(2, "2"), change(3, "3")}}
-	require.Equal(t, fitNewer, s.fit(overlapping))
+	require.Equal(t, fitNewer, s.classify(overlapping))
 	next := s.apply(overlapping)
 	quota, ok := next.Quota("t")
 	require.True(t, ok)
--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -17,7 +17,7 @@
 const maxChanges = 100
 
 // maxName bounds the length in bytes of names and edit ids.
-const maxName = 253
+const maxNameBytes = 253
 
 // Edit is a change of the configuration that is accepted or refused as a
 // whole. Base is the version that its author read. ID is chosen by the
@@ -67,43 +67,43 @@
 
 // Validate returns every finding of an edit. Positions are names of fields.
 func (c Validator) Validate(e Edit) finding.List {
-	var found finding.List
-	add := func(where, format string, args ...any) { found.Add("edit", 0, where, format, args...) }
-	if e.ID == "" || !plainName(e.ID) {
-		add("id", "must be 1 to %d printable characters without spaces", maxName)
+	var findings finding.List
+	add := func(element, format string, args ...any) { findings.Add("edit", 0, element, format, args...) }
+	if e.ID == "" || !isName(e.ID) {
+		add("id", "must be 1 to %d printable characters without spaces", maxNameBytes)
 	}
-	if e.Author != "" && !plainName(e.Author) {
-		add("author", "must be at most %d printable characters without spaces", maxName)
+	if e.Author != "" && !isName(e.Author) {
+		add("author", "must be at most %d printable characters without spaces", maxNameBytes)
 	}
 	if len(e.Changes) == 0 || len(e.Changes) > maxChanges {
 		add("changes", "has %d changes; 1 to %d are allowed", len(e.Changes), maxChanges)
 	}
 	seen := map[model.ConfigKey]int{}
 	for i, change := range e.Changes {
-		where := fmt.Sprintf("changes[%d]", i)
-		if first, twice := seen[change.Key]; twice {
-			add(where+".key", "%s is also changed by changes[%d]", change.Key, first)
+		element := fmt.Sprintf("changes[%d]", i)
+		if first, duplicate := seen[change.Key]; duplicate {
+			add(element+".key", "%s is also changed by changes[%d]", change.Key, first)
 		}
 		seen[change.Key] = i
-		found = append(found, c.change(where, change)...)
+		findings = append(findings, c.validateChange(element, change)...)
 	}
-	return found
+	return findings
 }
 
-func (c Validator) change(where string, ch Change) finding.List {
-	var found finding.List
-	add := func(field, format string, args ...any) { found.Add("edit", 0, where+field, format, args...) }
+func (c Validator) validateChange(element string, ch Change) finding.List {
+	var findings finding.List
+	add := func(field, format string, args ...any) { findings.Add("edit", 0, element+field, format, args...) }
 	if !knownKind(ch.Key.Kind) {
 		add(".key.kind", "unknown kind %q; use service, class, team, worker, backend, job or selector", ch.Key.Kind)
 	}
-	if ch.Key.Name == "" || !plainName(ch.Key.Name) {
-		add(".key.name", "must be 1 to %d printable characters without spaces", maxName)
+	if ch.Key.Name == "" || !isName(ch.Key.Name) {
+		add(".key.name", "must be 1 to %d printable characters without spaces", maxNameBytes)
 	}
 	if ch.Item == nil {
-		return found
+		return findings
 	}
 	if ch.Key.Kind == model.KindSelector {
-		return append(found, c.selector(where+".item", *ch.Item)...)
+		return append(findings, c.validateSelector(element+".item", *ch.Item)...)
 	}
 	if ch.Item.Selector != nil {
 		add(".item.selector", "only items of kind selector have a selector")
@@ -116,31 +116,31 @@
 			add(".item.labels."+label, "%v", err)
 		}
 	}
-	return found
+	return findings
 }
 
-func (c Validator) selector(where string, item model.ConfigItem) finding.List {
-	var found finding.List
-	add := func(field, format string, args ...any) { found.Add("edit", 0, where+field, format, args...) }
+func (c Validator) validateSelector(element string, item model.ConfigItem) finding.List {
+	var findings finding.List
+	add := func(field, format string, args ...any) { findings.Add("edit", 0, element+field, format, args...) }
 	if len(item.Labels) > 0 {
 		add(".labels", "a selector has no labels")
 	}
 	s := item.Selector
 	if s == nil {
 		add(".selector", "is missing")
-		return found
+		return findings
 	}
-	syntax := func(field, text string) {
+	checkSyntax := func(field, text string) {
 		if text == "" {
 			add(field, "is missing")
 		} else if err := c.Selector(text); err != nil {
 			add(field, "%v", err)
 		}
 	}
-	syntax(".selector.subject", s.Subject)
+	checkSyntax(".selector.subject", s.Subject)
 	switch s.Kind {
 	case model.MayShare, model.MustStayApart:
-		syntax(".selector.object", s.Object)
+		checkSyntax(".selector.object", s.Object)
 	case model.YieldsFirst:
 		if s.Object != "" {
 			add(".selector.object", "is unused by %s; remove it", s.Kind)
@@ -148,7 +148,7 @@
 	default:
 		add(".selector.kind", "unknown kind %q; use %s, %s or %s", s.Kind, model.MayShare, model.MustStayApart, model.YieldsFirst)
 	}
-	return found
+	return findings
 }
 
 func knownKind(k model.ConfigKind) bool {
@@ -159,65 +159,65 @@
 	return false
 }
 
-func plainName(s string) bool {
+func isName(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f {
 			return false
 		}
 	}
-	return len(s) <= maxName
+	return len(s) <= maxNameBytes
 }
 
 // tableState is what an edit is decided on: the head and its keys' rows.
 type tableState struct {
-	head    model.ConfigVersion
-	headRow storage.Revision // 0: absent
-	keys    []keyState       // in the order of the edit's changes
+	head         model.ConfigVersion
+	headRevision storage.Revision // 0: absent
+	keys         []keyState       // in the order of the edit's changes
 }
 
 // keyState is the newest change of one key.
 type keyState struct {
-	row    storage.Revision // 0: absent
-	change model.ConfigChange
+	revision storage.Revision // 0: absent
+	change   model.ConfigChange
 }
 
 // keepVersions is how many versions the log and the rows of removed items are
 // kept: three days at the target of 3,300 edits a day.
-const keepVersions = 10_000
+const defaultKeepVersions = 10_000
 
 // errFuture says that an edit's base is newer than the configuration.
-var errFuture = errors.New("the edit is based on a version that does not exist")
+var errBaseTooNew = errors.New("the edit is based on a version that does not exist")
 
 // errTooOld says that it is no longer known whether a key without a row was
 // removed after an edit's base.
-var errTooOld = errors.New("the edit is based on a version that is too old; read the configuration again")
+var errBaseTooOld = errors.New("the edit is based on a version that is too old; read the configuration again")
 
 // plan returns the transaction that makes an edit, or the conflict that
 // refuses it. It is pure.
-func plan(e Edit, now tableState, keep model.ConfigVersion) (storage.Txn, rows.ConfigLog, error) {
-	if e.Base > now.head {
-		return storage.Txn{}, rows.ConfigLog{}, fmt.Errorf("%w: base %d, newest version %d", errFuture, e.Base, now.head)
+func planEdit(e Edit, state tableState, keepVersions model.ConfigVersion) (storage.Txn, rows.ConfigLog, error) {
+	if e.Base > state.head {
+		return storage.Txn{}, rows.ConfigLog{}, fmt.Errorf("%w: base %d, newest version %d", errBaseTooNew, e.Base, state.head)
 	}
-	for i, k := range now.keys {
-		if k.row == 0 && now.head-e.Base > keep {
-			return storage.Txn{}, rows.ConfigLog{}, fmt.Errorf("%w: base %d, newest version %d", errTooOld, e.Base, now.head)
+	for i, k := range state.keys {
+		if k.revision == 0 && state.head-e.Base > keepVersions {
+			return storage.Txn{}, rows.ConfigLog{}, fmt.Errorf("%w: base %d, newest version %d", errBaseTooOld, e.Base, state.head)
 		}
 		if k.change.Version > e.Base {
 			return storage.Txn{}, rows.ConfigLog{}, &ConflictError{Key: e.Changes[i].Key, Base: e.Base,
 				Version: k.change.Version, Author: k.change.Author}
 		}
 	}
-	next := now.head + 1
+	next := state.head + 1
 	log := rows.ConfigLog{Version: next, Edit: e.ID, Author: e.Author}
 	t := storage.Txn{
 		Operation: fmt.Sprintf("config/%s/%d", e.ID, next),
-		Checks:    []storage.Check{{Key: rows.ConfigHeadKey, Version: now.headRow}},
+		Checks:    []storage.Check{{Key: rows.ConfigHeadKey, Version: state.headRevision}},
 		Puts:      []storage.Put{{Key: rows.ConfigHeadKey, Value: rows.Encode(rows.ConfigHead{Version: next})}},
 	}
 	for i, c := range e.Changes {
 		change := model.ConfigChange{Version: next, Key: c.Key, Item: c.Item, Author: e.Author}
 		key := rows.ConfigKey(c.Key)
-		t.Checks = append(t.Checks, storage.Check{Key: key, Version: now.keys[i].row})
+		t.Checks = append(t.Checks, storage.Check{Key: key, Version: state.keys[i].revision})
 		// The row of a removed item stays, so that a later edit that is based
 		// on a version before the removal conflicts with it.
 		t.Puts = append(t.Puts, storage.Put{Key: key, Value: rows.Encode(change)})
@@ -228,8 +228,8 @@
 }
 
 // findingOf returns an error as the only finding of an edit's field.
-func findingOf(where string, err error) finding.List {
-	var found finding.List
-	found.Add("edit", 0, where, "%v", err)
-	return found
+func editFinding(element string, err error) finding.List {
+	var findings finding.List
+	findings.Add("edit", 0, element, "%v", err)
+	return findings
 }
--- a/internal/configstore/editor.go
+++ b/internal/configstore/editor.go
@@ -19,15 +19,15 @@
 const (
 	// maxTries bounds the attempts of one edit; racing entries fail each
 	// other's check of config/head at most once per accepted edit.
-	maxTries = 12
+	maxAttempts = 12
 	// editBudget bounds the time for one edit, so that a store outage does
 	// not hold up the edits behind it for long.
-	editBudget = 8 * time.Second
+	editTimeout = 8 * time.Second
 	// repeatWindow bounds how many log rows are read to recognise a repeated
 	// edit; a repetition after more edits than this is reported as a conflict.
-	repeatWindow = 200
-	minBackoff   = 50 * time.Millisecond
-	maxBackoff   = time.Second
+	maxRepeatLookback = 200
+	minRetryDelay     = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
 )
 
 // editRequest asks the editor for one edit.
@@ -44,13 +44,13 @@
 
 // editor writes edits, one at a time.
 type editor struct {
-	table storage.Table
-	node  actor.Address[message]
-	log   log.Interface
-	keep  model.ConfigVersion // versions that stay in the log
+	table        storage.Table
+	node         actor.Address[message]
+	log          log.Interface
+	keepVersions model.ConfigVersion // versions that stay in the log
 }
 
-func (w *editor) run(ctx context.Context, in <-chan editRequest) error {
+func (e *editor) run(ctx context.Context, in <-chan editRequest) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -60,100 +60,100 @@
 				r.answer.Put(editAnswer{err: fmt.Errorf("%w: the request ended while it waited", storage.ErrUnavailable)})
 				continue
 			}
-			accepted, err := w.perform(ctx, r.edit)
-			w.report(r.edit, accepted, err)
+			accepted, err := e.perform(ctx, r.edit)
+			e.logOutcome(r.edit, accepted, err)
 			r.answer.Put(editAnswer{accepted, err})
 			if err == nil && !accepted.Repeated {
-				w.prune(ctx, accepted.Version)
+				e.prune(ctx, accepted.Version)
 			}
 		}
 	}
 }
 
-func (w *editor) report(e Edit, a EditResult, err error) {
-	fields := log.Fields{"edit": e.ID, "author": e.Author, "version": uint64(a.Version)}
+func (e *editor) logOutcome(edit Edit, result EditResult, err error) {
+	fields := log.Fields{"edit": edit.ID, "author": edit.Author, "version": uint64(result.Version)}
 	switch {
 	case err == nil:
-		event.Log(w.log, event.ConfigEditAccepted, fields)
+		event.Log(e.log, event.ConfigEditAccepted, fields)
 	case errors.Is(err, storage.ErrOutcomeUnknown):
 		fields["error"] = err.Error()
-		event.Log(w.log, event.ConfigEditUnknown, fields)
+		event.Log(e.log, event.ConfigEditUnknown, fields)
 	}
 }
 
 // attempt is the state of one edit over its tries.
-type attempt struct {
+type editAttempt struct {
 	edit Edit
 	// open lists the versions of commits whose outcome is unknown. Each of
 	// them can only have been written as that version of the log.
-	open []model.ConfigVersion
+	unconfirmed []model.ConfigVersion
 }
 
 // perform makes an edit. After a commit with an unknown outcome it reads the
 // log before it writes again: the edit's id there proves that it was
 // accepted, and another id that this commit failed and will not succeed later.
-func (w *editor) perform(ctx context.Context, e Edit) (EditResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, editBudget)
+func (e *editor) perform(ctx context.Context, edit Edit) (EditResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
-	a := &attempt{edit: e}
-	delay := minBackoff
-	var last error
-	for range maxTries {
-		accepted, again, err := w.try(ctx, a)
-		if !again {
-			return accepted, a.outcome(err)
+	a := &editAttempt{edit: edit}
+	delay := minRetryDelay
+	var lastErr error
+	for range maxAttempts {
+		accepted, retry, err := e.tryOnce(ctx, a)
+		if !retry {
+			return accepted, a.withOutcome(err)
 		}
-		last = err
+		lastErr = err
 		if !actor.Sleep(ctx, delay/2+rand.N(delay)) {
 			break
 		}
-		delay = min(2*delay, maxBackoff)
+		delay = min(2*delay, maxRetryDelay)
 	}
-	return EditResult{}, a.outcome(last)
+	return EditResult{}, a.withOutcome(lastErr)
 }
 
 // outcome makes an error say unknown while a commit's outcome is.
-func (a *attempt) outcome(err error) error {
-	if err == nil || len(a.open) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
+func (a *editAttempt) withOutcome(err error) error {
+	if err == nil || len(a.unconfirmed) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
 		return err
 	}
-	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, a.edit.ID, a.open[0], err)
+	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, a.edit.ID, a.unconfirmed[0], err)
 }
 
-func (w *editor) try(ctx context.Context, a *attempt) (accepted EditResult, again bool, err error) {
-	if v, done, err := w.settle(ctx, a); err != nil {
+func (e *editor) tryOnce(ctx context.Context, a *editAttempt) (accepted EditResult, retry bool, err error) {
+	if v, done, err := e.resolveUnconfirmed(ctx, a); err != nil {
 		return EditResult{}, true, err
 	} else if done {
 		return EditResult{Version: v}, false, nil
 	}
-	now, err := w.read(ctx, a.edit)
+	state, err := e.readState(ctx, a.edit)
 	if err != nil {
-		return EditResult{}, len(a.open) > 0, unavailable(err)
+		return EditResult{}, len(a.unconfirmed) > 0, readError(err)
 	}
-	txn, entry, err := plan(a.edit, now, w.keep)
+	txn, entry, err := planEdit(a.edit, state, e.keepVersions)
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
-		return w.conflicting(ctx, a, conflict)
+		return e.resolveConflict(ctx, a, conflict)
 	} else if err != nil {
 		return EditResult{}, false, err
 	}
-	_, err = w.table.Commit(ctx, txn)
-	var failed *storage.ConflictError
+	_, err = e.table.Commit(ctx, txn)
+	var checkFailed *storage.ConflictError
 	switch {
 	case err == nil:
-		w.committed(ctx, entry)
+		e.notifyNode(ctx, entry)
 		return EditResult{Version: entry.Version}, false, nil
-	case errors.As(err, &failed):
+	case errors.As(err, &checkFailed):
 		return EditResult{}, true, fmt.Errorf("%w: other edits were accepted first: %v", storage.ErrUnavailable, err)
 	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrRefused):
-		return EditResult{}, len(a.open) > 0, err
+		return EditResult{}, len(a.unconfirmed) > 0, err
 	}
-	a.open = append(a.open, entry.Version)
+	a.unconfirmed = append(a.unconfirmed, entry.Version)
 	return EditResult{}, true, fmt.Errorf("%w: %v", storage.ErrOutcomeUnknown, err)
 }
 
 // unavailable marks the error of a read, before anything was written.
-func unavailable(err error) error {
+func readError(err error) error {
 	if errors.Is(err, storage.ErrUnavailable) {
 		return err
 	}
@@ -161,32 +161,32 @@
 }
 
 // settle reads the log rows of the commits whose outcome is unknown.
-func (w *editor) settle(ctx context.Context, a *attempt) (model.ConfigVersion, bool, error) {
-	var open []model.ConfigVersion
-	for _, v := range a.open {
-		entry, found, err := w.entry(ctx, v)
+func (e *editor) resolveUnconfirmed(ctx context.Context, a *editAttempt) (model.ConfigVersion, bool, error) {
+	var unconfirmed []model.ConfigVersion
+	for _, v := range a.unconfirmed {
+		entry, found, err := e.readLogEntry(ctx, v)
 		switch {
 		case err != nil:
 			return 0, false, err
 		case found && entry.Edit == a.edit.ID:
-			a.open = nil
-			w.committed(ctx, entry)
+			a.unconfirmed = nil
+			e.notifyNode(ctx, entry)
 			return v, true, nil
 		case !found:
-			open = append(open, v) // it may still be on its way
+			unconfirmed = append(unconfirmed, v) // it may still be on its way
 		}
 	}
-	a.open = open
+	a.unconfirmed = unconfirmed
 	return 0, false, nil
 }
 
 // conflicting tells a repetition of an accepted edit from a conflict.
-func (w *editor) conflicting(ctx context.Context, a *attempt, c *ConflictError) (EditResult, bool, error) {
-	v, err := w.find(ctx, a.edit.ID, c)
+func (e *editor) resolveConflict(ctx context.Context, a *editAttempt, c *ConflictError) (EditResult, bool, error) {
+	v, err := e.findEdit(ctx, a.edit.ID, c)
 	if err != nil {
 		return EditResult{}, true, err
 	}
-	a.open = nil // the head has moved past every version that was tried
+	a.unconfirmed = nil // the head has moved past every version that was tried
 	if v > 0 {
 		return EditResult{Version: v, Repeated: true}, false, nil
 	}
@@ -195,30 +195,30 @@
 
 // find returns the version of the edit with this id, or 0. It looks at the
 // log from the change in conflict back to the edit's base.
-func (w *editor) find(ctx context.Context, id string, c *ConflictError) (model.ConfigVersion, error) {
-	low := c.Base
-	if c.Version-low > repeatWindow {
-		low = c.Version - repeatWindow
+func (e *editor) findEdit(ctx context.Context, id string, c *ConflictError) (model.ConfigVersion, error) {
+	minVersion := c.Base
+	if c.Version-minVersion > maxRepeatLookback {
+		minVersion = c.Version - maxRepeatLookback
 	}
-	for v := c.Version; v > low; v-- {
-		entry, found, err := w.entry(ctx, v)
+	for version := c.Version; version > minVersion; version-- {
+		entry, found, err := e.readLogEntry(ctx, version)
 		if err != nil {
 			return 0, err
 		}
 		if found && entry.Edit == id {
-			return v, nil
+			return version, nil
 		}
 	}
 	return 0, nil
 }
 
-func (w *editor) committed(ctx context.Context, entry rows.ConfigLog) {
+func (e *editor) notifyNode(ctx context.Context, entry rows.ConfigLog) {
 	// The poller delivers it as well when the node is too busy to take it now.
-	_ = w.node.Send(ctx, &logged{entries: []rows.ConfigLog{entry}})
+	_ = e.node.Send(ctx, &committedEdits{entries: []rows.ConfigLog{entry}})
 }
 
-func (w *editor) entry(ctx context.Context, v model.ConfigVersion) (rows.ConfigLog, bool, error) {
-	row, err := w.table.Read(ctx, rows.ConfigLogKey(v))
+func (e *editor) readLogEntry(ctx context.Context, v model.ConfigVersion) (rows.ConfigLog, bool, error) {
+	row, err := e.table.Read(ctx, rows.ConfigLogKey(v))
 	if errors.Is(err, storage.ErrNotFound) {
 		return rows.ConfigLog{}, false, nil
 	} else if err != nil {
@@ -230,21 +230,21 @@
 
 // read reads what an edit is decided on. The rows may be of different
 // moments: the transaction's checks refuse a combination that is outdated.
-func (w *editor) read(ctx context.Context, e Edit) (tableState, error) {
-	var now tableState
-	head, rev, err := readRow[rows.ConfigHead](ctx, w.table, rows.ConfigHeadKey)
+func (e *editor) readState(ctx context.Context, edit Edit) (tableState, error) {
+	var state tableState
+	head, rev, err := readRow[rows.ConfigHead](ctx, e.table, rows.ConfigHeadKey)
 	if err != nil {
-		return now, err
+		return state, err
 	}
-	now.head, now.headRow = head.Version, rev
-	for _, c := range e.Changes {
-		change, rev, err := readRow[model.ConfigChange](ctx, w.table, rows.ConfigKey(c.Key))
+	state.head, state.headRevision = head.Version, rev
+	for _, c := range edit.Changes {
+		change, rev, err := readRow[model.ConfigChange](ctx, e.table, rows.ConfigKey(c.Key))
 		if err != nil {
-			return now, err
+			return state, err
 		}
-		now.keys = append(now.keys, keyState{row: rev, change: change})
+		state.keys = append(state.keys, keyState{revision: rev, change: change})
 	}
-	return now, nil
+	return state, nil
 }
 
 // readRow reads and decodes a row; an absent row is the zero value with
--- a/internal/configstore/history_test.go
+++ b/internal/configstore/history_test.go
@@ -17,12 +17,12 @@
 )
 
 // trial is one run of racing editors on a faulty table.
-type trial struct {
-	w       *world
-	rng     *rand.Rand
-	results actor.Address[func()]
-	fates   map[string]error // by edit id; owned by the results actor
-	seen    map[string]model.ConfigVersion
+type randomRun struct {
+	fixture      *fixture
+	rng          *rand.Rand
+	results      actor.Address[func()]
+	outcomes     map[string]error // by edit id; owned by the results actor
+	seenVersions map[string]model.ConfigVersion
 }
 
 // Guards against edits that are lost, written twice or reported with the wrong
@@ -31,14 +31,14 @@
 func TestRandomFaults(t *testing.T) {
 	for seed := range int64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inWorld(t, func(t *testing.T, w *world) { runTrial(t, w, seed) })
+			withFixture(t, func(t *testing.T, f *fixture) { runRandomFaults(t, f, seed) })
 		})
 	}
 }
 
-func runTrial(t *testing.T, w *world, seed int64) {
-	x := &trial{w: w, rng: rand.New(rand.NewSource(seed)), fates: map[string]error{}, seen: map[string]model.ConfigVersion{}}
-	x.results = actor.Spawn(w.g, actor.Spec[func()]{Name: "results", Mailbox: 64, Run: func(ctx context.Context, in <-chan func()) error {
+func runRandomFaults(t *testing.T, f *fixture, seed int64) {
+	run := &randomRun{fixture: f, rng: rand.New(rand.NewSource(seed)), outcomes: map[string]error{}, seenVersions: map[string]model.ConfigVersion{}}
+	run.results = actor.Spawn(f.group, actor.Spec[func()]{Name: "results", Mailbox: 64, Run: func(ctx context.Context, in <-chan func()) error {
 		for {
 			select {
 			case f := <-in:
@@ -48,91 +48,91 @@
 			}
 		}
 	}})
-	stores := []*Store{w.store, w.newStore("entry-2")}
-	agent := StartApplier(w.g, "w1", quiet)
+	stores := []*Store{f.store, f.newStore("entry-2")}
+	agent := StartApplier(f.group, "w1", discardLog)
 	for name, h := range map[string]Handle{"entry-1": stores[0].Handle, "entry-2": stores[1].Handle, "w1": agent} {
-		x.watch(t, name, h)
+		run.checkVersions(t, name, h)
 	}
-	faulty := rand.New(rand.NewSource(seed + 1000))
-	require.NoError(t, w.table.do(t.Context(), func(d *tableData) {
-		d.draw = func() fault {
-			return []fault{healthy, healthy, healthy, away, lostAfter, lostFirst, late}[faulty.Intn(7)]
+	faultRand := rand.New(rand.NewSource(seed + 1000))
+	require.NoError(t, f.table.do(t.Context(), func(d *tableData) {
+		d.drawCommitFault = func() fault {
+			return []fault{healthy, healthy, healthy, unavailable, responseLost, requestLost, requestDelayed}[faultRand.Intn(7)]
 		}
-		d.drawn = func() fault { return []fault{healthy, healthy, healthy, healthy, away}[faulty.Intn(5)] }
+		d.drawReadFault = func() fault { return []fault{healthy, healthy, healthy, healthy, unavailable}[faultRand.Intn(5)] }
 	}))
-	cut := w.join(stores[0], agent, "w1")
+	unlink := f.link(stores[0], agent, "w1")
 	for i := range 30 {
-		x.launch(t, stores[i%2], fmt.Sprint("e", i), i)
-		actor.Sleep(t.Context(), time.Duration(x.rng.Intn(400))*time.Millisecond)
+		run.startEdit(t, stores[i%2], fmt.Sprint("e", i), i)
+		actor.Sleep(t.Context(), time.Duration(run.rng.Intn(400))*time.Millisecond)
 		if i%10 == 5 {
-			cut()
-			cut = w.join(stores[x.rng.Intn(2)], agent, "w1")
+			unlink()
+			unlink = f.link(stores[run.rng.Intn(2)], agent, "w1")
 		}
 	}
-	require.NoError(t, w.table.do(t.Context(), func(d *tableData) { d.draw, d.drawn = nil, nil }))
+	require.NoError(t, f.table.do(t.Context(), func(d *tableData) { d.drawCommitFault, d.drawReadFault = nil, nil }))
 	actor.Sleep(t.Context(), time.Minute)
-	x.judge(t, stores[0], agent)
+	run.verify(t, stores[0], agent)
 }
 
 // launch starts an edit on the version in force at its entry.
-func (x *trial) launch(t *testing.T, s *Store, id string, i int) {
+func (r *randomRun) startEdit(t *testing.T, s *Store, id string, i int) {
 	u, err := s.Current(t.Context())
 	require.NoError(t, err)
-	e := set(id, u.Snapshot.Version(), fmt.Sprint("w", x.rng.Intn(4)), id)
+	e := setEdit(id, u.Snapshot.Version(), fmt.Sprint("w", r.rng.Intn(4)), id)
 	if i%7 == 3 {
 		e.Changes[0].Item = nil
 	}
-	actor.Go(x.w.g, "client", func(ctx context.Context) error {
+	actor.Go(r.fixture.group, "client", func(ctx context.Context) error {
 		_, err := s.Edit(ctx, e)
-		return x.results.Send(ctx, func() { x.fates[id] = err })
+		return r.results.Send(ctx, func() { r.outcomes[id] = err })
 	})
 }
 
-func (x *trial) watch(t *testing.T, name string, h Handle) {
+func (r *randomRun) checkVersions(t *testing.T, name string, h Handle) {
 	require.NoError(t, h.Subscribe(t.Context(), func(u Update) bool {
 		v := u.Snapshot.Version()
-		return x.results.TrySend(func() {
-			if v < x.seen[name] {
-				t.Errorf("%s reverted from version %d to %d", name, x.seen[name], v)
+		return r.results.TrySend(func() {
+			if v < r.seenVersions[name] {
+				t.Errorf("%s reverted from version %d to %d", name, r.seenVersions[name], v)
 			}
-			x.seen[name] = v
+			r.seenVersions[name] = v
 		})
 	}))
 }
 
 // judge compares the log with what the clients were told.
-func (x *trial) judge(t *testing.T, s *Store, agent Handle) {
-	log, err := s.History(t.Context(), 0, 100)
+func (r *randomRun) verify(t *testing.T, s *Store, agent Handle) {
+	entries, err := s.History(t.Context(), 0, 100)
 	require.NoError(t, err)
 	written := map[string]int{}
 	want := map[model.ConfigKey]Item{}
-	for i := len(log) - 1; i >= 0; i-- {
-		written[log[i].Edit]++
-		x.replay(want, log[i])
+	for i := len(entries) - 1; i >= 0; i-- {
+		written[entries[i].Edit]++
+		r.replay(want, entries[i])
 	}
-	fates, err := actor.Ask(t.Context(), x.results, func(r actor.Reply[map[string]error]) func() { return func() { r.Put(x.fates) } })
+	outcomes, err := actor.Ask(t.Context(), r.results, func(reply actor.Reply[map[string]error]) func() { return func() { reply.Put(r.outcomes) } })
 	require.NoError(t, err)
-	require.Len(t, fates, 30)
+	require.Len(t, outcomes, 30)
 	accepted := 0
-	for id, fate := range fates {
+	for id, outcome := range outcomes {
 		switch {
-		case fate == nil:
+		case outcome == nil:
 			accepted++
 			require.Equal(t, 1, written[id], "accepted edit %s", id)
-		case errors.Is(fate, storage.ErrOutcomeUnknown):
+		case errors.Is(outcome, storage.ErrOutcomeUnknown):
 			require.LessOrEqual(t, written[id], 1, "unknown edit %s", id)
 		default:
-			require.Zero(t, written[id], "edit %s was refused: %v", id, fate)
+			require.Zero(t, written[id], "edit %s was refused: %v", id, outcome)
 		}
 	}
 	require.Positive(t, accepted)
 	for _, h := range []Handle{s.Handle, agent} {
-		got := x.w.expect(h, log[0].Version, "current")
+		got := r.fixture.waitForVersion(h, entries[0].Version, "current")
 		require.Equal(t, want, got.items)
 	}
 }
 
-func (x *trial) replay(items map[model.ConfigKey]Item, e rows.ConfigLog) {
+func (r *randomRun) replay(items map[model.ConfigKey]Item, e rows.ConfigLog) {
 	for _, c := range e.Changes {
 		if c.Item == nil {
 			delete(items, c.Key)
--- a/internal/configstore/lifecycle.go
+++ b/internal/configstore/lifecycle.go
@@ -17,12 +17,12 @@
 
 // Events of charts/config.scxml.
 const (
-	evAsk chart.Event = iota // a source that may be ahead can be asked
-	evNewer
+	evUpdateAvailable chart.Event = iota // a source that may be ahead can be asked
+	evNewerDelta
 	evConfirmed
-	evGap
-	evSilent
-	evLost
+	evMissingChanges
+	evTimeout
+	evSourceLost
 )
 
 // syncTimeout is how long an answer may take before the request is repeated
@@ -39,29 +39,29 @@
 
 // lifecycle is the state of a daemon's configuration. Steps are pure.
 type lifecycle struct {
-	state     chart.State
-	authority bool // the event comes from a source that knows the newest version
-	held      bool // a configuration is in force
-	peerAhead bool // a linked peer has a higher version
-	effects   [2]effect
-	pending   int
+	state         chart.State
+	fromAuthority bool // the event comes from a source that knows the newest version
+	loaded        bool // a configuration is in force
+	peerAhead     bool // a linked peer has a higher version
+	effects       [2]effect
+	numEffects    int
 }
 
 // step feeds an event and returns the effects to carry out; the slice is
 // valid until the next step.
 func (l *lifecycle) step(e chart.Event) []effect {
-	l.pending = 0
+	l.numEffects = 0
 	configChart.Step(l, &l.state, e)
-	return l.effects[:l.pending]
+	return l.effects[:l.numEffects]
 }
 
 func (l *lifecycle) emit(e effect) {
-	l.effects[l.pending] = e
-	l.pending++
+	l.effects[l.numEffects] = e
+	l.numEffects++
 }
 
 // name returns the state's name in the chart.
-func (l *lifecycle) name() string { return configChart.StateName(l.state) }
+func (l *lifecycle) stateName() string { return configChart.StateName(l.state) }
 
 var configChart = chart.MustCompile(charts.Files, ConfigBinding())
 
@@ -71,16 +71,16 @@
 	return chart.Binding[lifecycle]{
 		Chart:  "config",
 		States: []string{"empty", "syncing", "current", "stale"},
-		Events: []string{"ask", "newer", "confirmed", "gap", "silent", "lost"},
+		Events: []string{"updateAvailable", "newerDelta", "confirmed", "missingChanges", "timeout", "sourceLost"},
 		Guards: map[string]func(*lifecycle) bool{
-			"authority": func(l *lifecycle) bool { return l.authority },
-			"held":      func(l *lifecycle) bool { return l.held },
-			"peerAhead": func(l *lifecycle) bool { return l.peerAhead },
+			"fromAuthority": func(l *lifecycle) bool { return l.fromAuthority },
+			"loaded":        func(l *lifecycle) bool { return l.loaded },
+			"peerAhead":     func(l *lifecycle) bool { return l.peerAhead },
 		},
 		Actions: map[string]func(*lifecycle){
-			"install": func(l *lifecycle) { l.held = true; l.emit(effInstall) },
-			"hold":    func(l *lifecycle) { l.held = true },
-			"request": func(l *lifecycle) { l.emit(effRequest) },
+			"install":    func(l *lifecycle) { l.loaded = true; l.emit(effInstall) },
+			"markLoaded": func(l *lifecycle) { l.loaded = true },
+			"request":    func(l *lifecycle) { l.emit(effRequest) },
 		},
 		Delays: map[string]time.Duration{"syncTimeout": syncTimeout},
 	}
--- a/internal/configstore/node.go
+++ b/internal/configstore/node.go
@@ -48,8 +48,8 @@
 		m    msg.Control
 	}
 	subscribe struct{ deliver func(Update) bool }
-	askUpdate struct{ answer actor.Reply[Update] }
-	askStatus struct{ answer actor.Reply[Status] }
+	getUpdate struct{ answer actor.Reply[Update] }
+	getStatus struct{ answer actor.Reply[Status] }
 )
 
 // retryInterval is how often deliveries to full mailboxes are repeated.
@@ -62,10 +62,10 @@
 	name    string
 	log     log.Interface
 	now     func() time.Time
-	source  actor.Address[pollNow] // zero on agents
+	source  actor.Address[pollRequest] // zero on agents
 	isEntry bool
 
-	life      lifecycle
+	lifecycle lifecycle
 	deadline  time.Time // of the state's timeout; zero: none
 	snapshot  *Snapshot
 	journal   journal
@@ -73,17 +73,17 @@
 	peers     map[string]*peer
 	receivers []*receiver
 	deltas    map[model.ConfigVersion]*msg.ConfigDelta // by start; for the version in force
-	whole     *msg.ConfigDelta                         // for the version in force; nil: not built
+	fullDelta *msg.ConfigDelta                         // for the version in force; nil: not built
 	pollError error                                    // of the latest poll that failed
 }
 
 // peer is a linked daemon.
 type peer struct {
-	to      actor.Address[msg.Control]
-	version model.ConfigVersion // in force at the peer, as far as it reported
-	held    model.ConfigVersion // entry: the agent has or was sent this version
-	told    model.ConfigVersion // entry: newest delta sent; agent: newest report sent
-	greeted bool                // told is set
+	to          actor.Address[msg.Control]
+	version     model.ConfigVersion // in force at the peer, as far as it reported
+	deltaBase   model.ConfigVersion // entry: the agent has or was sent this version
+	sentVersion model.ConfigVersion // entry: newest delta sent; agent: newest report sent
+	sentAny     bool                // told is set
 }
 
 // receiver is a subscriber in this process.
@@ -117,17 +117,17 @@
 
 // expire feeds the state's timeout; the tick is precise enough for it.
 func (n *node) expire() {
-	if _, e, ok := configChart.Timeout(n.life.state); ok && !n.deadline.IsZero() && !n.now().Before(n.deadline) {
+	if _, e, ok := configChart.Timeout(n.lifecycle.state); ok && !n.deadline.IsZero() && !n.now().Before(n.deadline) {
 		n.step(e)
 	}
 }
 
 // step feeds an event to the lifecycle and carries out its effects.
 func (n *node) step(e chart.Event) {
-	before, held := n.life.state, n.life.held
-	n.life.peerAhead = n.anyAhead()
+	oldState, wasLoaded := n.lifecycle.state, n.lifecycle.loaded
+	n.lifecycle.peerAhead = n.anyPeerAhead()
 	requested, installed := false, false
-	for _, eff := range n.life.step(e) {
+	for _, eff := range n.lifecycle.step(e) {
 		switch eff {
 		case effInstall:
 			n.install()
@@ -137,37 +137,37 @@
 			requested = true
 		}
 	}
-	if n.life.state != before || requested {
-		n.arm()
+	if n.lifecycle.state != oldState || requested {
+		n.resetDeadline()
 	}
-	if n.life.state == stStale && before == stCurrent {
+	if n.lifecycle.state == stStale && oldState == stCurrent {
 		event.Log(n.log, event.ConfigStale, log.Fields{"version": uint64(n.snapshot.version), "error": fmt.Sprint(n.pollError)})
 	}
-	if installed || n.life.state != before || n.life.held != held {
-		n.changed()
+	if installed || n.lifecycle.state != oldState || n.lifecycle.loaded != wasLoaded {
+		n.notifyAll()
 	}
 }
 
-func (n *node) arm() {
+func (n *node) resetDeadline() {
 	n.deadline = time.Time{}
-	if d, _, ok := configChart.Timeout(n.life.state); ok {
+	if d, _, ok := configChart.Timeout(n.lifecycle.state); ok {
 		n.deadline = n.now().Add(d)
 	}
 }
 
 func (n *node) install() {
 	d := n.incoming
-	held := n.snapshot.version
+	oldVersion := n.snapshot.version
 	n.snapshot = n.snapshot.apply(d)
-	n.journal.note(held, d)
+	n.journal.record(oldVersion, d)
 	clear(n.deltas)
-	n.whole = nil
+	n.fullDelta = nil
 	event.Log(n.log, event.ConfigInstalled, log.Fields{"version": uint64(n.snapshot.version), "changes": len(d.Changes)})
 }
 
 // request asks the sources: the table, and every peer that is ahead.
 func (n *node) request() {
-	n.source.TrySend(pollNow{})
+	n.source.TrySend(pollRequest{})
 	for _, p := range n.peers {
 		if p.version > n.snapshot.version {
 			p.to.TrySend(&msg.ConfigRequest{Have: n.snapshot.version})
@@ -175,7 +175,7 @@
 	}
 }
 
-func (n *node) anyAhead() bool {
+func (n *node) anyPeerAhead() bool {
 	for _, p := range n.peers {
 		if p.version > n.snapshot.version {
 			return true
@@ -185,14 +185,14 @@
 }
 
 // offer considers a delta. Only a higher version is ever installed.
-func (n *node) offer(d *msg.ConfigDelta, authority bool) {
-	n.life.authority, n.incoming = authority, d
-	switch n.snapshot.fit(d) {
+func (n *node) applyDelta(d *msg.ConfigDelta, authority bool) {
+	n.lifecycle.fromAuthority, n.incoming = authority, d
+	switch n.snapshot.classify(d) {
 	case fitNewer:
-		n.step(evNewer)
+		n.step(evNewerDelta)
 	case fitGap:
 		event.Log(n.log, event.ConfigGap, log.Fields{"held": uint64(n.snapshot.version), "from": uint64(d.From)})
-		n.step(evGap)
+		n.step(evMissingChanges)
 	case fitSame:
 		if authority {
 			n.step(evConfirmed)
@@ -201,7 +201,7 @@
 }
 
 // changed tells everyone after a change.
-func (n *node) changed() {
+func (n *node) notifyAll() {
 	for _, r := range n.receivers {
 		r.behind = true
 	}
@@ -210,7 +210,7 @@
 }
 
 func (n *node) publish() {
-	if !n.life.held {
+	if !n.lifecycle.loaded {
 		return
 	}
 	u := n.update()
@@ -227,17 +227,17 @@
 	}
 }
 
-func (n *node) update() Update { return Update{Snapshot: n.snapshot, State: n.life.name()} }
+func (n *node) update() Update { return Update{Snapshot: n.snapshot, State: n.lifecycle.stateName()} }
 
 // distribute tells each peer the version in force. A full mailbox is tried
 // again at the next tick.
 func (n *node) distribute() {
-	if !n.life.held {
+	if !n.lifecycle.loaded {
 		return
 	}
 	for _, p := range n.peers {
-		if !p.greeted || p.told < n.snapshot.version {
-			n.tell(p)
+		if !p.sentAny || p.sentVersion < n.snapshot.version {
+			n.sendVersion(p)
 		}
 	}
 }
@@ -245,32 +245,32 @@
 // tell sends an agent what it lacks, or an entry the version in force. An
 // agent that has the version already, from another entry, is sent an empty
 // delta: without it, it would not know that the version is the newest.
-func (n *node) tell(p *peer) {
+func (n *node) sendVersion(p *peer) {
 	var m msg.Control = &msg.ConfigApplied{Version: n.snapshot.version}
 	if n.isEntry {
-		if p.held > n.snapshot.version {
+		if p.deltaBase > n.snapshot.version {
 			return
 		}
-		m = n.deltaFrom(p.held)
+		m = n.deltaFrom(p.deltaBase)
 	}
 	if p.to.TrySend(m) {
-		p.held, p.told, p.greeted = n.snapshot.version, n.snapshot.version, true
+		p.deltaBase, p.sentVersion, p.sentAny = n.snapshot.version, n.snapshot.version, true
 	}
 }
 
 // deltaFrom returns what a daemon at version have lacks. Peers at the same
 // version share one delta.
-func (n *node) deltaFrom(have model.ConfigVersion) *msg.ConfigDelta {
-	if d, ok := n.deltas[have]; ok {
+func (n *node) deltaFrom(version model.ConfigVersion) *msg.ConfigDelta {
+	if d, ok := n.deltas[version]; ok {
 		return d
 	}
-	if changes, ok := n.journal.since(have); ok {
-		d := &msg.ConfigDelta{From: have, To: n.snapshot.version, Changes: changes}
-		n.deltas[have] = d
+	if changes, ok := n.journal.since(version); ok {
+		d := &msg.ConfigDelta{From: version, To: n.snapshot.version, Changes: changes}
+		n.deltas[version] = d
 		return d
 	}
-	if n.whole == nil {
-		n.whole = n.snapshot.full()
+	if n.fullDelta == nil {
+		n.fullDelta = n.snapshot.full()
 	}
-	return n.whole
+	return n.fullDelta
 }
--- a/internal/configstore/poller.go
+++ b/internal/configstore/poller.go
@@ -29,19 +29,19 @@
 )
 
 // pollNow asks the poller to look at once; All to load everything again.
-type pollNow struct{ all bool }
+type pollRequest struct{ reload bool }
 
 // poller reads the configuration's rows and tells the node what it finds.
 type poller struct {
-	table  storage.Table
-	node   actor.Address[message]
-	log    log.Interface
-	loaded model.ConfigVersion
-	rev    storage.Revision // the log is read up to this revision
-	known  bool             // loaded and rev are set
+	table       storage.Table
+	node        actor.Address[message]
+	log         log.Interface
+	loaded      model.ConfigVersion
+	rev         storage.Revision // the log is read up to this revision
+	initialised bool             // loaded and rev are set
 }
 
-func (p *poller) run(ctx context.Context, in <-chan pollNow) error {
+func (p *poller) run(ctx context.Context, in <-chan pollRequest) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	delay := pollInterval
@@ -49,13 +49,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case now := <-in:
-			p.known = p.known && !now.all
+		case request := <-in:
+			p.initialised = p.initialised && !request.reload
 		case <-timer.C:
 		}
 		if err := p.poll(ctx); err != nil {
 			delay = min(2*delay, maxPollDelay)
-			p.tell(ctx, &pollFailed{err: err})
+			p.notify(ctx, &pollFailed{err: err})
 		} else {
 			delay = pollInterval
 		}
@@ -63,33 +63,33 @@
 	}
 }
 
-func (p *poller) tell(ctx context.Context, m message) { _ = p.node.Send(ctx, m) }
+func (p *poller) notify(ctx context.Context, m message) { _ = p.node.Send(ctx, m) }
 
 func (p *poller) poll(ctx context.Context) error {
-	reading, cancel := context.WithTimeout(ctx, pollTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	head, _, err := readRow[rows.ConfigHead](reading, p.table, rows.ConfigHeadKey)
+	head, _, err := readRow[rows.ConfigHead](pollCtx, p.table, rows.ConfigHeadKey)
 	switch {
 	case err != nil:
 		return err
-	case !p.known:
-		return p.loadAll(ctx, reading, head.Version)
+	case !p.initialised:
+		return p.loadAll(ctx, pollCtx, head.Version)
 	case head.Version > p.loaded:
-		return p.loadLog(ctx, reading)
+		return p.loadLog(ctx, pollCtx)
 	}
-	p.tell(ctx, &polled{version: p.loaded})
+	p.notify(ctx, &pollSucceeded{version: p.loaded})
 	return nil
 }
 
 // loadAll reads every item. Items that were removed still have rows, so the
 // newest change among the rows is the version at the scan's revision.
-func (p *poller) loadAll(ctx, reading context.Context, head model.ConfigVersion) error {
-	found, rev, err := p.table.Scan(reading, rows.ConfigKeyPrefix, 0)
+func (p *poller) loadAll(ctx, pollCtx context.Context, head model.ConfigVersion) error {
+	tableRows, rev, err := p.table.Scan(pollCtx, rows.ConfigKeyPrefix, 0)
 	if err != nil {
 		return err
 	}
 	d := &msg.ConfigDelta{Full: true, To: head}
-	for _, row := range found {
+	for _, row := range tableRows {
 		if row.Deleted {
 			continue
 		}
@@ -103,20 +103,20 @@
 			d.Changes = append(d.Changes, change)
 		}
 	}
-	p.loaded, p.rev, p.known = d.To, rev, true
-	p.tell(ctx, &polled{version: d.To, delta: d})
+	p.loaded, p.rev, p.initialised = d.To, rev, true
+	p.notify(ctx, &pollSucceeded{version: d.To, delta: d})
 	return nil
 }
 
 // loadLog reads the edits after the version loaded. When one is missing it
 // loads everything at the next poll.
-func (p *poller) loadLog(ctx, reading context.Context) error {
-	found, rev, err := p.table.Scan(reading, rows.ConfigLogPrefix, p.rev)
+func (p *poller) loadLog(ctx, pollCtx context.Context) error {
+	tableRows, rev, err := p.table.Scan(pollCtx, rows.ConfigLogPrefix, p.rev)
 	if err != nil {
 		return err
 	}
 	var edits []rows.ConfigLog
-	for _, row := range found {
+	for _, row := range tableRows {
 		entry, err := rows.Decode[rows.ConfigLog](row.Value)
 		if row.Deleted || (err == nil && entry.Version <= p.loaded) {
 			continue
@@ -128,20 +128,20 @@
 		edits = append(edits, entry)
 	}
 	sort.Slice(edits, func(i, j int) bool { return edits[i].Version < edits[j].Version })
-	if want, ok := contiguous(p.loaded, edits); !ok {
-		p.known = false
-		return fmt.Errorf("%s is missing", rows.ConfigLogKey(want))
+	if missing, ok := checkContiguous(p.loaded, edits); !ok {
+		p.initialised = false
+		return fmt.Errorf("%s is missing", rows.ConfigLogKey(missing))
 	}
 	p.rev = rev
 	d := deltaOf(edits)
 	p.loaded = d.To
-	p.tell(ctx, &polled{version: d.To, delta: d})
+	p.notify(ctx, &pollSucceeded{version: d.To, delta: d})
 	return nil
 }
 
 // contiguous reports whether edits are the versions after a version without a
 // gap, or the first that is missing.
-func contiguous(after model.ConfigVersion, edits []rows.ConfigLog) (model.ConfigVersion, bool) {
+func checkContiguous(after model.ConfigVersion, edits []rows.ConfigLog) (model.ConfigVersion, bool) {
 	for _, e := range edits {
 		if after++; e.Version != after {
 			return after, false
--- a/internal/configstore/properties.go
+++ b/internal/configstore/properties.go
@@ -45,7 +45,7 @@
 // Class returns the properties of a class; a class without labels has the
 // defaults.
 func (s *Snapshot) Class(c model.Class) ClassProperties {
-	return classProperties(c, s.Labels(model.KindClass, string(c)))
+	return newClassProperties(c, s.Labels(model.KindClass, string(c)))
 }
 
 // Classes returns the classes of a service, those with the longest path
@@ -58,11 +58,11 @@
 			list = append(list, p)
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].longest() > list[j].longest() })
+	sort.SliceStable(list, func(i, j int) bool { return list[i].longestPrefixLen() > list[j].longestPrefixLen() })
 	return list
 }
 
-func (p ClassProperties) longest() int {
+func (p ClassProperties) longestPrefixLen() int {
 	n := 0
 	for _, prefix := range p.PathPrefixes {
 		n = max(n, len(prefix))
@@ -73,11 +73,11 @@
 // ClassOf returns the class of a request path: the one with the longest
 // matching prefix.
 func ClassOf(classes []ClassProperties, path string) (class ClassProperties, ok bool) {
-	best := -1
+	longest := -1
 	for _, c := range classes {
 		for _, prefix := range c.PathPrefixes {
-			if len(prefix) > best && strings.HasPrefix(path, prefix) {
-				class, ok, best = c, true, len(prefix)
+			if len(prefix) > longest && strings.HasPrefix(path, prefix) {
+				class, ok, longest = c, true, len(prefix)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 	return list
 }
 
-func classProperties(c model.Class, l model.Labels) ClassProperties {
+func newClassProperties(c model.Class, l model.Labels) ClassProperties {
 	p := ClassProperties{Class: c, Service: model.Service(l[LabelService]), Labels: l,
 		PathPrefixes: splitList(l[LabelPathPrefix]), IdempotentMethods: splitList(l[LabelIdempotentMethods])}
 	if ms, err := strconv.ParseInt(l[LabelDeadline], 10, 32); err == nil {
@@ -159,7 +159,7 @@
 }
 
 // maxList bounds the value of a label that is a list, in bytes.
-const maxList = 1024
+const maxListBytes = 1024
 
 // isList reports whether the value of a label is a comma-separated list, which
 // the syntax of other labels does not allow.
@@ -189,8 +189,8 @@
 		return nil
 	}
 	switch {
-	case isList(kind, label) && len(value) > maxList:
-		return fmt.Errorf("is longer than %d bytes", maxList)
+	case isList(kind, label) && len(value) > maxListBytes:
+		return fmt.Errorf("is longer than %d bytes", maxListBytes)
 	case kind == model.KindClass && (label == LabelDeadline || label == model.LabelTargetP99):
 		return number(1, 24*3600*1000)
 	case kind == model.KindClass && label == LabelLong, kind == model.KindWorker && label == model.LabelDrain:
@@ -199,13 +199,13 @@
 		}
 	case kind == model.KindClass && label == LabelPathPrefix:
 		for _, p := range strings.Split(value, ",") {
-			if !strings.HasPrefix(p, "/") || !plainName(p) {
+			if !strings.HasPrefix(p, "/") || !isName(p) {
 				return fmt.Errorf("path prefix %q does not begin with /, or has spaces", p)
 			}
 		}
 	case isList(kind, label): // methods
 		for _, m := range strings.Split(value, ",") {
-			if m == "" || strings.ToUpper(m) != m || !plainName(m) {
+			if m == "" || strings.ToUpper(m) != m || !isName(m) {
 				return fmt.Errorf("%q is not an upper-case HTTP method", m)
 			}
 		}
--- a/internal/configstore/prune.go
+++ b/internal/configstore/prune.go
@@ -13,42 +13,42 @@
 // the rows of items that it removed. Without this, rows of removed items would
 // grow by up to 3,300 a day. A row that could not be removed stays; it does
 // no harm, so that is not tried again.
-func (w *editor) prune(ctx context.Context, accepted model.ConfigVersion) {
-	if accepted <= w.keep {
+func (e *editor) prune(ctx context.Context, accepted model.ConfigVersion) {
+	if accepted <= e.keepVersions {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, editBudget)
+	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
-	entry, rev, err := readRow[rows.ConfigLog](ctx, w.table, rows.ConfigLogKey(accepted-w.keep))
+	entry, rev, err := readRow[rows.ConfigLog](ctx, e.table, rows.ConfigLogKey(accepted-e.keepVersions))
 	if err != nil || rev == 0 {
 		return
 	}
-	now := tableState{}
+	state := tableState{}
 	for _, c := range entry.Changes {
-		change, row, err := readRow[model.ConfigChange](ctx, w.table, rows.ConfigKey(c.Key))
+		change, row, err := readRow[model.ConfigChange](ctx, e.table, rows.ConfigKey(c.Key))
 		if err != nil {
 			return
 		}
-		now.keys = append(now.keys, keyState{row: row, change: change})
+		state.keys = append(state.keys, keyState{revision: row, change: change})
 	}
-	_, _ = w.table.Commit(ctx, pruning(entry, rev, now))
+	_, _ = e.table.Commit(ctx, pruneTxn(entry, rev, state))
 }
 
 // pruning returns the transaction that removes an edit from the log. It is
 // pure.
-func pruning(entry rows.ConfigLog, rev storage.Revision, now tableState) storage.Txn {
+func pruneTxn(entry rows.ConfigLog, rev storage.Revision, state tableState) storage.Txn {
 	key := rows.ConfigLogKey(entry.Version)
 	t := storage.Txn{
 		Operation: fmt.Sprintf("config/prune/%d", entry.Version),
 		Checks:    []storage.Check{{Key: key, Version: rev}},
 		Deletes:   []string{key},
 	}
-	for i, k := range now.keys {
-		if k.row == 0 || k.change.Version != entry.Version || k.change.Item != nil {
+	for i, k := range state.keys {
+		if k.revision == 0 || k.change.Version != entry.Version || k.change.Item != nil {
 			continue // set again, or removed by a later edit
 		}
 		row := rows.ConfigKey(entry.Changes[i].Key)
-		t.Checks = append(t.Checks, storage.Check{Key: row, Version: k.row})
+		t.Checks = append(t.Checks, storage.Check{Key: row, Version: k.revision})
 		t.Deletes = append(t.Deletes, row)
 	}
 	return t
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -65,16 +65,16 @@
 }
 
 // fit says how a delta relates to a snapshot.
-type fit uint8
+type deltaFit uint8
 
 const (
-	fitOlder fit = iota // nothing new, and the sender is behind
-	fitSame             // the sender is at the same version
-	fitNewer            // can be applied
-	fitGap              // changes before it are missing
+	fitOlder deltaFit = iota // nothing new, and the sender is behind
+	fitSame                  // the sender is at the same version
+	fitNewer                 // can be applied
+	fitGap                   // changes before it are missing
 )
 
-func (s *Snapshot) fit(d *msg.ConfigDelta) fit {
+func (s *Snapshot) classify(d *msg.ConfigDelta) deltaFit {
 	switch {
 	case d.To < s.version:
 		return fitOlder
@@ -124,51 +124,51 @@
 
 // maxJournal bounds the journal: 1,000 edits are seven hours at the target
 // of 3,300 a day, so a daemon that was away for longer gets everything.
-const maxJournal = 1000
+const maxJournalEdits = 1000
 
 // journal keeps the newest changes, so that daemons get only what they lack.
 type journal struct {
 	base    model.ConfigVersion // changes after this version are all kept
 	version model.ConfigVersion // of the newest change
-	edits   []edition
+	edits   []editChanges
 }
 
 // edition is the changes of one version.
-type edition struct {
+type editChanges struct {
 	version model.ConfigVersion
 	changes []model.ConfigChange
 }
 
 // note records a delta that was applied to a snapshot at version held.
-func (j *journal) note(held model.ConfigVersion, d *msg.ConfigDelta) {
-	if d.Full || held != j.version {
+func (j *journal) record(oldVersion model.ConfigVersion, d *msg.ConfigDelta) {
+	if d.Full || oldVersion != j.version {
 		*j = journal{base: d.To, version: d.To}
 		return
 	}
 	for _, c := range d.Changes {
-		if c.Version <= held {
+		if c.Version <= oldVersion {
 			continue
 		}
 		if last := len(j.edits) - 1; last >= 0 && j.edits[last].version == c.Version {
 			j.edits[last].changes = append(j.edits[last].changes, c)
 			continue
 		}
-		j.edits = append(j.edits, edition{version: c.Version, changes: []model.ConfigChange{c}})
+		j.edits = append(j.edits, editChanges{version: c.Version, changes: []model.ConfigChange{c}})
 	}
 	j.version = d.To
-	if extra := len(j.edits) - maxJournal; extra > 0 {
+	if extra := len(j.edits) - maxJournalEdits; extra > 0 {
 		j.base = j.edits[extra-1].version
-		j.edits = append([]edition(nil), j.edits[extra:]...)
+		j.edits = append([]editChanges(nil), j.edits[extra:]...)
 	}
 }
 
 // since returns the changes after a version; ok is false when some of them
 // are no longer kept.
-func (j *journal) since(have model.ConfigVersion) (changes []model.ConfigChange, ok bool) {
-	if have < j.base || have > j.version {
+func (j *journal) since(version model.ConfigVersion) (changes []model.ConfigChange, ok bool) {
+	if version < j.base || version > j.version {
 		return nil, false
 	}
-	i := sort.Search(len(j.edits), func(i int) bool { return j.edits[i].version > have })
+	i := sort.Search(len(j.edits), func(i int) bool { return j.edits[i].version > version })
 	for _, e := range j.edits[i:] {
 		changes = append(changes, e.changes...)
 	}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -52,12 +52,12 @@
 // Current returns the configuration in force. In state empty nothing is, and
 // the snapshot is the empty one.
 func (h Handle) Current(ctx context.Context) (Update, error) {
-	return actor.Ask(ctx, h.addr, func(r actor.Reply[Update]) message { return &askUpdate{answer: r} })
+	return actor.Ask(ctx, h.addr, func(r actor.Reply[Update]) message { return &getUpdate{answer: r} })
 }
 
 // Status returns the versions in force at the daemon and its linked peers.
 func (h Handle) Status(ctx context.Context) (Status, error) {
-	return actor.Ask(ctx, h.addr, func(r actor.Reply[Status]) message { return &askStatus{answer: r} })
+	return actor.Ask(ctx, h.addr, func(r actor.Reply[Status]) message { return &getStatus{answer: r} })
 }
 
 // StartApplier starts the configuration of an agent, whose peers are entries.
@@ -80,9 +80,9 @@
 	KeepVersions model.ConfigVersion
 }
 
-func (c StoreConfig) keep() model.ConfigVersion {
+func (c StoreConfig) keepVersions() model.ConfigVersion {
 	if c.KeepVersions == 0 {
-		return keepVersions
+		return defaultKeepVersions
 	}
 	return c.KeepVersions
 }
@@ -91,28 +91,28 @@
 // accepts edits.
 type Store struct {
 	Handle
-	table  storage.Table
-	check  Validator
-	editor actor.Address[editRequest]
+	table     storage.Table
+	validator Validator
+	editor    actor.Address[editRequest]
 }
 
 // StartStore starts the configuration of an entry.
 func StartStore(g *actor.Group, c StoreConfig) *Store {
 	addr := spawnNode(g, newNode(string(c.ID), true, c.Log))
 	p := &poller{table: c.Table, node: addr, log: c.Log}
-	poller := actor.Spawn(g, actor.Spec[pollNow]{Name: "config-poller", Mailbox: 1, Restart: actor.OnFailure, Run: p.run})
-	_ = addr.Send(g.Context(), &sourceIs{poller}) // fails only when the group has ended
-	w := &editor{table: c.Table, node: addr, log: c.Log, keep: c.keep()}
-	return &Store{Handle: Handle{addr}, table: c.Table, check: c.Validator,
-		editor: actor.Spawn(g, actor.Spec[editRequest]{Name: "config-editor", Mailbox: editorMailbox, Restart: actor.OnFailure, Run: w.run})}
+	poller := actor.Spawn(g, actor.Spec[pollRequest]{Name: "config-poller", Mailbox: 1, Restart: actor.OnFailure, Run: p.run})
+	_ = addr.Send(g.Context(), &setSource{poller}) // fails only when the group has ended
+	e := &editor{table: c.Table, node: addr, log: c.Log, keepVersions: c.keepVersions()}
+	return &Store{Handle: Handle{addr}, table: c.Table, validator: c.Validator,
+		editor: actor.Spawn(g, actor.Spec[editRequest]{Name: "config-editor", Mailbox: editorMailbox, Restart: actor.OnFailure, Run: e.run})}
 }
 
 // Edit makes an edit. Errors: a finding.List when it is invalid,
 // *ConflictError, storage.ErrUnavailable or ErrRefused when it certainly had
 // no effect, and storage.ErrOutcomeUnknown when that could not be determined.
 func (s *Store) Edit(ctx context.Context, e Edit) (EditResult, error) {
-	found := s.check.Validate(e)
-	if err := found.Err(); err != nil {
+	findings := s.validator.Validate(e)
+	if err := findings.Err(); err != nil {
 		return EditResult{}, err
 	}
 	r := editRequest{ctx: ctx, edit: e, answer: actor.NewReply[editAnswer]()}
@@ -121,7 +121,7 @@
 	}
 	select {
 	case a := <-r.answer.C():
-		return a.accepted, refusal(e, a.err)
+		return a.accepted, baseErrorAsFinding(e, a.err)
 	case <-s.editor.Done():
 	case <-ctx.Done():
 	}
@@ -129,11 +129,11 @@
 }
 
 // refusal makes a base that cannot be used a finding of the edit.
-func refusal(e Edit, err error) error {
-	if !errors.Is(err, errFuture) && !errors.Is(err, errTooOld) {
+func baseErrorAsFinding(e Edit, err error) error {
+	if !errors.Is(err, errBaseTooNew) && !errors.Is(err, errBaseTooOld) {
 		return err
 	}
-	return findingOf("base", err)
+	return editFinding("base", err)
 }
 
 // History returns accepted edits, newest first, from before a version (0: the
--- a/internal/configstore/table_test.go
+++ b/internal/configstore/table_test.go
@@ -12,11 +12,11 @@
 type fault uint8
 
 const (
-	healthy   fault = iota
-	away            // no effect, and the client knows it
-	lostAfter       // takes effect, but the response is lost
-	lostFirst       // has no effect, and the client does not know it
-	late            // arrives before the next commit, and the client does not know it
+	healthy        fault = iota
+	unavailable          // no effect, and the client knows it
+	responseLost         // takes effect, but the response is lost
+	requestLost          // has no effect, and the client does not know it
+	requestDelayed       // arrives before the next commit, and the client does not know it
 )
 
 // fakeTable is an actor, so that tests may use it from any goroutine.
@@ -25,13 +25,13 @@
 }
 
 type tableData struct {
-	rev     storage.Revision
-	rows    map[string]storage.Row
-	commits []fault // of the next commits, in order
-	reads   fault   // of every read
-	onWay   *storage.Txn
-	draw    func() fault // chooses the fault of a commit; nil: the script above
-	drawn   func() fault // chooses the fault of a read
+	rev             storage.Revision
+	rows            map[string]storage.Row
+	commitFaults    []fault // of the next commits, in order
+	readFault       fault   // of every read
+	delayed         *storage.Txn
+	drawCommitFault func() fault // chooses the fault of a commit; nil: the script above
+	drawReadFault   func() fault // chooses the fault of a read
 }
 
 func newFakeTable(g *actor.Group) fakeTable {
@@ -58,36 +58,36 @@
 }
 
 func (t fakeTable) Commit(ctx context.Context, x storage.Txn) (rev storage.Revision, err error) {
-	if e := t.do(ctx, func(d *tableData) { rev, err = d.commit(x) }); e != nil {
-		return 0, e
+	if askErr := t.do(ctx, func(d *tableData) { rev, err = d.commit(x) }); askErr != nil {
+		return 0, askErr
 	}
 	return rev, err
 }
 
 func (d *tableData) commit(x storage.Txn) (storage.Revision, error) {
-	if late := d.onWay; late != nil {
-		d.onWay = nil
-		_ = d.apply(*late)
+	if delayedTxn := d.delayed; delayedTxn != nil {
+		d.delayed = nil
+		_ = d.apply(*delayedTxn)
 	}
 	kind := healthy
-	if d.draw != nil {
-		kind = d.draw()
-	} else if len(d.commits) > 0 {
-		kind, d.commits = d.commits[0], d.commits[1:]
+	if d.drawCommitFault != nil {
+		kind = d.drawCommitFault()
+	} else if len(d.commitFaults) > 0 {
+		kind, d.commitFaults = d.commitFaults[0], d.commitFaults[1:]
 	}
 	switch kind {
-	case away:
+	case unavailable:
 		return 0, storage.ErrUnavailable
-	case lostFirst:
+	case requestLost:
 		return 0, storage.ErrOutcomeUnknown
-	case late:
-		d.onWay = &x
+	case requestDelayed:
+		d.delayed = &x
 		return 0, storage.ErrOutcomeUnknown
 	}
-	if err := d.apply(x); err != nil && kind != lostAfter {
+	if err := d.apply(x); err != nil && kind != responseLost {
 		return 0, err
 	}
-	if kind == lostAfter {
+	if kind == responseLost {
 		return 0, storage.ErrOutcomeUnknown
 	}
 	return d.rev, nil
@@ -101,14 +101,14 @@
 }
 
 func (d *tableData) apply(x storage.Txn) error {
-	var failed []string
+	var failedKeys []string
 	for _, c := range x.Checks {
 		if d.version(c.Key) != c.Version {
-			failed = append(failed, c.Key)
+			failedKeys = append(failedKeys, c.Key)
 		}
 	}
-	if failed != nil {
-		return &storage.ConflictError{Keys: failed}
+	if failedKeys != nil {
+		return &storage.ConflictError{Keys: failedKeys}
 	}
 	d.rev++
 	for _, p := range x.Puts {
@@ -120,38 +120,38 @@
 	return nil
 }
 
-func (d *tableData) reading() error {
-	if d.reads == away || (d.drawn != nil && d.drawn() == away) {
+func (d *tableData) checkRead() error {
+	if d.readFault == unavailable || (d.drawReadFault != nil && d.drawReadFault() == unavailable) {
 		return storage.ErrUnavailable
 	}
 	return nil
 }
 
 func (t fakeTable) Read(ctx context.Context, key string) (row storage.Row, err error) {
-	if e := t.do(ctx, func(d *tableData) {
+	if askErr := t.do(ctx, func(d *tableData) {
 		if row = d.rows[key]; d.version(key) == 0 {
 			err = storage.ErrNotFound
 		}
-		if away := d.reading(); away != nil {
-			err = away
+		if readErr := d.checkRead(); readErr != nil {
+			err = readErr
 		}
-	}); e != nil {
-		return row, e
+	}); askErr != nil {
+		return row, askErr
 	}
 	return row, err
 }
 
 func (t fakeTable) Scan(ctx context.Context, prefix string, after storage.Revision) (found []storage.Row, rev storage.Revision, err error) {
-	if e := t.do(ctx, func(d *tableData) {
+	if askErr := t.do(ctx, func(d *tableData) {
 		rev = d.rev
 		for k, row := range d.rows {
 			if strings.HasPrefix(k, prefix) && row.Version > after {
 				found = append(found, row)
 			}
 		}
-		err = d.reading()
-	}); e != nil {
-		return nil, 0, e
+		err = d.checkRead()
+	}); askErr != nil {
+		return nil, 0, askErr
 	}
 	return found, rev, err
 }
