--- a/internal/configstore/configstore_test.go
+++ b/internal/configstore/configstore_test.go
@@ -33,7 +33,7 @@
 		Key: model.ConfigKey{Kind: model.KindWorker, Name: name}, Item: &model.ConfigItem{Labels: model.Labels{"v": value}}}}}
 }
 
-// world is a table with one entry, in virtual time.
+// fixture is a simulated table with one entry, in virtual time.
 type fixture struct {
 	t     *testing.T
 	group *actor.Group
@@ -65,7 +65,8 @@
 	return a
 }
 
-// expect waits in virtual time until a daemon has a version in a state.
+// waitForVersion waits up to 10 s of virtual time until a daemon uses version v
+// in the given state.
 func (f *fixture) waitForVersion(h Handle, v model.ConfigVersion, state string) *Snapshot {
 	var u Update
 	for range 40 {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// join connects an agent and an entry by mailboxes and returns the unlinking.
+// link connects an agent and an entry by mailboxes. unlink ends the link.
 func (f *fixture) link(s *Store, a Handle, worker string) (unlink func()) {
 	g := f.group.Sub()
 	ctx := f.t.Context()
@@ -111,7 +112,8 @@
 	}
 }
 
-// Guards against an edit that merges over, or is lost to, another one.
+// Guards against an edit that overwrites a concurrent edit of the same key, and
+// against a conflict between edits of different keys.
 func TestRacingEdits(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		require.EqualValues(t, 1, f.edit(setEdit("a", 0, "w1", "1")).Version)
@@ -121,7 +123,7 @@
 		require.ErrorAs(t, err, &conflict)
 		require.Equal(t, "author-of-a", conflict.Author)
 		require.EqualValues(t, 1, conflict.Version)
-		// Another entry commits between this entry's read and its commit.
+		// Another entry commits an edit.
 		other := f.newStore("entry-2")
 		_, err = other.Edit(t.Context(), Edit{ID: "d", Base: 1, Changes: []Change{{Key: model.ConfigKey{Kind: model.KindWorker, Name: "w1"}}}})
 		require.NoError(t, err)
@@ -146,13 +148,13 @@
 		commits []fault
 		want    error
 	}{
-		"written, response lost":       {[]fault{responseLost}, nil},
-		"request lost":                 {[]fault{requestLost}, nil},
-		"lost twice, then written":     {[]fault{requestLost, responseLost}, nil},
-		"away":                         {[]fault{unavailable}, storage.ErrUnavailable},
-		"lost, then away for long":     {[]fault{requestLost, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable}, storage.ErrOutcomeUnknown},
-		"request delayed":              {[]fault{requestDelayed}, nil},
-		"every response lost for long": {[]fault{requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost}, storage.ErrOutcomeUnknown},
+		"written, response lost":   {[]fault{responseLost}, nil},
+		"request lost":             {[]fault{requestLost}, nil},
+		"lost twice, then written": {[]fault{requestLost, responseLost}, nil},
+		"unavailable":              {[]fault{unavailable}, storage.ErrUnavailable},
+		"lost, then unavailable":   {[]fault{requestLost, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable, unavailable}, storage.ErrOutcomeUnknown},
+		"request delayed":          {[]fault{requestDelayed}, nil},
+		"every request lost":       {[]fault{requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost}, storage.ErrOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -174,8 +176,8 @@
 	}
 }
 
-// Guards against "unknown" resolved to the wrong side when another entry's
-// edit took the version of a lost one.
+// Guards against an edit that is reported as accepted although its commit was
+// lost and another entry's edit has its version.
 func TestLostEditConflictsWithOtherEntry(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		other := f.newStore("entry-2")
@@ -186,7 +188,7 @@
 			answer.Put(err)
 			return nil
 		})
-		synctest.Wait() // the first commit is lost, the editor waits before it reads back
+		synctest.Wait() // the first commit is lost; the editor waits before it reads the log
 		_, err := other.Edit(t.Context(), setEdit("b", 0, "w1", "2"))
 		require.NoError(t, err)
 		err, _ = answer.Get(t.Context())
@@ -196,7 +198,8 @@
 	})
 }
 
-// Guards against an invalid edit accepted in part, or reported in part.
+// Guards against an invalid edit that takes effect in part, and against a
+// report that omits findings.
 func TestInvalidEditReportsEveryFinding(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		_, err := f.store.Edit(t.Context(), Edit{ID: "has space", Changes: []Change{
--- a/internal/configstore/distribute_test.go
+++ b/internal/configstore/distribute_test.go
@@ -13,8 +13,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Guards against an agent that misses an edit, an entry that does not know
-// what is in force there, and a subscriber that is not told.
+// Guards against an agent that misses an edit, an entry that does not know the
+// version in use at the agent, and a subscriber that is not notified.
 func TestEditReachesAgents(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		var seen []model.ConfigVersion
@@ -46,8 +46,8 @@
 	})
 }
 
-// Guards against a restarted entry that works without the configuration, or
-// reverts agents to the empty one, while the table is away.
+// Guards against an entry that starts while the table is unavailable and runs
+// without the configuration, or resets agents to the empty one.
 func TestEntryStartsWhileTableUnavailable(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		agent := StartApplier(f.group, "w1", discardLog)
@@ -68,8 +68,9 @@
 	})
 }
 
-// Guards against rows of old edits and removed items that grow without bound,
-// and against an edit that misses the removal of its item in a pruned row.
+// Guards against an unbounded number of rows of old edits and removed items,
+// and against an edit that is accepted although its item was removed after its
+// base and the row of the removal has been pruned.
 func TestOldEditsArePruned(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		store := StartStore(f.group, StoreConfig{ID: "entry-2", Table: f.table, Validator: testValidator, Log: discardLog, KeepVersions: 3})
@@ -96,7 +97,8 @@
 	})
 }
 
-// Guards against an older or incomplete delta that is applied.
+// Guards against a delta that is applied although it is older than the
+// configuration or starts after its version.
 func TestOnlyHigherVersionsApply(t *testing.T) {
 	change := func(v model.ConfigVersion, value string) model.ConfigChange {
 		return model.ConfigChange{Version: v, Key: model.ConfigKey{Kind: model.KindTeam, Name: "t"}, Item: &model.ConfigItem{Labels: model.Labels{"quota-cpu": value}}}
@@ -115,8 +117,8 @@
 	require.EqualValues(t, 2, old.CPU, "a snapshot is immutable")
 }
 
-// Guards against a request path matched to a less specific class, or to a
-// class of another service.
+// Guards against a request path that is assigned to a class with a shorter
+// prefix, or to a class of another service.
 func TestClassOfPath(t *testing.T) {
 	class := func(name string) model.ConfigKey { return model.ConfigKey{Kind: model.KindClass, Name: name} }
 	s := NewSnapshot(1, map[model.ConfigKey]model.ConfigItem{
--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -12,15 +12,15 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// maxChanges bounds an edit: each change is one row, and a transaction of the
-// table has at most 128 rows.
+// maxChanges is the maximum number of changes of an edit. Each change writes
+// one row, and a transaction of the table has at most 128 rows.
 const maxChanges = 100
 
-// maxName bounds the length in bytes of names and edit ids.
+// maxNameBytes is the maximum length of names, authors and edit ids.
 const maxNameBytes = 253
 
-// Edit is a change of the configuration that is accepted or refused as a
-// whole. Base is the version that its author read. ID is chosen by the
+// Edit is a set of changes of the configuration that is accepted or refused
+// as a whole. Base is the version that its author read. ID is chosen by the
 // author; sending the same edit again with the same ID has no further effect.
 type Edit struct {
 	ID      string              `json:"id"`
@@ -29,20 +29,20 @@
 	Changes []Change            `json:"changes"`
 }
 
-// Change sets or removes one item.
+// Change sets or removes the item of one key.
 type Change struct {
 	Key  model.ConfigKey   `json:"key"`
 	Item *model.ConfigItem `json:"item,omitempty"` // nil removes the item
 }
 
-// EditResult is the result of an edit that is known to be committed.
+// EditResult is the result of a committed edit.
 type EditResult struct {
 	Version  model.ConfigVersion `json:"version"`
-	Repeated bool                `json:"repeated,omitempty"` // it had been accepted before
+	Repeated bool                `json:"repeated,omitempty"` // an earlier request had already committed the edit
 }
 
-// ConflictError says that a key of an edit was changed after the version that
-// its author read. Nothing of the edit took effect.
+// ConflictError reports that a key of an edit was changed after the version
+// that its author read. No change of the edit took effect.
 type ConflictError struct {
 	Key     model.ConfigKey     `json:"key"`
 	Base    model.ConfigVersion `json:"base"`    // version that the author read
@@ -59,13 +59,15 @@
 		e.Key, by, e.Version, e.Base)
 }
 
-// Validator holds the syntax checks of labels and selectors.
+// Validator checks edits, with the given syntax checks of labels and
+// selectors.
 type Validator struct {
 	Labels   func(model.Labels) finding.List
 	Selector func(string) error
 }
 
-// Validate returns every finding of an edit. Positions are names of fields.
+// Validate returns all findings of an edit. The element of a finding is the
+// path of a field, for example changes[0].key.kind.
 func (c Validator) Validate(e Edit) finding.List {
 	var findings finding.List
 	add := func(element, format string, args ...any) { findings.Add("edit", 0, element, format, args...) }
@@ -168,32 +170,35 @@
 	return len(s) <= maxNameBytes
 }
 
-// tableState is what an edit is decided on: the head and its keys' rows.
+// tableState holds the rows that an edit is checked against: the head and the
+// rows of the edit's keys.
 type tableState struct {
 	head         model.ConfigVersion
 	headRevision storage.Revision // 0: absent
 	keys         []keyState       // in the order of the edit's changes
 }
 
-// keyState is the newest change of one key.
+// keyState is the row of one key, which holds its newest change.
 type keyState struct {
 	revision storage.Revision // 0: absent
 	change   model.ConfigChange
 }
 
-// keepVersions is how many versions the log and the rows of removed items are
-// kept: three days at the target of 3,300 edits a day.
+// defaultKeepVersions is the number of versions for which the log and the
+// rows of removed items are kept: three days at the target of 3,300 edits a
+// day.
 const defaultKeepVersions = 10_000
 
-// errFuture says that an edit's base is newer than the configuration.
+// errBaseTooNew reports that an edit's base is newer than the configuration.
 var errBaseTooNew = errors.New("the edit is based on a version that does not exist")
 
-// errTooOld says that it is no longer known whether a key without a row was
-// removed after an edit's base.
+// errBaseTooOld reports an edit of a key without a row whose base is older
+// than the versions kept: the row of a removal after the base may have been
+// pruned.
 var errBaseTooOld = errors.New("the edit is based on a version that is too old; read the configuration again")
 
-// plan returns the transaction that makes an edit, or the conflict that
-// refuses it. It is pure.
+// planEdit returns the transaction and the log entry of an edit. The error is
+// a *ConflictError, errBaseTooNew or errBaseTooOld. It is pure.
 func planEdit(e Edit, state tableState, keepVersions model.ConfigVersion) (storage.Txn, rows.ConfigLog, error) {
 	if e.Base > state.head {
 		return storage.Txn{}, rows.ConfigLog{}, fmt.Errorf("%w: base %d, newest version %d", errBaseTooNew, e.Base, state.head)
@@ -227,7 +232,7 @@
 	return t, log, nil
 }
 
-// findingOf returns an error as the only finding of an edit's field.
+// editFinding returns err as the only finding, for one field of an edit.
 func editFinding(element string, err error) finding.List {
 	var findings finding.List
 	findings.Add("edit", 0, element, "%v", err)
--- a/internal/configstore/editor.go
+++ b/internal/configstore/editor.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// maxTries bounds the attempts of one edit; racing entries fail each
-	// other's check of config/head at most once per accepted edit.
+	// maxAttempts bounds the attempts to commit one edit. An attempt fails the
+	// check of config/head when another entry committed an edit first: at most
+	// once per accepted edit.
 	maxAttempts = 12
-	// editBudget bounds the time for one edit, so that a store outage does
-	// not hold up the edits behind it for long.
+	// editTimeout bounds the time for one edit: the editor handles one at a
+	// time, so during an outage of the table the queued edits wait for it.
 	editTimeout = 8 * time.Second
-	// repeatWindow bounds how many log rows are read to recognise a repeated
-	// edit; a repetition after more edits than this is reported as a conflict.
+	// maxRepeatLookback bounds how many log rows are read to recognise a
+	// repeated edit. A repetition after more edits is reported as a conflict.
 	maxRepeatLookback = 200
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
 )
 
-// editRequest asks the editor for one edit.
+// editRequest asks the editor to commit one edit.
 type editRequest struct {
 	ctx    context.Context // of the requester
 	edit   Edit
@@ -42,12 +43,12 @@
 	err      error
 }
 
-// editor writes edits, one at a time.
+// editor is the actor that commits edits to the table, one at a time.
 type editor struct {
 	table        storage.Table
 	node         actor.Address[message]
 	log          log.Interface
-	keepVersions model.ConfigVersion // versions that stay in the log
+	keepVersions model.ConfigVersion // number of versions kept in the log
 }
 
 func (e *editor) run(ctx context.Context, in <-chan editRequest) error {
@@ -57,7 +58,7 @@
 			return nil
 		case r := <-in:
 			if r.ctx.Err() != nil {
-				r.answer.Put(editAnswer{err: fmt.Errorf("%w: the request ended while it waited", storage.ErrUnavailable)})
+				r.answer.Put(editAnswer{err: fmt.Errorf("%w: the request ended while the edit was queued", storage.ErrUnavailable)})
 				continue
 			}
 			accepted, err := e.perform(ctx, r.edit)
@@ -81,17 +82,18 @@
 	}
 }
 
-// attempt is the state of one edit over its tries.
+// editAttempt is the state of one edit across the attempts to commit it.
 type editAttempt struct {
 	edit Edit
-	// open lists the versions of commits whose outcome is unknown. Each of
-	// them can only have been written as that version of the log.
+	// unconfirmed lists the versions of commits whose outcome is unknown. If
+	// such a commit took effect, the log row of its version holds the edit's id.
 	unconfirmed []model.ConfigVersion
 }
 
-// perform makes an edit. After a commit with an unknown outcome it reads the
-// log before it writes again: the edit's id there proves that it was
-// accepted, and another id that this commit failed and will not succeed later.
+// perform commits an edit. After a commit with an unknown outcome it reads the
+// log row of that version before it commits again: the edit's id there proves
+// that the commit took effect, another id that it failed and cannot take
+// effect later.
 func (e *editor) perform(ctx context.Context, edit Edit) (EditResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
@@ -112,7 +114,8 @@
 	return EditResult{}, a.withOutcome(lastErr)
 }
 
-// outcome makes an error say unknown while a commit's outcome is.
+// withOutcome wraps err as ErrOutcomeUnknown while the outcome of a commit of
+// the edit is unknown.
 func (a *editAttempt) withOutcome(err error) error {
 	if err == nil || len(a.unconfirmed) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
 		return err
@@ -120,6 +123,10 @@
 	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, a.edit.ID, a.unconfirmed[0], err)
 }
 
+// tryOnce makes one attempt. retry is set when another attempt may succeed or
+// may determine the outcome of an earlier commit.
+// tryOnce makes one attempt. retry is set when another attempt may succeed or
+// may determine the outcome of an earlier commit.
 func (e *editor) tryOnce(ctx context.Context, a *editAttempt) (accepted EditResult, retry bool, err error) {
 	if v, done, err := e.resolveUnconfirmed(ctx, a); err != nil {
 		return EditResult{}, true, err
@@ -152,7 +159,8 @@
 	return EditResult{}, true, fmt.Errorf("%w: %v", storage.ErrOutcomeUnknown, err)
 }
 
-// unavailable marks the error of a read, before anything was written.
+// readError wraps the error of a read as ErrUnavailable: the attempt wrote
+// nothing.
 func readError(err error) error {
 	if errors.Is(err, storage.ErrUnavailable) {
 		return err
@@ -160,7 +168,8 @@
 	return fmt.Errorf("%w: %v", storage.ErrUnavailable, err)
 }
 
-// settle reads the log rows of the commits whose outcome is unknown.
+// resolveUnconfirmed reads the log rows of the commits whose outcome is
+// unknown. It returns the version and true if one of them took effect.
 func (e *editor) resolveUnconfirmed(ctx context.Context, a *editAttempt) (model.ConfigVersion, bool, error) {
 	var unconfirmed []model.ConfigVersion
 	for _, v := range a.unconfirmed {
@@ -173,28 +182,30 @@
 			e.notifyNode(ctx, entry)
 			return v, true, nil
 		case !found:
-			unconfirmed = append(unconfirmed, v) // it may still be on its way
+			unconfirmed = append(unconfirmed, v) // the commit may still take effect
 		}
 	}
 	a.unconfirmed = unconfirmed
 	return 0, false, nil
 }
 
-// conflicting tells a repetition of an accepted edit from a conflict.
+// resolveConflict distinguishes the repetition of an accepted edit from a
+// conflict.
 func (e *editor) resolveConflict(ctx context.Context, a *editAttempt, c *ConflictError) (EditResult, bool, error) {
 	v, err := e.findEdit(ctx, a.edit.ID, c)
 	if err != nil {
 		return EditResult{}, true, err
 	}
-	a.unconfirmed = nil // the head has moved past every version that was tried
+	a.unconfirmed = nil // the head has passed their versions: the commits failed
 	if v > 0 {
 		return EditResult{Version: v, Repeated: true}, false, nil
 	}
 	return EditResult{}, false, c
 }
 
-// find returns the version of the edit with this id, or 0. It looks at the
-// log from the change in conflict back to the edit's base.
+// findEdit returns the version of the edit with this id, or 0 if it is not
+// found. It searches the log from the conflicting change back to the edit's
+// base.
 func (e *editor) findEdit(ctx context.Context, id string, c *ConflictError) (model.ConfigVersion, error) {
 	minVersion := c.Base
 	if c.Version-minVersion > maxRepeatLookback {
@@ -212,8 +223,10 @@
 	return 0, nil
 }
 
+// notifyNode sends a committed edit to the node without waiting for the poll.
+// notifyNode sends a committed edit to the node without waiting for the poll.
 func (e *editor) notifyNode(ctx context.Context, entry rows.ConfigLog) {
-	// The poller delivers it as well when the node is too busy to take it now.
+	// An error is ignored because the poller delivers the edit as well.
 	_ = e.node.Send(ctx, &committedEdits{entries: []rows.ConfigLog{entry}})
 }
 
@@ -228,8 +241,8 @@
 	return entry, err == nil, err
 }
 
-// read reads what an edit is decided on. The rows may be of different
-// moments: the transaction's checks refuse a combination that is outdated.
+// readState reads the rows that an edit is checked against. They are not read
+// at one revision: the checks of the transaction fail if a row has changed.
 func (e *editor) readState(ctx context.Context, edit Edit) (tableState, error) {
 	var state tableState
 	head, rev, err := readRow[rows.ConfigHead](ctx, e.table, rows.ConfigHeadKey)
@@ -247,8 +260,8 @@
 	return state, nil
 }
 
-// readRow reads and decodes a row; an absent row is the zero value with
-// version 0.
+// readRow reads and decodes a row. For an absent row it returns the zero value
+// and revision 0.
 func readRow[T any](ctx context.Context, t storage.Table, key string) (T, storage.Revision, error) {
 	var zero T
 	row, err := t.Read(ctx, key)
--- a/internal/configstore/handle.go
+++ b/internal/configstore/handle.go
@@ -9,15 +9,16 @@
 
 // Messages of the poller and the editor.
 type (
-	// polled: the table is at this version; delta is nil when nothing is new.
+	// pollSucceeded reports the version of the table; delta is nil when the
+	// version has not changed.
 	pollSucceeded struct {
 		version model.ConfigVersion
 		delta   *msg.ConfigDelta
 	}
 	pollFailed struct{ err error }
-	// sourceIs names the poller of an entry's node.
+	// setSource passes the address of the poller to an entry's node.
 	setSource struct{ poller actor.Address[pollRequest] }
-	// logged carries edits that are known to be committed.
+	// committedEdits carries edits that the editor committed.
 	committedEdits struct{ entries []rows.ConfigLog }
 )
 
@@ -30,9 +31,9 @@
 	n.distribute()
 }
 
-// confirm notes that an authority has the version that is held. An entry at
-// version 0 may only not have loaded the configuration yet, so it confirms
-// nothing.
+// confirmVersion records that an authority has the same version. Version 0 is
+// not confirmed: a linked entry reports it also before it has loaded the
+// configuration.
 func (n *node) confirmVersion() {
 	if n.snapshot.version > 0 {
 		n.lifecycle.fromAuthority = true
@@ -62,14 +63,15 @@
 		n.applyDelta(c, !n.isEntry)
 	case *msg.ConfigApplied:
 		p.version = c.Version
-		p.deltaBase = max(p.deltaBase, c.Version) // another entry may have been faster
+		p.deltaBase = max(p.deltaBase, c.Version) // another entry may have sent a newer version
 		n.observePeerVersion(c.Version)
 	case *msg.ConfigRequest:
 		n.answerRequest(p, c)
 	}
 }
 
-// ahead notes that a peer has a version.
+// observePeerVersion handles the version reported by a peer: a higher one is
+// requested.
 func (n *node) observePeerVersion(v model.ConfigVersion) {
 	if v > n.snapshot.version {
 		n.lifecycle.fromAuthority = !n.isEntry
@@ -77,8 +79,9 @@
 	}
 }
 
-// answer sends what the peer lacks; the same version is sent as an empty
-// delta, which confirms it. Nothing is sent before a configuration is held.
+// answerRequest sends the changes that the peer does not have. A peer at the
+// same version receives an empty delta, which confirms the version. Nothing is
+// sent before a configuration is loaded.
 func (n *node) answerRequest(p *peer, c *msg.ConfigRequest) {
 	if !n.lifecycle.loaded {
 		return
@@ -89,7 +92,7 @@
 		return
 	}
 	if !n.isEntry {
-		p.to.TrySend(n.deltaFrom(c.Have)) // an entry that misses it asks again
+		p.to.TrySend(n.deltaFrom(c.Have)) // if it is dropped, the entry repeats the request
 		return
 	}
 	p.deltaBase = c.Have
--- a/internal/configstore/history_test.go
+++ b/internal/configstore/history_test.go
@@ -16,7 +16,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// trial is one run of racing editors on a faulty table.
+// randomRun is one run of concurrent edits through two entries on a faulty
+// table.
 type randomRun struct {
 	fixture      *fixture
 	rng          *rand.Rand
@@ -26,8 +27,9 @@
 }
 
 // Guards against edits that are lost, written twice or reported with the wrong
-// outcome, and against a daemon that reverts, when commits fail, vanish or
-// arrive late while two entries race and an agent's link breaks.
+// outcome, and against a daemon that returns to an older version. Commits fail,
+// are lost or are delayed while two entries commit concurrently and an agent's
+// link is interrupted.
 func TestRandomFaults(t *testing.T) {
 	for seed := range int64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -74,7 +76,7 @@
 	run.verify(t, stores[0], agent)
 }
 
-// launch starts an edit on the version in force at its entry.
+// startEdit starts an edit that is based on the version in use at its entry.
 func (r *randomRun) startEdit(t *testing.T, s *Store, id string, i int) {
 	u, err := s.Current(t.Context())
 	require.NoError(t, err)
@@ -88,6 +90,7 @@
 	})
 }
 
+// checkVersions reports an error when the version of a daemon decreases.
 func (r *randomRun) checkVersions(t *testing.T, name string, h Handle) {
 	require.NoError(t, h.Subscribe(t.Context(), func(u Update) bool {
 		v := u.Snapshot.Version()
@@ -100,7 +103,8 @@
 	}))
 }
 
-// judge compares the log with what the clients were told.
+// verify compares the log and the daemons with the outcomes that the clients
+// received.
 func (r *randomRun) verify(t *testing.T, s *Store, agent Handle) {
 	entries, err := s.History(t.Context(), 0, 100)
 	require.NoError(t, err)
--- a/internal/configstore/lifecycle.go
+++ b/internal/configstore/lifecycle.go
@@ -17,19 +17,20 @@
 
 // Events of charts/config.scxml.
 const (
-	evUpdateAvailable chart.Event = iota // a source that may be ahead can be asked
-	evNewerDelta
-	evConfirmed
-	evMissingChanges
-	evTimeout
-	evSourceLost
+	evUpdateAvailable chart.Event = iota // a peer has a higher version
+	evNewerDelta                         // a delta that can be applied was received
+	evConfirmed                          // an authority has the same version
+	evMissingChanges                     // a delta starts after the current version
+	evTimeout                            // no answer within syncTimeout
+	evSourceLost                         // a poll failed, or the last link to an entry ended
 )
 
-// syncTimeout is how long an answer may take before the request is repeated
-// or given up. A full configuration crosses a region in well under a second.
+// syncTimeout is how long the node waits for the answer to a request before
+// it repeats the request, or leaves state syncing. The transfer of a full
+// configuration within a region takes well under a second.
 const syncTimeout = 2 * time.Second
 
-// effect is what a step asks its owner to do.
+// effect is an operation that the node carries out after a step.
 type effect uint8
 
 const (
@@ -37,17 +38,17 @@
 	effRequest
 )
 
-// lifecycle is the state of a daemon's configuration. Steps are pure.
+// lifecycle is the state of a daemon's configuration. Its methods are pure.
 type lifecycle struct {
 	state         chart.State
-	fromAuthority bool // the event comes from a source that knows the newest version
-	loaded        bool // a configuration is in force
+	fromAuthority bool // the event comes from the table or, on an agent, from an entry
+	loaded        bool // a configuration is in use
 	peerAhead     bool // a linked peer has a higher version
 	effects       [2]effect
 	numEffects    int
 }
 
-// step feeds an event and returns the effects to carry out; the slice is
+// step processes an event and returns the effects to carry out. The slice is
 // valid until the next step.
 func (l *lifecycle) step(e chart.Event) []effect {
 	l.numEffects = 0
@@ -60,7 +61,6 @@
 	l.numEffects++
 }
 
-// name returns the state's name in the chart.
 func (l *lifecycle) stateName() string { return configChart.StateName(l.state) }
 
 var configChart = chart.MustCompile(charts.Files, ConfigBinding())
--- a/internal/configstore/node.go
+++ b/internal/configstore/node.go
@@ -14,14 +14,14 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Update is what subscribers receive when a newer version is in force, or
-// the state of the configuration changed.
+// Update is sent to subscribers when a newer version is in use or the state of
+// the configuration has changed.
 type Update struct {
 	Snapshot *Snapshot
 	State    string // state name of charts/config.scxml
 }
 
-// Status is what a daemon knows of the configuration's distribution.
+// Status is the distribution of the configuration as known to one daemon.
 type Status struct {
 	Daemon  string                 `json:"daemon"`
 	Version model.ConfigVersion    `json:"version"`
@@ -29,11 +29,11 @@
 	Daemons []model.AppliedVersion `json:"daemons"` // itself and its linked peers
 }
 
-// message is what a node receives.
+// message is a message to a node.
 type message interface{ handle(n *node) }
 
 type (
-	// linkUp announces a link, whose peer has this version in force.
+	// linkUp announces a link to a peer that uses this version.
 	linkUp struct {
 		peer    string
 		version model.ConfigVersion
@@ -55,9 +55,9 @@
 // retryInterval is how often deliveries to full mailboxes are repeated.
 const retryInterval = 250 * time.Millisecond
 
-// node is the actor that holds a daemon's configuration. On an entry its
-// source is the table and it distributes to agents; on an agent its sources
-// are the entries, to which it reports the version in force.
+// node is the actor that owns a daemon's configuration. On an entry its
+// source is the table, and it distributes the configuration to agents; on an
+// agent its sources are the entries, to which it reports the version in use.
 type node struct {
 	name    string
 	log     log.Interface
@@ -69,28 +69,28 @@
 	deadline  time.Time // of the state's timeout; zero: none
 	snapshot  *Snapshot
 	journal   journal
-	incoming  *msg.ConfigDelta // what the current step may install
+	incoming  *msg.ConfigDelta // delta that the current step may install
 	peers     map[string]*peer
 	receivers []*receiver
-	deltas    map[model.ConfigVersion]*msg.ConfigDelta // by start; for the version in force
-	fullDelta *msg.ConfigDelta                         // for the version in force; nil: not built
-	pollError error                                    // of the latest poll that failed
+	deltas    map[model.ConfigVersion]*msg.ConfigDelta // to the current version, by the version that they start from
+	fullDelta *msg.ConfigDelta                         // the whole current version; nil: not built
+	pollError error                                    // error of the latest poll that failed
 }
 
 // peer is a linked daemon.
 type peer struct {
 	to          actor.Address[msg.Control]
-	version     model.ConfigVersion // in force at the peer, as far as it reported
-	deltaBase   model.ConfigVersion // entry: the agent has or was sent this version
+	version     model.ConfigVersion // in use at the peer, according to its last report
+	deltaBase   model.ConfigVersion // entry: version from which the next delta to the agent starts
 	sentVersion model.ConfigVersion // entry: newest delta sent; agent: newest report sent
-	sentAny     bool                // told is set
+	sentAny     bool                // sentVersion is set
 }
 
 // receiver is a subscriber in this process.
 type receiver struct {
 	deliver func(Update) bool
-	behind  bool
-	slow    bool // reported as slow since its latest update
+	behind  bool // has not received the newest update
+	slow    bool // logged as slow since the last update that it received
 }
 
 func newNode(name string, isEntry bool, l log.Interface) *node {
@@ -115,14 +115,15 @@
 	}
 }
 
-// expire feeds the state's timeout; the tick is precise enough for it.
+// expire processes the state's timeout event when the deadline has passed. It
+// is called every retryInterval.
 func (n *node) expire() {
 	if _, e, ok := configChart.Timeout(n.lifecycle.state); ok && !n.deadline.IsZero() && !n.now().Before(n.deadline) {
 		n.step(e)
 	}
 }
 
-// step feeds an event to the lifecycle and carries out its effects.
+// step passes an event to the lifecycle and carries out the effects.
 func (n *node) step(e chart.Event) {
 	oldState, wasLoaded := n.lifecycle.state, n.lifecycle.loaded
 	n.lifecycle.peerAhead = n.anyPeerAhead()
@@ -165,7 +166,7 @@
 	event.Log(n.log, event.ConfigInstalled, log.Fields{"version": uint64(n.snapshot.version), "changes": len(d.Changes)})
 }
 
-// request asks the sources: the table, and every peer that is ahead.
+// request asks the table, and every peer with a higher version, for changes.
 func (n *node) request() {
 	n.source.TrySend(pollRequest{})
 	for _, p := range n.peers {
@@ -184,7 +185,7 @@
 	return false
 }
 
-// offer considers a delta. Only a higher version is ever installed.
+// applyDelta handles a received delta. Only a higher version is installed.
 func (n *node) applyDelta(d *msg.ConfigDelta, authority bool) {
 	n.lifecycle.fromAuthority, n.incoming = authority, d
 	switch n.snapshot.classify(d) {
@@ -200,7 +201,7 @@
 	}
 }
 
-// changed tells everyone after a change.
+// notifyAll sends the new version and state to subscribers and peers.
 func (n *node) notifyAll() {
 	for _, r := range n.receivers {
 		r.behind = true
@@ -229,8 +230,8 @@
 
 func (n *node) update() Update { return Update{Snapshot: n.snapshot, State: n.lifecycle.stateName()} }
 
-// distribute tells each peer the version in force. A full mailbox is tried
-// again at the next tick.
+// distribute sends the current version to each peer that was not sent it. When
+// a mailbox is full, it is repeated at the next tick.
 func (n *node) distribute() {
 	if !n.lifecycle.loaded {
 		return
@@ -242,9 +243,9 @@
 	}
 }
 
-// tell sends an agent what it lacks, or an entry the version in force. An
-// agent that has the version already, from another entry, is sent an empty
-// delta: without it, it would not know that the version is the newest.
+// sendVersion sends an agent the changes that it does not have, or reports the
+// version in use to an entry. An agent that received the version from another
+// entry is sent an empty delta, which confirms that the version is the newest.
 func (n *node) sendVersion(p *peer) {
 	var m msg.Control = &msg.ConfigApplied{Version: n.snapshot.version}
 	if n.isEntry {
@@ -258,8 +259,9 @@
 	}
 }
 
-// deltaFrom returns what a daemon at version have lacks. Peers at the same
-// version share one delta.
+// deltaFrom returns the changes after a version, or the whole configuration
+// if the journal no longer has them. Peers at the same version share one
+// delta.
 func (n *node) deltaFrom(version model.ConfigVersion) *msg.ConfigDelta {
 	if d, ok := n.deltas[version]; ok {
 		return d
--- a/internal/configstore/poller.go
+++ b/internal/configstore/poller.go
@@ -18,27 +18,29 @@
 )
 
 const (
-	// pollInterval leaves most of the 5 s in which an edit is in effect to a
-	// slow store.
+	// pollInterval is a tenth of the 5 s within which an edit must be in use,
+	// so that a slow table may take most of that time.
 	pollInterval = 500 * time.Millisecond
-	// maxPollDelay bounds the backoff while the table is away. An edit that
-	// another entry writes as soon as the table is back is in effect here
-	// within 5 s, and a few entries are no burden at this rate.
+	// maxPollDelay bounds the backoff while the table is unavailable. An edit
+	// that another entry writes after the recovery is in use here within 5 s,
+	// and at this rate the polls of a few entries are a small load.
 	maxPollDelay = 2 * time.Second
 	pollTimeout  = 3 * time.Second
 )
 
-// pollNow asks the poller to look at once; All to load everything again.
+// pollRequest asks the poller to poll at once; with reload it reads the whole
+// configuration again.
 type pollRequest struct{ reload bool }
 
-// poller reads the configuration's rows and tells the node what it finds.
+// poller is the actor that reads the configuration's rows and sends changes to
+// the node.
 type poller struct {
 	table       storage.Table
 	node        actor.Address[message]
 	log         log.Interface
-	loaded      model.ConfigVersion
-	rev         storage.Revision // the log is read up to this revision
-	initialised bool             // loaded and rev are set
+	loaded      model.ConfigVersion // newest version sent to the node
+	rev         storage.Revision    // the log is read up to this revision
+	initialised bool                // loaded and rev are set
 }
 
 func (p *poller) run(ctx context.Context, in <-chan pollRequest) error {
@@ -59,7 +61,7 @@
 		} else {
 			delay = pollInterval
 		}
-		timer.Reset(delay - delay/8 + rand.N(delay/4)) // entries started together poll apart
+		timer.Reset(delay - delay/8 + rand.N(delay/4)) // jitter spreads the polls of entries started together
 	}
 }
 
@@ -81,8 +83,8 @@
 	return nil
 }
 
-// loadAll reads every item. Items that were removed still have rows, so the
-// newest change among the rows is the version at the scan's revision.
+// loadAll reads all items. The rows of removed items stay, so the newest
+// change among the rows has the version at the scan's revision.
 func (p *poller) loadAll(ctx, pollCtx context.Context, head model.ConfigVersion) error {
 	tableRows, rev, err := p.table.Scan(pollCtx, rows.ConfigKeyPrefix, 0)
 	if err != nil {
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// loadLog reads the edits after the version loaded. When one is missing it
-// loads everything at the next poll.
+// loadLog reads the edits after the loaded version. When one is missing, the
+// next poll reads the whole configuration.
 func (p *poller) loadLog(ctx, pollCtx context.Context) error {
 	tableRows, rev, err := p.table.Scan(pollCtx, rows.ConfigLogPrefix, p.rev)
 	if err != nil {
@@ -140,7 +142,7 @@
 }
 
 // contiguous reports whether edits are the versions after a version without a
-// gap, or the first that is missing.
+// gap. If not, it returns the first missing version.
 func checkContiguous(after model.ConfigVersion, edits []rows.ConfigLog) (model.ConfigVersion, bool) {
 	for _, e := range edits {
 		if after++; e.Version != after {
@@ -150,7 +152,7 @@
 	return after + 1, len(edits) > 0
 }
 
-// deltaOf returns contiguous edits as one delta.
+// deltaOf returns contiguous edits as one delta. edits must not be empty. edits must not be empty.
 func deltaOf(edits []rows.ConfigLog) *msg.ConfigDelta {
 	d := &msg.ConfigDelta{From: edits[0].Version - 1, To: edits[len(edits)-1].Version}
 	for _, e := range edits {
--- a/internal/configstore/properties.go
+++ b/internal/configstore/properties.go
@@ -10,13 +10,13 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// Labels that the system itself reads. Every other label only serves
+// Labels that the system itself reads. Other labels are only matched by
 // selectors.
 const (
-	LabelService           = "service"            // class: the service it belongs to; without it, every service
-	LabelDeadline          = "deadline-ms"        // class: default deadline of its requests
+	LabelService           = "service"            // class: the service it belongs to; absent: every service
+	LabelDeadline          = "deadline-ms"        // class: default deadline of its requests in milliseconds in milliseconds
 	LabelPathPrefix        = "path-prefix"        // class: comma-separated path prefixes of its requests
-	LabelLong              = "long"               // class: true when its requests are long from the start
+	LabelLong              = "long"               // class: true if its requests are scheduled as long from their arrival
 	LabelIdempotentMethods = "idempotent-methods" // class, service: comma-separated; replaces those of RFC 9110
 	LabelDefaultTenant     = "default-tenant"     // service: tenant of requests that name none
 	LabelQuotaCPU          = "quota-cpu"          // team: milli-CPU
@@ -24,21 +24,21 @@
 	LabelQuotaAccelerators = "quota-accelerators" // team
 )
 
-// ClassProperties is what the labels of a class say.
+// ClassProperties are the properties of a class, read from its labels.
 type ClassProperties struct {
 	Class             model.Class
 	Service           model.Service // empty: every service
 	Deadline          time.Duration // 0: not set
 	PathPrefixes      []string
-	Long              bool
+	Long              bool     // requests are long from their arrival     // requests are long from their arrival
 	IdempotentMethods []string // nil: not set
 	Labels            model.Labels
 }
 
-// ServiceProperties is what the labels of a service say.
+// ServiceProperties are the properties of a service, read from its labels.
 type ServiceProperties struct {
-	DefaultTenant     model.Tenant
-	IdempotentMethods []string // nil: not set
+	DefaultTenant     model.Tenant // of requests that name no tenant; empty: not set // of requests that name no tenant; empty: not set
+	IdempotentMethods []string     // nil: not set
 	Labels            model.Labels
 }
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// Quota returns the quota of a team. A dimension without a label is
-// unlimited, which is math.MaxInt64; ok is false when no dimension is limited.
+// Quota returns the quota of a team. A resource without a valid label is
+// unlimited (math.MaxInt64); ok is false when no resource is limited.
 func (s *Snapshot) Quota(t model.Team) (quota model.Resources, ok bool) {
 	l := s.Labels(model.KindTeam, string(t))
 	const unlimited = 1<<63 - 1
@@ -158,7 +158,7 @@
 	return strings.Split(s, ",")
 }
 
-// maxList bounds the value of a label that is a list, in bytes.
+// maxListBytes is the maximum length of the value of a label that is a list.
 const maxListBytes = 1024
 
 // isList reports whether the value of a label is a comma-separated list, which
@@ -168,7 +168,7 @@
 		((kind == model.KindClass || kind == model.KindService) && label == LabelIdempotentMethods)
 }
 
-// withoutLists returns the labels whose syntax is the general one.
+// withoutLists returns the labels without those whose value is a list.
 func withoutLists(kind model.ConfigKind, l model.Labels) model.Labels {
 	plain := make(model.Labels, len(l))
 	for k, v := range l {
@@ -179,8 +179,8 @@
 	return plain
 }
 
-// checkValue reports what is wrong with the value of a label that the system
-// reads on things of this kind, or nil.
+// checkValue returns an error if the system reads this label on items of this
+// kind and the value is invalid.
 func checkValue(kind model.ConfigKind, label, value string) error {
 	number := func(low, high int64) error {
 		if n, err := strconv.ParseInt(value, 10, 64); err != nil || n < low || n > high {
--- a/internal/configstore/prune.go
+++ b/internal/configstore/prune.go
@@ -9,10 +9,10 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// prune removes the edit that leaves the log when a version was accepted, and
-// the rows of items that it removed. Without this, rows of removed items would
-// grow by up to 3,300 a day. A row that could not be removed stays; it does
-// no harm, so that is not tried again.
+// prune deletes the log row of the oldest edit after a version was accepted,
+// and the rows of the items that this edit removed. Without it, the number of
+// rows of removed items would grow by up to 3,300 a day. A failure is not
+// retried: a row that stays is harmless.
 func (e *editor) prune(ctx context.Context, accepted model.ConfigVersion) {
 	if accepted <= e.keepVersions {
 		return
@@ -34,8 +34,8 @@
 	_, _ = e.table.Commit(ctx, pruneTxn(entry, rev, state))
 }
 
-// pruning returns the transaction that removes an edit from the log. It is
-// pure.
+// pruneTxn returns the transaction that deletes the log row of an edit and the
+// rows of the items that it removed. It is pure.
 func pruneTxn(entry rows.ConfigLog, rev storage.Revision, state tableState) storage.Txn {
 	key := rows.ConfigLogKey(entry.Version)
 	t := storage.Txn{
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -17,16 +17,17 @@
 	Author  string              `json:"author,omitempty"`
 }
 
-// Snapshot is the whole configuration at one version. It is immutable: what
-// its methods return is shared and must not be modified. The zero Snapshot is
-// the empty configuration, version 0.
+// Snapshot is the whole configuration at one version. It is immutable: maps
+// and slices that its methods return are shared and must not be modified. The
+// zero Snapshot is the empty configuration, version 0.
 type Snapshot struct {
 	version model.ConfigVersion
 	items   map[model.ConfigKey]Item
 }
 
-// NewSnapshot returns a snapshot of the items given. Tests of other packages
-// use it; daemons receive their snapshots.
+// NewSnapshot returns a snapshot of the given items. It is meant for the empty
+// snapshot and for tests of other packages; daemons receive their snapshots as
+// updates.
 func NewSnapshot(version model.ConfigVersion, items map[model.ConfigKey]model.ConfigItem) *Snapshot {
 	s := &Snapshot{version: version, items: make(map[model.ConfigKey]Item, len(items))}
 	for k, item := range items {
@@ -47,12 +48,12 @@
 	return item, ok
 }
 
-// Labels returns the labels of a thing, or nil.
+// Labels returns the labels of the item of a kind and name, or nil.
 func (s *Snapshot) Labels(kind model.ConfigKind, name string) model.Labels {
 	return s.items[model.ConfigKey{Kind: kind, Name: name}].Labels
 }
 
-// Keys lists the keys of a kind, or of every kind when kind is empty, sorted.
+// Keys returns the keys of a kind, or of every kind when kind is empty, sorted.
 func (s *Snapshot) Keys(kind model.ConfigKind) []model.ConfigKey {
 	var keys []model.ConfigKey
 	for k := range s.items {
@@ -64,12 +65,12 @@
 	return keys
 }
 
-// fit says how a delta relates to a snapshot.
+// deltaFit is the relation of a delta to a snapshot.
 type deltaFit uint8
 
 const (
-	fitOlder deltaFit = iota // nothing new, and the sender is behind
-	fitSame                  // the sender is at the same version
+	fitOlder deltaFit = iota // the sender has a lower version
+	fitSame                  // the sender has the same version
 	fitNewer                 // can be applied
 	fitGap                   // changes before it are missing
 )
@@ -86,8 +87,8 @@
 	return fitNewer
 }
 
-// apply returns the snapshot after a delta that fits as newer. It copies the
-// map, which measured 0.8 ms for 10,000 items: 3 s a day at 3,300 edits.
+// apply returns the snapshot after a delta classified as fitNewer. It copies
+// the map, which takes 0.8 ms for 10,000 items: 3 s a day at 3,300 edits.
 func (s *Snapshot) apply(d *msg.ConfigDelta) *Snapshot {
 	next := &Snapshot{version: d.To}
 	if d.Full || s.items == nil {
@@ -97,7 +98,7 @@
 	}
 	for _, c := range d.Changes {
 		if !d.Full && c.Version <= s.version {
-			continue // the delta starts before what is held
+			continue // s already includes the change
 		}
 		if c.Item == nil {
 			delete(next.items, c.Key)
@@ -108,7 +109,7 @@
 	return next
 }
 
-// full returns s as one delta.
+// full returns the whole snapshot as one delta.
 func (s *Snapshot) full() *msg.ConfigDelta {
 	d := &msg.ConfigDelta{To: s.version, Full: true, Changes: make([]model.ConfigChange, 0, len(s.items))}
 	for k, item := range s.items {
@@ -122,24 +123,26 @@
 	return d
 }
 
-// maxJournal bounds the journal: 1,000 edits are seven hours at the target
-// of 3,300 a day, so a daemon that was away for longer gets everything.
+// maxJournalEdits bounds the journal: 1,000 edits are seven hours at the
+// target of 3,300 a day. A daemon that was unlinked for longer receives the
+// whole configuration.
 const maxJournalEdits = 1000
 
-// journal keeps the newest changes, so that daemons get only what they lack.
+// journal holds the newest changes, so that daemons are sent only the changes
+// that they do not have.
 type journal struct {
 	base    model.ConfigVersion // changes after this version are all kept
 	version model.ConfigVersion // of the newest change
 	edits   []editChanges
 }
 
-// edition is the changes of one version.
+// editChanges are the changes of one version.
 type editChanges struct {
 	version model.ConfigVersion
 	changes []model.ConfigChange
 }
 
-// note records a delta that was applied to a snapshot at version held.
+// record adds a delta that was applied to a snapshot at oldVersion.
 func (j *journal) record(oldVersion model.ConfigVersion, d *msg.ConfigDelta) {
 	if d.Full || oldVersion != j.version {
 		*j = journal{base: d.To, version: d.To}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -16,16 +16,16 @@
 
 const (
 	nodeMailbox   = 256
-	editorMailbox = 32 // edits that may wait; more are refused as not run
+	editorMailbox = 32 // queued edits; Edit returns ErrUnavailable for more
 )
 
 // Handle gives access to a daemon's configuration. It may be copied and used
 // by any goroutine.
 type Handle struct{ addr actor.Address[message] }
 
-// LinkUp announces a link to a peer whose hello named the version. Messages
-// for the peer are sent to the address given; a message that its mailbox has
-// no room for is sent again later.
+// LinkUp announces a link to a peer and the version that the peer named in its
+// hello. Messages for the peer are sent to the given address; a message that
+// its full mailbox drops is sent again later.
 func (h Handle) LinkUp(ctx context.Context, peer string, version model.ConfigVersion, to actor.Address[msg.Control]) error {
 	return h.addr.Send(ctx, &linkUp{peer: peer, version: version, to: to})
 }
@@ -41,26 +41,27 @@
 	return h.addr.Send(ctx, &fromPeer{peer: peer, m: m})
 }
 
-// Subscribe has deliver called from the configuration's actor with the
-// configuration in force, if there is one, and at each change. It must put
-// the update into the subscriber's mailbox without waiting (TrySend) and say
-// whether it did; otherwise the newest update is offered again.
+// Subscribe registers deliver, which the configuration's actor calls with the
+// configuration in use, if there is one, and after each change. deliver must
+// put the update into the subscriber's mailbox without waiting (TrySend) and
+// report whether it did; if not, it is called again with the newest update.
 func (h Handle) Subscribe(ctx context.Context, deliver func(Update) bool) error {
 	return h.addr.Send(ctx, &subscribe{deliver: deliver})
 }
 
-// Current returns the configuration in force. In state empty nothing is, and
-// the snapshot is the empty one.
+// Current returns the configuration in use. In state empty it is the empty
+// snapshot.
 func (h Handle) Current(ctx context.Context) (Update, error) {
 	return actor.Ask(ctx, h.addr, func(r actor.Reply[Update]) message { return &getUpdate{answer: r} })
 }
 
-// Status returns the versions in force at the daemon and its linked peers.
+// Status returns the versions in use at the daemon and its linked peers.
 func (h Handle) Status(ctx context.Context) (Status, error) {
 	return actor.Ask(ctx, h.addr, func(r actor.Reply[Status]) message { return &getStatus{answer: r} })
 }
 
-// StartApplier starts the configuration of an agent, whose peers are entries.
+// StartApplier starts the actor that receives the configuration of an agent.
+// Its peers are entries.
 func StartApplier(g *actor.Group, worker model.WorkerID, l log.Interface) Handle {
 	n := newNode(string(worker), false, l)
 	return Handle{spawnNode(g, n)}
@@ -70,13 +71,13 @@
 	return actor.Spawn(g, actor.Spec[message]{Name: "config", Mailbox: nodeMailbox, Restart: actor.OnFailure, Run: n.run})
 }
 
-// StoreConfig is what an entry's Store needs.
+// StoreConfig holds the parameters of a Store.
 type StoreConfig struct {
 	ID        model.EntryID
 	Table     storage.Table
 	Validator Validator
 	Log       log.Interface
-	// KeepVersions is how many versions stay in the log; 0 means 10,000.
+	// KeepVersions is the number of versions kept in the log; 0 means 10,000.
 	KeepVersions model.ConfigVersion
 }
 
@@ -87,8 +88,8 @@
 	return c.KeepVersions
 }
 
-// Store is the configuration of an entry, whose peers are agents. It also
-// accepts edits.
+// Store gives access to the configuration of an entry, whose peers are agents,
+// and accepts edits. Any goroutine may use it.
 type Store struct {
 	Handle
 	table     storage.Table
@@ -96,7 +97,7 @@
 	editor    actor.Address[editRequest]
 }
 
-// StartStore starts the configuration of an entry.
+// StartStore starts the actors of an entry's configuration.
 func StartStore(g *actor.Group, c StoreConfig) *Store {
 	addr := spawnNode(g, newNode(string(c.ID), true, c.Log))
 	p := &poller{table: c.Table, node: addr, log: c.Log}
@@ -107,9 +108,9 @@
 		editor: actor.Spawn(g, actor.Spec[editRequest]{Name: "config-editor", Mailbox: editorMailbox, Restart: actor.OnFailure, Run: e.run})}
 }
 
-// Edit makes an edit. Errors: a finding.List when it is invalid,
-// *ConflictError, storage.ErrUnavailable or ErrRefused when it certainly had
-// no effect, and storage.ErrOutcomeUnknown when that could not be determined.
+// Edit commits an edit. The error is a finding.List if the edit is invalid, a
+// *ConflictError, storage.ErrUnavailable or storage.ErrRefused if the edit had
+// no effect, or storage.ErrOutcomeUnknown if it may have taken effect.
 func (s *Store) Edit(ctx context.Context, e Edit) (EditResult, error) {
 	findings := s.validator.Validate(e)
 	if err := findings.Err(); err != nil {
@@ -128,7 +129,8 @@
 	return EditResult{}, fmt.Errorf("%w: edit %s did not end in time", storage.ErrOutcomeUnknown, e.ID)
 }
 
-// refusal makes a base that cannot be used a finding of the edit.
+// baseErrorAsFinding returns an error about the edit's base as a finding, and
+// other errors unchanged.
 func baseErrorAsFinding(e Edit, err error) error {
 	if !errors.Is(err, errBaseTooNew) && !errors.Is(err, errBaseTooOld) {
 		return err
@@ -136,8 +138,8 @@
 	return editFinding("base", err)
 }
 
-// History returns accepted edits, newest first, from before a version (0: the
-// newest) and at most limit of them.
+// History returns at most limit accepted edits with versions below before,
+// newest first. With before 0 it starts at the newest edit.
 func (s *Store) History(ctx context.Context, before model.ConfigVersion, limit int) ([]rows.ConfigLog, error) {
 	if before == 0 {
 		head, _, err := readRow[rows.ConfigHead](ctx, s.table, rows.ConfigHeadKey)
--- a/internal/configstore/table_test.go
+++ b/internal/configstore/table_test.go
@@ -13,10 +13,10 @@
 
 const (
 	healthy        fault = iota
-	unavailable          // no effect, and the client knows it
-	responseLost         // takes effect, but the response is lost
-	requestLost          // has no effect, and the client does not know it
-	requestDelayed       // arrives before the next commit, and the client does not know it
+	unavailable          // no effect, ErrUnavailable
+	responseLost         // takes effect, ErrOutcomeUnknown
+	requestLost          // no effect, ErrOutcomeUnknown
+	requestDelayed       // takes effect before the next commit, ErrOutcomeUnknown
 )
 
 // fakeTable is an actor, so that tests may use it from any goroutine.
@@ -27,11 +27,11 @@
 type tableData struct {
 	rev             storage.Revision
 	rows            map[string]storage.Row
-	commitFaults    []fault // of the next commits, in order
-	readFault       fault   // of every read
-	delayed         *storage.Txn
-	drawCommitFault func() fault // chooses the fault of a commit; nil: the script above
-	drawReadFault   func() fault // chooses the fault of a read
+	commitFaults    []fault      // of the next commits, in order
+	readFault       fault        // of every read
+	delayed         *storage.Txn // takes effect before the next commit
+	drawCommitFault func() fault // chooses the fault of a commit; nil: commitFaults is used
+	drawReadFault   func() fault // chooses the fault of a read; nil: readFault is used
 }
 
 func newFakeTable(g *actor.Group) fakeTable {
