--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -6,12 +6,12 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// MaxTxnRows is the largest number of rows of a transaction, from
+// MaxTxnRows is the maximum number of rows of a transaction, from
 // docs/design.md section 5.6. Rows that are only checked count as well.
 const MaxTxnRows = 128
 
-// Op is a part of a group transaction that takes effect as a whole or not at
-// all, whatever becomes of the other parts.
+// Op is an operation of a writer. It takes effect as a whole or not at all,
+// independently of the other operations in the same transaction.
 type Op struct {
 	Checks  []Check
 	Puts    []Put
@@ -21,35 +21,36 @@
 // WriteResult is the outcome of an Op.
 type WriteResult struct {
 	Revision Revision
-	Err      error // as Table.Commit documents
+	Err      error // as documented at Writer.Write
 }
 
-// access is what an operation does with a row.
+// access describes how an operation uses a row.
 type access struct {
 	write   bool
 	check   bool
-	version Revision // if check
+	version Revision // expected version if check is set
 }
 
-// clashes reports whether two operations must not share a transaction: the
-// later one has to see the effect of the earlier one on the row, or they
-// expect different versions.
+// conflictsWith reports whether two operations with these accesses to a row
+// must not share a transaction: the later one must be applied after the
+// earlier one, or they expect different versions.
 func (a access) conflictsWith(b access) bool {
 	return a.write || b.write || a.version != b.version
 }
 
-// pending is an operation that waits for its outcome. It belongs to the
-// writer's actor once it was sent there.
+// pending is an operation without an outcome. After it is sent to the writer's
+// actor, only that actor may use it.
 type pending struct {
 	op       Op
 	rows     map[string]access
 	separate bool // must not share a transaction
-	// The caller no longer waits and was told that the outcome is unknown.
+	// The caller no longer waits and has received ErrOutcomeUnknown.
 	withdrawn bool
 	reply     actor.Reply[WriteResult]
 }
 
-// newPending checks an operation and lists its rows.
+// newPending validates an operation and collects its rows. The error is
+// ErrRefused.
 func newPending(op Op) (*pending, error) {
 	p := &pending{op: op, rows: map[string]access{}, reply: actor.NewReply[WriteResult]()}
 	write := func(key string) error {
@@ -77,7 +78,7 @@
 			return nil, err
 		}
 	}
-	if n := len(p.rows); n == 0 || n >= MaxTxnRows { // one more is the writer's
+	if n := len(p.rows); n == 0 || n >= MaxTxnRows { // the writer's row counts as well
 		return nil, errors.Wrapf(ErrRefused, "an operation has %d rows, must be 1 to %d", n, MaxTxnRows-1)
 	}
 	return p, nil
@@ -93,12 +94,13 @@
 	return keys
 }
 
-// selectBatch takes the operations for one transaction from the queue, in
-// order. An operation that clashes with an earlier one stays in the queue, and
-// so does every later one that clashes with it.
+// selectBatch returns the operations for the next transaction, in the order of
+// the queue, and the operations that stay in the queue. An operation that
+// conflicts with an earlier one stays, and so does every later one that
+// conflicts with it.
 func selectBatch(queue []*pending) (batch, rest []*pending) {
 	rows := map[string]access{}
-	skipped := map[string]access{} // rows of the operations that stay
+	skipped := map[string]access{} // rows of the operations that stay in the queue
 	for i, p := range queue {
 		if len(rows) >= MaxTxnRows-1 || p.separate && len(batch) > 0 {
 			return batch, append(rest, queue[i:]...)
@@ -117,6 +119,9 @@
 	return batch, rest
 }
 
+// fits reports whether p can be added to a batch with these rows: it conflicts
+// with neither the batch nor a skipped operation, and there are not too many
+// rows.
 func fits(p *pending, rows, skipped map[string]access) bool {
 	added := 0
 	for key, a := range p.rows {
@@ -134,6 +139,8 @@
 	return len(rows)+added < MaxTxnRows
 }
 
+// addRows adds the rows of p. Accesses that expect different versions are
+// combined to a write, so that every later access to the row conflicts.
 func addRows(rows map[string]access, p *pending) {
 	for key, a := range p.rows {
 		if other, ok := rows[key]; ok {
@@ -143,15 +150,15 @@
 	}
 }
 
-// batch is a transaction that was assembled from operations.
+// batch holds the operations of one transaction and its operation id.
 type batch struct {
 	operation string
 	ops       []*pending
 }
 
-// txn builds the transaction. It checks the writer's row at the version that
-// the writer knows, so that of several copies of the transactions that are
-// under way at most one takes effect.
+// txn returns the transaction. It checks that the writer's row has the given
+// version and writes it, so that at most one of the transactions that were
+// sent with this version takes effect, however often each was sent.
 func (b *batch) txn(key string, version Revision, value []byte) Txn {
 	t := Txn{
 		Operation: b.operation,
--- a/internal/storage/http.go
+++ b/internal/storage/http.go
@@ -21,12 +21,12 @@
 	connectTimeout = 2 * time.Second
 	idleTimeout    = 90 * time.Second
 	idlePerHost    = 8
-	// A scan of 46,000 job rows of 1 KB is 61 MB in base64.
+	// A scan of 46,000 job rows of 1 KB returns 61 MB in base64.
 	maxResponseBytes = 128 << 20
-	maxErrorText     = 200
+	maxErrorText     = 200 // bytes of a response that an error includes
 )
 
-// HTTPConfig says how to reach a platform service.
+// HTTPConfig holds the parameters of a client of a platform service.
 type HTTPConfig struct {
 	URL     string        // for example http://10.0.0.1:7000
 	Timeout time.Duration // of one operation; 0: DefaultTimeout
@@ -34,13 +34,15 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// HTTPClient sends single requests and says what a failure means.
+// HTTPClient sends requests to a platform service and classifies failures by
+// their effect. Any goroutine may use it.
 type HTTPClient struct {
 	base    string
 	timeout time.Duration
 	client  *http.Client
 }
 
+// NewHTTPClient returns a client; it does not connect yet.
 func NewHTTPClient(c HTTPConfig) *HTTPClient {
 	if c.Timeout == 0 {
 		c.Timeout = DefaultTimeout
@@ -75,9 +77,10 @@
 	Body   []byte
 }
 
-// Do sends a request and reads the whole response. Its error is
-// ErrUnavailable when the request was certainly not sent, else ErrOutcomeUnknown;
-// after the end of ctx it matches the context's error as well.
+// Do sends a request and reads the whole response. The error is ErrRefused if
+// the request is invalid, ErrUnavailable if it was not sent (with
+// ErrNotListening if the connection was refused), and otherwise
+// ErrOutcomeUnknown, which also matches the error of a ctx that has ended.
 func (c *HTTPClient) Do(ctx context.Context, r Request) (Response, error) {
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -107,6 +110,7 @@
 	return Response{resp.StatusCode, body}, nil
 }
 
+// transportError classifies the error of a request that was or was not sent.
 func transportError(ctx context.Context, sent bool, cause error) error {
 	class := ErrUnavailable
 	if sent {
@@ -121,7 +125,8 @@
 	return fmt.Errorf("%w: %v", class, cause)
 }
 
-// Failure maps a status other than success to an error.
+// Failure returns the error for a status other than success: ErrNotFound,
+// ErrUnavailable, ErrRefused or ErrOutcomeUnknown.
 func (r Response) Failure() error {
 	class := ErrOutcomeUnknown
 	switch r.Status {
@@ -136,8 +141,8 @@
 	return fmt.Errorf("%w: status %d: %s", class, r.Status, text)
 }
 
-// ReadFailure turns an unknown outcome into ErrUnavailable: a read has no
-// effect, so it may be repeated.
+// ReadFailure returns the error of a read: ErrOutcomeUnknown becomes
+// ErrUnavailable, because a read has no effect and may be repeated.
 func ReadFailure(err error) error {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
--- a/internal/storage/poller.go
+++ b/internal/storage/poller.go
@@ -12,20 +12,22 @@
 	"github.com/bambooscale/bambooscale/internal/event"
 )
 
-// minPollInterval keeps one poller below 5% of the 2,000 reads a second that
-// the table service handles, and one without an interval from spinning.
+// minPollInterval limits one poller to 5% of the 2,000 reads a second that the
+// table service handles, and keeps a poller without an interval from scanning
+// in a loop.
 const minPollInterval = 10 * time.Millisecond
 
-// Changes are the rows with a prefix that changed after a revision, deletions
-// included, in the order of revisions. Rows of one transaction are together.
+// Changes are the rows with a prefix that changed after a revision, including
+// deletions, in the order of revisions. The rows of one transaction have the
+// same revision and are adjacent.
 type Changes struct {
 	Rows  []Row
-	After Revision // the revision of the Changes before
-	UpTo  Revision // no other row with the prefix changed in between
-	First bool     // the first Changes of this poller; its rows may be empty
+	After Revision // UpTo of the previous Changes
+	UpTo  Revision // Rows is complete up to this revision
+	First bool     // the first Changes of this poller; Rows may be empty
 }
 
-// PollerConfig describes a Poller.
+// PollerConfig holds the parameters of a Poller.
 type PollerConfig struct {
 	Table    Table
 	Prefix   string
@@ -35,15 +37,17 @@
 	Random   func() float64 // for jitter, in [0, 1); nil: math/rand/v2
 }
 
-// Poller follows the rows with a prefix. Any goroutine may use it.
+// Poller is the address of an actor that polls the rows with a prefix. Any
+// goroutine may use it.
 type Poller struct{ to actor.Address[scanRequest] }
 
 type scanRequest struct{}
 
 // SpawnPoller starts a poller in g, which scans at once and then at the
-// interval. It sends the message that build makes from Changes to an actor,
-// waiting for room in its mailbox, and ends when that actor has ended. In an
-// outage it sends nothing and backs off.
+// interval. It converts Changes to a message with build and sends it to the
+// actor at to. While that actor's mailbox is full, it waits; it ends when the
+// actor has ended. While the service is unavailable it sends nothing and backs
+// off.
 func SpawnPoller[M any](g *actor.Group, c PollerConfig, to actor.Address[M], build func(Changes) M) Poller {
 	if c.Log == nil {
 		c.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
@@ -53,7 +57,7 @@
 		state: pollerChart.Initial(), after: c.After}
 	deliver := func(ctx context.Context, changes Changes) error { return to.Send(ctx, build(changes)) }
 	return Poller{actor.Spawn(g, actor.Spec[scanRequest]{
-		// A poke that arrives during a scan waits until after it.
+		// A request that arrives during a scan is handled after it.
 		Name: "poller " + c.Prefix, Mailbox: 1, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan scanRequest) error {
 			return (&pollerLoop{config: c, core: core, deliver: deliver}).run(ctx, in)
@@ -61,14 +65,16 @@
 	})}
 }
 
-// Poke makes the poller scan soon, for example after a write of its rows. It
-// does not wait. While the service is unavailable it has no effect.
+// ScanNow requests a scan before the end of the interval, for example after a
+// write of the rows. It does not wait for the scan. While the service is
+// unavailable it has no effect.
 func (p Poller) ScanNow() { p.to.TrySend(scanRequest{}) }
 
 // Done is closed when the poller has ended.
 func (p Poller) Done() <-chan struct{} { return p.to.Done() }
 
-// pollerLoop carries out what a pollerCore decides.
+// pollerLoop is the state of the poller's actor. It carries out the decisions
+// of a pollerCore.
 type pollerLoop struct {
 	config  PollerConfig
 	core    *pollerCore
@@ -104,7 +110,8 @@
 	l.core.handleScan(rows, upTo, err, time.Now())
 }
 
-// wait ends with the delay, a poke that the chart accepts, or ctx.
+// wait returns after the delay, after a scan request that the chart accepts, or
+// when ctx ends.
 func (l *pollerLoop) wait(ctx context.Context, in <-chan scanRequest) {
 	timer := time.NewTimer(l.core.wait)
 	defer timer.Stop()
--- a/internal/storage/poller_chart.go
+++ b/internal/storage/poller_chart.go
@@ -12,8 +12,8 @@
 	"github.com/bambooscale/bambooscale/internal/event"
 )
 
-// pollJitter is the share of the interval by which a wait is longer or
-// shorter, so that the pollers of many processes do not keep in step.
+// pollJitter is the fraction of the interval by which a wait may be longer or
+// shorter, so that the pollers of many processes do not scan at the same time.
 const pollJitter = 0.2
 
 // States of charts/poller.scxml.
@@ -55,19 +55,19 @@
 	}
 }
 
-// pollerCore decides what a poller does. It is pure: it is told what happened
-// and when.
+// pollerCore makes the decisions of a poller. It is pure: the caller passes
+// the events and the time.
 type pollerCore struct {
 	prefix      string
 	interval    time.Duration
 	backoff     *Backoff
 	state       chart.State
-	after       Revision // everything up to it was delivered
-	scannedOnce bool     // a scan has succeeded
-	wait        time.Duration
+	after       Revision      // all changes up to it were delivered
+	scannedOnce bool          // a scan has succeeded
+	wait        time.Duration // until the next scan
 	logRecords  []logRecord
 
-	// Set for the event that is being handled.
+	// Inputs of the event that is being handled.
 	now     time.Time
 	scanned Changes
 	cause   error
@@ -78,7 +78,7 @@
 	pollerChart.Step(p, &p.state, e)
 }
 
-// result handles the answer to a scan.
+// handleScan handles the result of a scan.
 func (p *pollerCore) handleScan(rows []Row, upTo Revision, err error, now time.Time) {
 	if err != nil {
 		p.cause = err
@@ -89,9 +89,9 @@
 	p.step(peScanned, now)
 }
 
-// inOrder returns the rows of the revisions after after and up to upTo in the
-// order of revisions. A row that was changed while the service scanned is part
-// of the next scan.
+// inOrder returns the rows with revisions above after and up to upTo, in the
+// order of revisions. A row that changed while the service scanned has a higher
+// revision and is part of the next scan.
 func inOrder(rows []Row, after, upTo Revision) []Row {
 	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Version <= after || r.Version > upTo })
 	slices.SortFunc(rows, func(a, b Row) int {
@@ -100,7 +100,7 @@
 	return rows
 }
 
-// accept notes that everything up to the scan's revision is known.
+// accept records the scan's revision and the success of the scan.
 func (p *pollerCore) accept() {
 	wasUnhealthy := !p.backoff.Healthy()
 	p.wait = p.backoff.Success(p.now)
@@ -110,7 +110,8 @@
 	p.after, p.scannedOnce = p.scanned.UpTo, true
 }
 
-// schedule waits for the interval, or longer while the service recovers.
+// schedule sets the wait to the interval with jitter, or longer while the
+// service recovers.
 func (p *pollerCore) schedule() {
 	share := 1 - pollJitter + 2*pollJitter*p.backoff.random()
 	p.wait = max(p.wait, time.Duration(share*float64(p.interval)))
--- a/internal/storage/poller_test.go
+++ b/internal/storage/poller_test.go
@@ -16,8 +16,8 @@
 
 const pollInterval = 500 * time.Millisecond
 
-// receive starts an actor that passes on what it is sent. Its mailbox has no
-// room, so that it is slow.
+// spawnReceiver starts an actor that forwards its messages to the channel. Its
+// mailbox has no buffer, so that the poller has to wait for it.
 func spawnReceiver(g *actor.Group) (actor.Address[storage.Changes], <-chan storage.Changes) {
 	out := make(chan storage.Changes, 1000)
 	return actor.Spawn(g, actor.Spec[storage.Changes]{Name: "receiver", Run: func(ctx context.Context, in <-chan storage.Changes) error {
@@ -56,8 +56,8 @@
 	return txn
 }
 
-// Guards against changes that are lost, repeated, out of order, or of other
-// rows, and against deletions that are not seen.
+// Guards against changes that are lost, repeated, out of order or of rows with
+// another prefix, and against deletions that are not delivered.
 func TestPollerDeliversInOrder(t *testing.T) {
 	withPoller(t, func(t *testing.T, table *standin.Table, _ storage.Poller, got <-chan storage.Changes) {
 		require.Equal(t, storage.Changes{First: true}, <-got, "an empty table is reported once")
@@ -79,8 +79,8 @@
 	})
 }
 
-// Guards against a poller that calls an unavailable service at its usual
-// rate, or does not return to it.
+// Guards against a poller that calls an unavailable service at its usual rate,
+// or does not scan within MaxBackoff after the recovery.
 func TestPollerBacksOff(t *testing.T) {
 	withPoller(t, func(t *testing.T, table *standin.Table, p storage.Poller, got <-chan storage.Changes) {
 		<-got
@@ -93,7 +93,7 @@
 		}
 		after, err := table.State(t.Context())
 		require.NoError(t, err)
-		require.LessOrEqual(t, after.Counters.Reads-before.Counters.Reads, 10+600/2, "the retry budget of 10 and one in 2 s")
+		require.LessOrEqual(t, after.Counters.Reads-before.Counters.Reads, 10+600/2, "the retry budget is 10 and one more every 2 s")
 		require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{}))
 		commit(t, table, put("a/1"))
 		start := time.Now()
@@ -102,7 +102,7 @@
 	})
 }
 
-// Guards against a poke that is lost because a scan is under way.
+// Guards against a scan request that is lost because a scan is in progress.
 func TestScanNowDuringScanIsNotLost(t *testing.T) {
 	withPoller(t, func(t *testing.T, table *standin.Table, p storage.Poller, got <-chan storage.Changes) {
 		<-got
@@ -117,7 +117,7 @@
 	})
 }
 
-// Guards against a poller that outlives its receiver.
+// Guards against a poller that keeps running after its receiver has ended.
 func TestPollerEndsWithItsReceiver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,5 +1,6 @@
 // Package storage holds the clients of the platform's transactional table
-// service and object store. It does not know what the rows mean.
+// service and object store, and writers and pollers on top of them. It does
+// not interpret the values of rows.
 package storage
 
 import (
@@ -22,9 +23,9 @@
 )
 
 // Errors of the table service and the object store. ErrUnavailable: the
-// operation certainly had no effect. ErrOutcomeUnknown: it may have taken effect.
-// ErrRefused: the service does not accept such an operation, so it had no
-// effect and must not be repeated.
+// operation had no effect and may be repeated. ErrOutcomeUnknown: it may have
+// taken effect. ErrRefused: the operation is invalid; it had no effect and must
+// not be repeated.
 var (
 	ErrUnavailable    = errors.New("platform service is unavailable")
 	ErrOutcomeUnknown = errors.New("outcome of the operation at the platform service is unknown")
@@ -37,8 +38,8 @@
 // Table is the transactional table service.
 type Table interface {
 	// Commit applies a transaction. The error is a *ConflictError,
-	// ErrUnavailable, ErrRefused, ErrOutcomeUnknown or the context's error (then it is
-	// unknown).
+	// ErrUnavailable, ErrRefused, ErrOutcomeUnknown or the context's error
+	// (the outcome is unknown as well).
 	Commit(ctx context.Context, t Txn) (Revision, error)
 	// Read returns a row, or ErrNotFound or ErrUnavailable.
 	Read(ctx context.Context, key string) (Row, error)
@@ -47,18 +48,18 @@
 	Scan(ctx context.Context, prefix string, after Revision) ([]Row, Revision, error)
 }
 
-// Watcher is a table service that reports changes of rows.
+// Watcher is a table service that supports long polls for changes of rows.
 type Watcher interface {
 	// Watch waits for rows with the prefix that changed after a revision, and
 	// returns them and the revision up to which the result is complete. It
-	// returns no rows when none changed for the time given, and ErrCompacted
+	// returns no rows when none changed within the given wait, and ErrCompacted
 	// when the service no longer has the changes after the revision.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Row, Revision, error)
 }
 
 // Objects is the object store. Errors of Put and Delete are ErrUnavailable,
-// ErrOutcomeUnknown, ErrRefused or the context's error; writing the same content
-// again is harmless.
+// ErrOutcomeUnknown, ErrRefused or the context's error. Put and Delete may be
+// repeated: a repetition has no further effect.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error) // ErrNotFound, ErrUnavailable
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -17,35 +17,35 @@
 const (
 	defaultWriterQueue = 4096
 	writerMailbox      = 256
-	// A call that the client does not end by itself is given up after this.
+	// callTimeout ends a call for which the client has no timeout of its own.
 	callTimeout = 2 * DefaultTimeout
 )
 
-// WriterConfig describes a Writer.
+// WriterConfig holds the parameters of a Writer.
 type WriterConfig struct {
 	Table Table
-	// Key is the writer's row. No other writer that is alive may use it; a
-	// successor of one that has stopped may.
+	// Key is the key of the writer's row. Two running writers must not share
+	// it; the successor of a stopped writer may use it.
 	Key       string
-	MaxQueued int            // operations that may wait; 0: 4096
+	MaxQueued int            // operations in the queue; 0: 4096
 	Log       log.Interface  // nil: no log
 	Random    func() float64 // for jitter, in [0, 1); nil: math/rand/v2
 }
 
-// Writer writes to the table service with group commit: operations that are
-// offered within 20 ms share a transaction. Operations on the same row take
-// effect in the order in which they were offered. Any goroutine may use it.
+// Writer writes to the table service with group commit: operations that arrive
+// within 20 ms share a transaction. Operations on the same row take effect in
+// the order in which they arrive. Any goroutine may use it.
 type Writer struct{ to actor.Address[writerMessage] }
 
-// writerMessage offers an operation or withdraws it.
+// writerMessage enqueues an operation or withdraws it.
 type writerMessage struct {
 	op       *pending
 	withdraw bool
 }
 
-// callResult is the outcome of a call of the table service.
+// callResult is the result of a call of the table service.
 type callResult struct {
-	read     bool // of the writer's row; else a commit
+	read     bool // a read of the writer's row; otherwise a commit
 	row      Row
 	revision Revision
 	err      error
@@ -68,11 +68,12 @@
 }
 
 // Write writes op and waits for the outcome. The error is a *ConflictError
-// with those of op's checks that failed, ErrUnavailable (no effect),
-// ErrRefused (no effect, op is invalid) or ErrOutcomeUnknown. After the end of ctx
-// it is ErrUnavailable if op was certainly never sent, else ErrOutcomeUnknown; it
-// then matches the context's error as well. The slices in op must not be
-// modified afterwards: a withdrawn operation may still be under way.
+// with the keys of op's checks that failed, ErrUnavailable (no effect),
+// ErrRefused (no effect, op is invalid) or ErrOutcomeUnknown. If ctx ends
+// first, it is ErrUnavailable if op was never sent to the service, otherwise
+// ErrOutcomeUnknown, and matches the context's error as well. The slices in op
+// must not be modified afterwards: a withdrawn operation may still be sent or
+// repeated.
 func (w Writer) Write(ctx context.Context, op Op) (Revision, error) {
 	p, err := newPending(op)
 	if err != nil {
@@ -88,7 +89,7 @@
 		return p.outcomeAfterStop(ctx)
 	case <-ctx.Done():
 	}
-	// The writer never waits for a call, so it answers soon.
+	// The writer's actor does not block on calls, so it answers promptly.
 	if w.to.Send(context.WithoutCancel(ctx), writerMessage{op: p, withdraw: true}) == nil {
 		select {
 		case r := <-p.reply.C():
@@ -99,7 +100,7 @@
 	return p.outcomeAfterStop(ctx)
 }
 
-// last returns the outcome after the writer has ended.
+// outcomeAfterStop returns the outcome after the writer's actor has ended.
 func (p *pending) outcomeAfterStop(ctx context.Context) (Revision, error) {
 	select {
 	case r := <-p.reply.C():
@@ -117,8 +118,8 @@
 	return fmt.Errorf("%w: %w", err, ctx.Err())
 }
 
-// WriteTo writes op and sends the message that build makes from the outcome to
-// an actor, so that the actor need not wait.
+// WriteTo writes op without blocking the caller. It converts the outcome to a
+// message with build and sends it to the actor at to.
 func WriteTo[M any](g *actor.Group, w Writer, op Op, to actor.Address[M], build func(WriteResult) M) {
 	actor.Go(g, "write", func(ctx context.Context) error {
 		rev, err := w.Write(ctx, op)
@@ -138,7 +139,7 @@
 }
 
 func newWriterLoop(g *actor.Group, c WriterConfig) *writerLoop {
-	// Operation ids must differ from those of earlier runs.
+	// Operation ids must differ from those of earlier runs of the actor.
 	prefix := fmt.Sprintf("%s/%016x", c.Key, rand.Uint64())
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
@@ -171,7 +172,7 @@
 	}
 }
 
-// perform carries out effects and arms the timer.
+// applyEffects carries out the effects of the core and sets the timer.
 func (l *writerLoop) applyEffects(e effects) {
 	for _, n := range e.logRecords {
 		event.Log(l.config.Log, n.event, n.fields)
@@ -197,21 +198,22 @@
 	}
 }
 
-// call runs f, which completes r. If f panics the outcome is unknown.
+// startCall runs f in a goroutine; f sets the fields of r. If f panics, the
+// outcome is unknown.
 func (l *writerLoop) startCall(r callResult, f func(context.Context, *callResult)) {
 	results := l.results
 	r.err = ErrOutcomeUnknown
 	actor.Go(l.group, "table call", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		defer func() { results <- r }() // has room: one call at a time
+		defer func() { results <- r }() // does not block: at most one call at a time
 		f(ctx, &r)
 		return nil
 	})
 }
 
-// abandon settles every operation when a run of the actor ends. Messages that
-// have not been read are answered if no other run follows.
+// abandon settles every operation when a run of the actor ends. Unread messages
+// are answered only if the actor is not restarted.
 func (l *writerLoop) abandon(ctx context.Context, in <-chan writerMessage) {
 	l.core.abandon()
 	for _, s := range l.core.takeEffects().settled {
--- a/internal/storage/writer_actions.go
+++ b/internal/storage/writer_actions.go
@@ -19,7 +19,7 @@
 	w.current = w.newBatch(ops)
 }
 
-// commit sends the current transaction, perhaps once more.
+// commit sends the current transaction. It may have been sent before.
 func (w *writerCore) commit() {
 	value, err := json.Marshal(writerRow{w.current.operation})
 	if err != nil {
@@ -32,8 +32,9 @@
 // readBack reads the writer's row.
 func (w *writerCore) readBack() { w.out.read = true }
 
-// settle reports the outcome of every operation that was under way, after
-// settling took effect at revision.
+// settle reports the outcome of all operations in flight after the batch
+// applied took effect at revision: its operations succeeded, and the deferred
+// failures of operations that are not part of it are final.
 func (w *writerCore) settle() {
 	for _, p := range w.applied.ops {
 		w.settleOp(p, w.revision, nil)
@@ -47,9 +48,9 @@
 	w.current, w.applied, w.unconfirmed, w.deferred = nil, nil, nil, nil
 }
 
-// failChecked removes the operations whose preconditions failed from the
-// current transaction. While an earlier version of it is in doubt, they may
-// have taken effect, so they are only held.
+// failConflicting removes the operations whose checks failed from the current
+// transaction. While an earlier version of it is unconfirmed, they may have
+// taken effect, so their outcome is deferred.
 func (w *writerCore) failConflicting() {
 	var remaining []*pending
 	for _, p := range w.current.ops {
@@ -67,7 +68,7 @@
 }
 
 // failRefused reports the only operation of the current transaction as
-// invalid.
+// refused.
 func (w *writerCore) failRefused() {
 	w.log(event.WriteRefused, w.cause)
 	for _, p := range w.current.ops {
@@ -76,8 +77,8 @@
 	w.current = nil
 }
 
-// divide returns the operations of a refused transaction to the queue, to be
-// sent one by one: one of them is invalid.
+// split returns the operations of a refused transaction to the queue to be
+// sent in separate transactions, since at least one of them is invalid.
 func (w *writerCore) split() {
 	for _, p := range w.current.ops {
 		p.separate = true
@@ -85,8 +86,9 @@
 	w.requeue()
 }
 
-// postpone returns the operations of a transaction that had no effect to the
-// queue, unless an earlier version of it is in doubt.
+// requeueUnlessUnconfirmed returns the operations of a transaction that had no
+// effect to the queue. If an earlier version of it is unconfirmed, the
+// transaction stays current.
 func (w *writerCore) requeueUnlessUnconfirmed() {
 	if len(w.unconfirmed) == 0 {
 		w.requeue()
@@ -99,35 +101,36 @@
 	w.current = nil
 }
 
-// enterDoubt notes that the current transaction may have taken effect.
+// markUnconfirmed records that the current transaction may have taken effect.
 func (w *writerCore) markUnconfirmed() {
 	if !slices.Contains(w.unconfirmed, w.current) {
 		w.unconfirmed = append(w.unconfirmed, w.current)
 	}
 }
 
-// adopt accepts the version of a writer's row that someone else has written.
-// What is in doubt stays unknown: it may have been overwritten.
+// adoptVersion accepts the version of the writer's row that another writer has
+// written. The outcome of unconfirmed transactions remains unknown: one of them
+// may have taken effect before the row was overwritten.
 func (w *writerCore) adoptVersion() {
-	if w.version != 0 { // a successor finds its predecessor's row
+	if w.version != 0 { // version 0: the row of a predecessor, which is normal
 		w.log(event.WriterRowMoved, nil)
 	}
 	if len(w.unconfirmed) > 0 {
-		w.settleUnknown(errors.Wrap(ErrOutcomeUnknown, "the writer's row was changed by someone else"))
+		w.settleUnknown(errors.Wrap(ErrOutcomeUnknown, "the writer's row was changed by another writer"))
 	} else {
 		w.requeue()
 	}
 	w.version = w.revision
 }
 
-// giveUp ends a transaction that the service refuses although it did not
-// refuse an earlier version of it.
+// settleRefusedAsUnknown settles the operations of a transaction that the
+// service refuses although an earlier version of it is unconfirmed.
 func (w *writerCore) settleRefusedAsUnknown() {
 	w.log(event.WriteRefused, w.cause)
 	w.settleUnknown(fmt.Errorf("%w: %v", ErrOutcomeUnknown, w.cause))
 }
 
-// settleUnknown gives up every operation that was sent.
+// settleUnknown settles every operation that was sent with err.
 func (w *writerCore) settleUnknown(err error) {
 	ops := map[*pending]bool{}
 	for _, b := range append(w.unconfirmed, w.current) {
@@ -144,7 +147,7 @@
 	w.current, w.unconfirmed, w.deferred = nil, nil, nil
 }
 
-// backOff waits before the service is called again.
+// backOff records the failure and sets the pause before the next call.
 func (w *writerCore) backOff() {
 	if w.backoff.Healthy() {
 		w.log(event.StoreUnavailable, w.cause)
--- a/internal/storage/writer_chart.go
+++ b/internal/storage/writer_chart.go
@@ -7,8 +7,8 @@
 	"github.com/bambooscale/bambooscale/internal/chart"
 )
 
-// linger is how long a transaction waits for more operations, from
-// docs/design.md section 5.6.
+// linger is the time for which operations are collected for a transaction,
+// from docs/design.md section 5.6.
 const linger = 20 * time.Millisecond
 
 // States of charts/writer.scxml.
@@ -52,12 +52,12 @@
 			"full":        func(w *writerCore) bool { return w.queuedRows() >= MaxTxnRows-1 },
 			"recovering":  func(w *writerCore) bool { return w.wait > 0 },
 			"unconfirmed": func(w *writerCore) bool { return len(w.unconfirmed) > 0 },
-			// Sent again at once only if the service did not just report that
-			// the row had changed: its answers would contradict each other.
+			// Not sent again at once if the service has just reported that the
+			// row changed: its answers contradict each other.
 			"resendable":  func(w *writerCore) bool { return len(w.unconfirmed) > 0 && !w.fenced },
 			"checkFailed": func(w *writerCore) bool { return w.countFailedOps() > 0 },
-			// In doubt, a transaction without operations still decides whether
-			// the earlier one took effect.
+			// While an earlier version is unconfirmed, a transaction without
+			// operations still determines whether it took effect.
 			"opsRemain":  func(w *writerCore) bool { return w.countFailedOps() < len(w.current.ops) || len(w.unconfirmed) > 0 },
 			"splittable": func(w *writerCore) bool { return len(w.current.ops) > 1 },
 		},
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -14,25 +14,26 @@
 	"github.com/bambooscale/bambooscale/internal/event"
 )
 
-// writerRow is the value of a writer's row: the last transaction that took
-// effect. Its result, the revision, is the row's version.
+// writerRow is the value of a writer's row: the operation id of the last
+// transaction that took effect. The version of the row is its revision.
 type writerRow struct {
 	Operation string `json:"operation"`
 }
 
-// settlement is an operation whose outcome is known, or will never be.
+// settlement is an operation and its final result, which may be
+// ErrOutcomeUnknown.
 type settlement struct {
 	op *pending
 	WriteResult
 }
 
-// notice is a log event.
+// logRecord is an event to be logged.
 type logRecord struct {
 	event  event.Event
 	fields log.Fields
 }
 
-// effects are what the writer's actor has to carry out.
+// effects are carried out by the writer's actor.
 type effects struct {
 	commit     *Txn
 	read       bool // of the writer's row
@@ -40,9 +41,9 @@
 	logRecords []logRecord
 }
 
-// writerCore decides what a writer does. It is pure: it is told what happened
-// and when, and records effects. An operation is in exactly one of queue (it
-// certainly has no effect so far) and the batches.
+// writerCore makes the decisions of a writer. It is pure: the caller passes the
+// events and the time, and carries out the effects. An operation is either in
+// queue, and has had no effect, or in batches.
 type writerCore struct {
 	key, prefix string
 	maxQueued   int // of queue
@@ -50,22 +51,23 @@
 	wakeAt      time.Time // when the state's delay ends; zero: never
 	backoff     *Backoff
 
-	version Revision // of the writer's row, as far as known
+	version Revision // of the writer's row; 0 until the first commit or read
 	lastSeq uint64
 	queue   []*pending
 	current *batch
-	// doubt are the versions of current that were sent and may have taken
-	// effect, oldest first; each contains the later ones. All check the
-	// writer's row at the same version, so at most one takes effect.
+	// unconfirmed are the versions of current that were sent and may have
+	// taken effect, oldest first; each contains the operations of the later
+	// ones. All check the same version of the writer's row, so at most one
+	// takes effect.
 	unconfirmed []*batch
-	deferred    []settlement // failed, unless an older version of current took effect
+	deferred    []settlement // failures, unless an older version of current took effect
 
-	// Set for the event that is being handled.
+	// Inputs of the event that is being handled.
 	now        time.Time
 	wait       time.Duration   // of a pause
 	failedKeys map[string]bool // keys of a conflict
 	cause      error
-	revision   Revision // of settling or of the writer's row
+	revision   Revision // at which applied took effect, or of the writer's row
 	applied    *batch
 	fenced     bool // the service reported that the writer's row has changed
 
@@ -76,14 +78,14 @@
 	return &writerCore{key: key, prefix: prefix, maxQueued: maxQueued, backoff: b, state: writerChart.Initial()}
 }
 
-// take returns the effects since the last call.
+// takeEffects returns and clears the effects since the last call.
 func (w *writerCore) takeEffects() effects {
 	out := w.out
 	w.out = effects{}
 	return out
 }
 
-// step feeds an event and sets the alarm of the state that it enters.
+// step processes an event and sets wakeAt for the state that it enters.
 func (w *writerCore) step(e chart.Event) {
 	if !writerChart.Step(w, &w.state, e) {
 		return
@@ -93,11 +95,11 @@
 		w.wakeAt = w.now.Add(w.wait)
 	} else if d, _, ok := writerChart.Timeout(w.state); ok {
 		w.wakeAt = w.now.Add(d)
-		w.step(weEnqueued) // the queue may fill a transaction already
+		w.step(weEnqueued) // the queue may already suffice for a full transaction
 	}
 }
 
-// expired handles the end of the state's delay.
+// delayElapsed handles the end of the state's delay.
 func (w *writerCore) delayElapsed(now time.Time) {
 	w.now = now
 	if _, e, ok := writerChart.Timeout(w.state); ok {
@@ -107,7 +109,8 @@
 	w.step(weResume)
 }
 
-// offer queues an operation, or refuses it if the queue is full.
+// enqueue adds an operation to the queue. If the queue is full, it settles the
+// operation as ErrUnavailable.
 func (w *writerCore) enqueue(p *pending, now time.Time) {
 	if len(w.queue) >= w.maxQueued {
 		w.settleOp(p, 0, errors.Wrap(ErrUnavailable, "the queue of writes is full"))
@@ -118,8 +121,8 @@
 	w.step(weEnqueued)
 }
 
-// withdraw settles an operation whose caller no longer waits: it is dropped
-// if it was not sent, else its outcome is unknown to the caller.
+// withdraw settles an operation whose caller no longer waits: as
+// ErrUnavailable if it is still in the queue, otherwise as ErrOutcomeUnknown.
 func (w *writerCore) withdraw(p *pending, now time.Time) {
 	w.now = now
 	if i := slices.Index(w.queue, p); i >= 0 {
@@ -132,7 +135,7 @@
 	w.settleOp(p, 0, errors.Wrap(ErrOutcomeUnknown, "withdrawn after it was sent"))
 }
 
-// committed handles the answer to a commit.
+// commitReturned handles the result of a commit.
 func (w *writerCore) commitReturned(rev Revision, err error, now time.Time) {
 	var conflict *ConflictError
 	w.now, w.cause, w.fenced = now, err, false
@@ -152,8 +155,8 @@
 	case errors.Is(err, ErrUnavailable):
 		w.step(weUnavailable)
 	case errors.Is(err, ErrRefused):
-		// The same content is refused every time, so earlier copies had no
-		// effect either.
+		// The service refuses the same transaction every time, so earlier
+		// requests with it had no effect either.
 		w.unconfirmed = slices.DeleteFunc(w.unconfirmed, func(b *batch) bool { return b == w.current })
 		w.step(weRefused)
 	default:
@@ -161,7 +164,7 @@
 	}
 }
 
-// rowRead handles the answer to the reading of the writer's row.
+// readReturned handles the result of a read of the writer's row.
 func (w *writerCore) readReturned(row Row, err error, now time.Time) {
 	w.now, w.cause = now, err
 	if err != nil && !errors.Is(err, ErrNotFound) {
@@ -186,7 +189,8 @@
 	w.step(weRowChanged)
 }
 
-// succeed settles b, which took effect.
+// handleSuccess processes event e, by which b is known to have taken effect at
+// rev.
 func (w *writerCore) handleSuccess(b *batch, rev Revision, e chart.Event) {
 	wasUnhealthy := !w.backoff.Healthy()
 	w.applied, w.revision, w.wait = b, rev, w.backoff.Success(w.now)
@@ -208,7 +212,8 @@
 	w.out.logRecords = append(w.out.logRecords, logRecord{e, f})
 }
 
-// blamed counts the operations of the current batch that check a failed key.
+// countFailedOps returns the number of operations of the current batch that
+// check a failed key.
 func (w *writerCore) countFailedOps() (n int) {
 	for _, p := range w.current.ops {
 		if len(p.failedChecks(w.failedKeys)) > 0 {
@@ -218,6 +223,8 @@
 	return n
 }
 
+// queuedRows returns the number of rows of the queued operations; a row of
+// several operations counts more than once.
 func (w *writerCore) queuedRows() (n int) {
 	for _, p := range w.queue {
 		n += len(p.rows)
@@ -225,8 +232,8 @@
 	return n
 }
 
-// newBatch gives a transaction a new operation id: its content differs from
-// every one before.
+// newBatch returns a batch with a new operation id: its transaction differs
+// from every earlier one.
 func (w *writerCore) newBatch(ops []*pending) *batch {
 	w.lastSeq++
 	return &batch{w.prefix + "/" + strconv.FormatUint(w.lastSeq, 10), ops}
--- a/internal/storage/writer_core_test.go
+++ b/internal/storage/writer_core_test.go
@@ -12,10 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// Every run checks the same cases; the flag -rapid.seed chooses others.
+// Every run checks the same cases; the flag -rapid.seed selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// script drives a writerCore and notes the outcomes of operations by name.
+// script drives a writerCore step by step and records the results of operations
+// by name.
 type script struct {
 	t       *testing.T
 	core    *writerCore
@@ -46,8 +47,8 @@
 	}
 }
 
-// offer offers an operation that writes the row of its own name if the row has
-// this version.
+// enqueue adds an operation that writes the row of the given name if the row
+// has this version.
 func (s *script) enqueue(name string, version Revision) {
 	p, err := newPending(Op{Checks: []Check{{Key: name, Version: version}}, Puts: []Put{{Key: name}}})
 	require.NoError(s.t, err)
@@ -73,8 +74,8 @@
 	s.recordEffects()
 }
 
-// Guards against a second write after the first took effect and its answer
-// was lost.
+// Guards against a second write after the response to the first one, which took
+// effect, was lost.
 func TestReadsBackAfterLostAnswer(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -82,7 +83,7 @@
 	s.commitReturns(0, ErrOutcomeUnknown)
 	require.Nil(t, s.effects.commit)
 	s.advance()
-	require.True(t, s.effects.read, "reads back before it writes again")
+	require.True(t, s.effects.read, "reads the writer's row before it commits again")
 	s.readReturns(7, s.sent[0].Operation)
 	require.Equal(t, WriteResult{Revision: 7}, s.results["a"])
 	require.Len(t, s.sent, 1)
@@ -90,7 +91,7 @@
 }
 
 // Guards against an operation that is reported as failed although an earlier
-// copy of its transaction, still under way, takes effect afterwards.
+// request with its transaction is still in flight and takes effect afterwards.
 func TestConflictIsDeferredWhileUnconfirmed(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -103,15 +104,16 @@
 	s.commitReturns(0, &ConflictError{Keys: []string{"a"}})
 	require.NotEqual(t, s.sent[0].Operation, s.sent[2].Operation)
 	require.Empty(t, s.results)
-	s.commitReturns(0, &ConflictError{Keys: []string{"writer/w"}}) // the first copy arrived
+	s.commitReturns(0, &ConflictError{Keys: []string{"writer/w"}}) // the first request took effect
 	require.True(t, s.effects.read)
 	s.readReturns(9, s.sent[0].Operation)
 	require.Equal(t, map[string]WriteResult{"a": {Revision: 9}, "b": {Revision: 9}}, s.results)
 }
 
-// Guards against a held failure that is never reported when the doubt is
-// resolved the other way, and against a transaction in doubt whose operations
-// have all failed and that is never decided.
+// Guards against a deferred failure that is never reported when the unconfirmed
+// transaction turns out to have had no effect, and against an unconfirmed
+// transaction whose outcome is never determined because all its operations have
+// failed.
 func TestFencedResendSettlesUnconfirmed(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -125,8 +127,8 @@
 	require.Equal(t, WriteResult{Err: &ConflictError{Keys: []string{"a"}}}, s.results["a"])
 }
 
-// Guards against an operation in doubt that is reported as known after
-// someone else has overwritten the writer's row.
+// Guards against an unconfirmed operation that is reported as committed or
+// failed after another writer has overwritten the writer's row.
 func TestForeignWriterLeavesOutcomeUnknown(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -140,8 +142,8 @@
 	require.Equal(t, Check{Key: "writer/w", Version: 5}, s.sent[1].Checks[0])
 }
 
-// Guards against one invalid operation that fails all that share its
-// transaction, or that is sent for ever.
+// Guards against an invalid operation that fails the others in its transaction
+// or is sent again without end.
 func TestRefusedBatchIsSplit(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -156,8 +158,9 @@
 	require.Equal(t, WriteResult{Revision: 4}, s.results["b"])
 }
 
-// Guards against a caller that is told "no effect" about an operation that was
-// sent, and against an operation that is sent after its caller was told so.
+// Guards against ErrUnavailable, which means no effect, for an operation that
+// was sent, and against an operation that is sent after its caller received
+// ErrUnavailable.
 func TestWithdrawnOperations(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -175,8 +178,8 @@
 	require.Equal(t, wsIdle, s.core.state)
 }
 
-// Guards against a writer that spins when the service reports a conflict on a
-// row that no operation checks.
+// Guards against a writer that repeats a commit without a pause when the service
+// reports a conflict on a row that no operation checks.
 func TestConflictOnUncheckedRowBacksOff(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
@@ -186,8 +189,8 @@
 	require.GreaterOrEqual(t, s.core.wakeAt.Sub(s.now), MinBackoff)
 }
 
-// Guards against transactions that are too large, contain operations that
-// must follow each other, reorder such operations, or lose one.
+// Guards against batches that are too large, contain conflicting operations,
+// reorder such operations or omit one.
 func TestSelectBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue []*pending
@@ -234,8 +237,8 @@
 	})
 }
 
-// Guards against delays outside the stated bounds, and against a service that
-// recovers and is called at full rate at once.
+// Guards against delays outside the stated bounds, and against calls at the full
+// rate directly after a service has recovered.
 func TestBackoff(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBackoff(rand.New(rand.NewPCG(1, 1)).Float64)
@@ -257,8 +260,8 @@
 	require.Equal(t, []time.Duration{2500 * time.Millisecond, 600 * time.Millisecond, 200 * time.Millisecond, 0}, pauses)
 }
 
-// Guards against a client that repeats one operation after another because
-// each success between the failures resets its delay.
+// Guards against retries at the shortest delay without end because a success
+// between any two failures resets the delay.
 func TestRetryBudget(t *testing.T) {
 	start := time.Unix(0, 0)
 	now, retries := start, 0
--- a/internal/storage/writer_history_test.go
+++ b/internal/storage/writer_history_test.go
@@ -16,8 +16,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// randomFaults draws the faults of the next seconds. A delay of 25 s lets a
-// transaction take effect after the writer has given up the call.
+// randomFaults returns the faults until the next call. With a delay of 25 s a
+// transaction takes effect after the writer's call has timed out.
 func randomFaults(r *rand.Rand) standin.StoreFaults {
 	f := standin.StoreFaults{DelayMs: []int64{0, 0, 10, 500, 25_000}[r.IntN(5)]}
 	switch r.IntN(4) {
@@ -31,8 +31,8 @@
 	return f
 }
 
-// randomOp writes a unique value to some of a few rows, often under a
-// precondition that may fail.
+// randomOp returns an operation that writes a unique value to one or two of 8
+// rows. A third of the rows have a check, which may fail.
 func randomOp(r *rand.Rand, id string) storage.Op {
 	var op storage.Op
 	for _, n := range r.Perm(8)[:1+r.IntN(2)] {
@@ -45,8 +45,8 @@
 	return op
 }
 
-// verify compares an outcome with the revisions at which the operation took
-// effect.
+// verifyOutcome compares an outcome with the revisions at which the operation
+// took effect.
 func verifyOutcome(t *testing.T, id string, got storage.WriteResult, effects []storage.Revision) {
 	var conflict *storage.ConflictError
 	switch {
@@ -61,11 +61,11 @@
 	}
 }
 
-// Guards against outcomes that the committed transactions contradict: an
-// operation that took effect twice, or that was reported as done and had no
-// effect, or as without effect and had one. Answers, requests and whole calls
-// are lost, late transactions take effect after they were given up, callers
-// leave, and a successor takes over the writer's row.
+// Guards against outcomes that contradict the committed transactions: an
+// operation that took effect twice, was reported as committed without effect,
+// or was reported as failed although it took effect. Requests and responses are
+// lost, delayed transactions take effect after their calls have timed out,
+// callers withdraw, and a successor takes over the writer's row.
 func TestOutcomesAgreeWithHistory(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -102,7 +102,7 @@
 		g.Stop()
 	}
 	require.NoError(t, table.SetFaults(t.Context(), standin.StoreFaults{}))
-	actor.Sleep(t.Context(), time.Minute) // what is under way takes effect
+	actor.Sleep(t.Context(), time.Minute) // transactions in flight take effect
 	effects := map[string][]storage.Revision{}
 	for _, c := range committedTxns(t, table) {
 		seen := map[string]bool{}
@@ -121,5 +121,5 @@
 			succeeded++
 		}
 	}
-	require.NotZero(t, succeeded, "the run tests nothing")
+	require.NotZero(t, succeeded, "no operation succeeded")
 }
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -26,7 +26,8 @@
 	return storage.Op{Checks: []storage.Check{{Key: key, Version: version}}, Puts: []storage.Put{{Key: key, Value: []byte(key)}}}
 }
 
-// parallel writes all operations at the same time and returns the outcomes.
+// writeConcurrently writes all operations at the same time and returns the
+// outcomes in the order of the operations.
 func writeConcurrently(ctx context.Context, w storage.Writer, ops ...storage.Op) []storage.WriteResult {
 	results := make([]storage.WriteResult, len(ops))
 	done := make(chan struct{})
@@ -36,7 +37,7 @@
 			results[i] = storage.WriteResult{Revision: rev, Err: err}
 			done <- struct{}{}
 		}()
-		synctest.Wait() // keeps the order of the operations
+		synctest.Wait() // the operations arrive in order
 	}
 	for range ops {
 		<-done
@@ -59,8 +60,8 @@
 	return list
 }
 
-// Guards against operations that are written twice, or reported as lost, when
-// answers and requests are lost.
+// Guards against operations that are written twice or reported as failed when
+// requests and responses are lost.
 func TestWriterSurvivesLostAnswers(t *testing.T) {
 	for name, faults := range map[string]standin.StoreFaults{
 		"answers": {LoseAnswers: 3}, "requests": {LoseRequests: 3}, "both": {LoseAnswers: 2, LoseRequests: 2, DelayMs: 50},
@@ -82,8 +83,8 @@
 	}
 }
 
-// Guards against a batch that fails as a whole because of one row, and
-// against a failure that is reported to the wrong operation.
+// Guards against a transaction that fails as a whole because of one failed
+// check, and against a failure that is reported for another operation.
 func TestFailedCheckFailsOnlyItsOperation(t *testing.T) {
 	withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
 		ops := []storage.Op{checkedPut("a", 0), checkedPut("b", 5), checkedPut("c", 0)}
@@ -97,8 +98,8 @@
 	})
 }
 
-// Guards against transactions of more than 128 rows or after more than 20 ms,
-// and against one transaction per operation.
+// Guards against transactions of more than 128 rows, operations that wait for
+// more than 20 ms, and one transaction per operation.
 func TestGroupCommit(t *testing.T) {
 	withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
 		start := time.Now()
@@ -118,7 +119,7 @@
 	})
 }
 
-// Guards against operations on one row that overtake each other or share a
+// Guards against operations on one row that are reordered or share a
 // transaction.
 func TestOperationsOnOneRowKeepOrder(t *testing.T) {
 	withWriter(t, func(t *testing.T, w storage.Writer, table *standin.Table) {
@@ -130,8 +131,8 @@
 	})
 }
 
-// Guards against a queue without bound, callers that wait for ever, and a
-// caller that is told the wrong thing when its context ends.
+// Guards against an unbounded queue, callers that wait without end, and a wrong
+// error when the caller's context ends while the service is unavailable.
 func TestWriterInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
@@ -158,7 +159,7 @@
 	})
 }
 
-// recording counts the calls of a table in each 100 ms.
+// callRecorder records the times of the commits and reads of a table.
 type callRecorder struct {
 	storage.Table
 	calls chan time.Time
@@ -176,8 +177,8 @@
 
 // Guards against a thundering herd: 50 writers (5 entries in each of the 10
 // data centres of the target size) whose queues filled during an outage must
-// not exceed the service's rate when it returns, and all must have written
-// soon.
+// not exceed the rate limit of the recovered service, and must write their
+// queues within 3 times MaxBackoff.
 func TestNoThunderingHerd(t *testing.T) {
 	const writers, window = 50, 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
