--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -71,10 +71,10 @@
 func (c Validator) Validate(e Edit) finding.List {
 	var findings finding.List
 	add := func(element, format string, args ...any) { findings.Add("edit", 0, element, format, args...) }
-	if e.ID == "" || !isName(e.ID) {
+	if e.ID == "" || !isValidName(e.ID) {
 		add("id", "must be 1 to %d printable characters without spaces", maxNameBytes)
 	}
-	if e.Author != "" && !isName(e.Author) {
+	if e.Author != "" && !isValidName(e.Author) {
 		add("author", "must be at most %d printable characters without spaces", maxNameBytes)
 	}
 	if len(e.Changes) == 0 || len(e.Changes) > maxChanges {
@@ -92,35 +92,37 @@
 	return findings
 }
 
-func (c Validator) validateChange(element string, ch Change) finding.List {
+// validateChange returns the findings of the change at element.
+func (c Validator) validateChange(element string, change Change) finding.List {
 	var findings finding.List
 	add := func(field, format string, args ...any) { findings.Add("edit", 0, element+field, format, args...) }
-	if !knownKind(ch.Key.Kind) {
-		add(".key.kind", "unknown kind %q; use service, class, team, worker, backend, job or selector", ch.Key.Kind)
+	if !knownKind(change.Key.Kind) {
+		add(".key.kind", "unknown kind %q; use service, class, team, worker, backend, job or selector", change.Key.Kind)
 	}
-	if ch.Key.Name == "" || !isName(ch.Key.Name) {
+	if change.Key.Name == "" || !isValidName(change.Key.Name) {
 		add(".key.name", "must be 1 to %d printable characters without spaces", maxNameBytes)
 	}
-	if ch.Item == nil {
+	if change.Item == nil {
 		return findings
 	}
-	if ch.Key.Kind == model.KindSelector {
-		return append(findings, c.validateSelector(element+".item", *ch.Item)...)
+	if change.Key.Kind == model.KindSelector {
+		return append(findings, c.validateSelector(element+".item", *change.Item)...)
 	}
-	if ch.Item.Selector != nil {
+	if change.Item.Selector != nil {
 		add(".item.selector", "only items of kind selector have a selector")
 	}
-	for _, f := range c.Labels(withoutLists(ch.Key.Kind, ch.Item.Labels)) {
+	for _, f := range c.Labels(withoutLists(change.Key.Kind, change.Item.Labels)) {
 		add(strings.TrimSuffix(".item.labels."+f.Element, "."), "%s", f.Text)
 	}
-	for label, value := range ch.Item.Labels {
-		if err := checkValue(ch.Key.Kind, label, value); err != nil {
+	for label, value := range change.Item.Labels {
+		if err := checkValue(change.Key.Kind, label, value); err != nil {
 			add(".item.labels."+label, "%v", err)
 		}
 	}
 	return findings
 }
 
+// validateSelector returns the findings of the selector item at element.
 func (c Validator) validateSelector(element string, item model.ConfigItem) finding.List {
 	var findings finding.List
 	add := func(field, format string, args ...any) { findings.Add("edit", 0, element+field, format, args...) }
@@ -161,7 +163,9 @@
 	return false
 }
 
-func isName(s string) bool {
+// isValidName reports whether s has at most maxNameBytes and neither spaces nor
+// control characters.
+func isValidName(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r == 0x7f {
 			return false
--- a/internal/configstore/editor.go
+++ b/internal/configstore/editor.go
@@ -33,14 +33,14 @@
 
 // editRequest asks the editor to commit one edit.
 type editRequest struct {
-	ctx    context.Context // of the requester
-	edit   Edit
-	answer actor.Reply[editAnswer]
+	ctx   context.Context // of the requester
+	edit  Edit
+	reply actor.Reply[editReply]
 }
 
-type editAnswer struct {
-	accepted EditResult
-	err      error
+type editReply struct {
+	result EditResult
+	err    error
 }
 
 // editor is the actor that commits edits to the table, one at a time.
@@ -56,16 +56,16 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case r := <-in:
-			if r.ctx.Err() != nil {
-				r.answer.Put(editAnswer{err: fmt.Errorf("%w: the request ended while the edit was queued", storage.ErrUnavailable)})
+		case request := <-in:
+			if request.ctx.Err() != nil {
+				request.reply.Put(editReply{err: fmt.Errorf("%w: the request ended while the edit was queued", storage.ErrUnavailable)})
 				continue
 			}
-			accepted, err := e.perform(ctx, r.edit)
-			e.logOutcome(r.edit, accepted, err)
-			r.answer.Put(editAnswer{accepted, err})
-			if err == nil && !accepted.Repeated {
-				e.prune(ctx, accepted.Version)
+			result, err := e.perform(ctx, request.edit)
+			e.logOutcome(request.edit, result, err)
+			request.reply.Put(editReply{result, err})
+			if err == nil && !result.Repeated {
+				e.prune(ctx, result.Version)
 			}
 		}
 	}
@@ -82,8 +82,8 @@
 	}
 }
 
-// editAttempt is the state of one edit across the attempts to commit it.
-type editAttempt struct {
+// pendingEdit is the state of one edit across the attempts to commit it.
+type pendingEdit struct {
 	edit Edit
 	// unconfirmed lists the versions of commits whose outcome is unknown. If
 	// such a commit took effect, the log row of its version holds the edit's id.
@@ -97,13 +97,13 @@
 func (e *editor) perform(ctx context.Context, edit Edit) (EditResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
-	a := &editAttempt{edit: edit}
+	p := &pendingEdit{edit: edit}
 	delay := minRetryDelay
 	var lastErr error
 	for range maxAttempts {
-		accepted, retry, err := e.tryOnce(ctx, a)
+		result, retry, err := e.tryOnce(ctx, p)
 		if !retry {
-			return accepted, a.withOutcome(err)
+			return result, p.withOutcome(err)
 		}
 		lastErr = err
 		if !actor.Sleep(ctx, delay/2+rand.N(delay)) {
@@ -111,36 +111,34 @@
 		}
 		delay = min(2*delay, maxRetryDelay)
 	}
-	return EditResult{}, a.withOutcome(lastErr)
+	return EditResult{}, p.withOutcome(lastErr)
 }
 
 // withOutcome wraps err as ErrOutcomeUnknown while the outcome of a commit of
 // the edit is unknown.
-func (a *editAttempt) withOutcome(err error) error {
-	if err == nil || len(a.unconfirmed) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
+func (p *pendingEdit) withOutcome(err error) error {
+	if err == nil || len(p.unconfirmed) == 0 || errors.Is(err, storage.ErrOutcomeUnknown) {
 		return err
 	}
-	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, a.edit.ID, a.unconfirmed[0], err)
+	return fmt.Errorf("%w: edit %s may have been accepted as version %d: %v", storage.ErrOutcomeUnknown, p.edit.ID, p.unconfirmed[0], err)
 }
 
 // tryOnce makes one attempt. retry is set when another attempt may succeed or
 // may determine the outcome of an earlier commit.
-// tryOnce makes one attempt. retry is set when another attempt may succeed or
-// may determine the outcome of an earlier commit.
-func (e *editor) tryOnce(ctx context.Context, a *editAttempt) (accepted EditResult, retry bool, err error) {
-	if v, done, err := e.resolveUnconfirmed(ctx, a); err != nil {
+func (e *editor) tryOnce(ctx context.Context, p *pendingEdit) (result EditResult, retry bool, err error) {
+	if v, done, err := e.resolveUnconfirmed(ctx, p); err != nil {
 		return EditResult{}, true, err
 	} else if done {
 		return EditResult{Version: v}, false, nil
 	}
-	state, err := e.readState(ctx, a.edit)
+	state, err := e.readState(ctx, p.edit)
 	if err != nil {
-		return EditResult{}, len(a.unconfirmed) > 0, readError(err)
+		return EditResult{}, len(p.unconfirmed) > 0, readError(err)
 	}
-	txn, entry, err := planEdit(a.edit, state, e.keepVersions)
+	txn, entry, err := planEdit(p.edit, state, e.keepVersions)
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
-		return e.resolveConflict(ctx, a, conflict)
+		return e.resolveConflict(ctx, p, conflict)
 	} else if err != nil {
 		return EditResult{}, false, err
 	}
@@ -153,9 +151,9 @@
 	case errors.As(err, &checkFailed):
 		return EditResult{}, true, fmt.Errorf("%w: other edits were accepted first: %v", storage.ErrUnavailable, err)
 	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrRefused):
-		return EditResult{}, len(a.unconfirmed) > 0, err
+		return EditResult{}, len(p.unconfirmed) > 0, err
 	}
-	a.unconfirmed = append(a.unconfirmed, entry.Version)
+	p.unconfirmed = append(p.unconfirmed, entry.Version)
 	return EditResult{}, true, fmt.Errorf("%w: %v", storage.ErrOutcomeUnknown, err)
 }
 
@@ -170,33 +168,33 @@
 
 // resolveUnconfirmed reads the log rows of the commits whose outcome is
 // unknown. It returns the version and true if one of them took effect.
-func (e *editor) resolveUnconfirmed(ctx context.Context, a *editAttempt) (model.ConfigVersion, bool, error) {
+func (e *editor) resolveUnconfirmed(ctx context.Context, p *pendingEdit) (model.ConfigVersion, bool, error) {
 	var unconfirmed []model.ConfigVersion
-	for _, v := range a.unconfirmed {
+	for _, v := range p.unconfirmed {
 		entry, found, err := e.readLogEntry(ctx, v)
 		switch {
 		case err != nil:
 			return 0, false, err
-		case found && entry.Edit == a.edit.ID:
-			a.unconfirmed = nil
+		case found && entry.Edit == p.edit.ID:
+			p.unconfirmed = nil
 			e.notifyNode(ctx, entry)
 			return v, true, nil
 		case !found:
 			unconfirmed = append(unconfirmed, v) // the commit may still take effect
 		}
 	}
-	a.unconfirmed = unconfirmed
+	p.unconfirmed = unconfirmed
 	return 0, false, nil
 }
 
 // resolveConflict distinguishes the repetition of an accepted edit from a
 // conflict.
-func (e *editor) resolveConflict(ctx context.Context, a *editAttempt, c *ConflictError) (EditResult, bool, error) {
-	v, err := e.findEdit(ctx, a.edit.ID, c)
+func (e *editor) resolveConflict(ctx context.Context, p *pendingEdit, c *ConflictError) (EditResult, bool, error) {
+	v, err := e.findEdit(ctx, p.edit.ID, c)
 	if err != nil {
 		return EditResult{}, true, err
 	}
-	a.unconfirmed = nil // the head has passed their versions: the commits failed
+	p.unconfirmed = nil // the head has passed their versions, so the log shows the outcome
 	if v > 0 {
 		return EditResult{Version: v, Repeated: true}, false, nil
 	}
@@ -223,7 +221,6 @@
 	return 0, nil
 }
 
-// notifyNode sends a committed edit to the node without waiting for the poll.
 // notifyNode sends a committed edit to the node without waiting for the poll.
 func (e *editor) notifyNode(ctx context.Context, entry rows.ConfigLog) {
 	// An error is ignored because the poller delivers the edit as well.
--- a/internal/configstore/node.go
+++ b/internal/configstore/node.go
@@ -128,8 +128,8 @@
 	oldState, wasLoaded := n.lifecycle.state, n.lifecycle.loaded
 	n.lifecycle.peerAhead = n.anyPeerAhead()
 	requested, installed := false, false
-	for _, eff := range n.lifecycle.step(e) {
-		switch eff {
+	for _, effect := range n.lifecycle.step(e) {
+		switch effect {
 		case effInstall:
 			n.install()
 			installed = true
--- a/internal/configstore/poller.go
+++ b/internal/configstore/poller.go
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// contiguous reports whether edits are the versions after a version without a
+// checkContiguous reports whether edits are the versions after a version without a
 // gap. If not, it returns the first missing version.
 func checkContiguous(after model.ConfigVersion, edits []rows.ConfigLog) (model.ConfigVersion, bool) {
 	for _, e := range edits {
--- a/internal/configstore/properties.go
+++ b/internal/configstore/properties.go
@@ -182,7 +182,7 @@
 // checkValue returns an error if the system reads this label on items of this
 // kind and the value is invalid.
 func checkValue(kind model.ConfigKind, label, value string) error {
-	number := func(low, high int64) error {
+	checkNumber := func(low, high int64) error {
 		if n, err := strconv.ParseInt(value, 10, 64); err != nil || n < low || n > high {
 			return fmt.Errorf("%q is not a whole number from %d to %d", value, low, high)
 		}
@@ -192,25 +192,25 @@
 	case isList(kind, label) && len(value) > maxListBytes:
 		return fmt.Errorf("is longer than %d bytes", maxListBytes)
 	case kind == model.KindClass && (label == LabelDeadline || label == model.LabelTargetP99):
-		return number(1, 24*3600*1000)
+		return checkNumber(1, 24*3600*1000)
 	case kind == model.KindClass && label == LabelLong, kind == model.KindWorker && label == model.LabelDrain:
 		if value != "true" && value != "false" {
 			return fmt.Errorf("%q is neither true nor false", value)
 		}
 	case kind == model.KindClass && label == LabelPathPrefix:
 		for _, p := range strings.Split(value, ",") {
-			if !strings.HasPrefix(p, "/") || !isName(p) {
+			if !strings.HasPrefix(p, "/") || !isValidName(p) {
 				return fmt.Errorf("path prefix %q does not begin with /, or has spaces", p)
 			}
 		}
 	case isList(kind, label): // methods
 		for _, m := range strings.Split(value, ",") {
-			if m == "" || strings.ToUpper(m) != m || !isName(m) {
+			if m == "" || strings.ToUpper(m) != m || !isValidName(m) {
 				return fmt.Errorf("%q is not an upper-case HTTP method", m)
 			}
 		}
 	case kind == model.KindTeam && (label == LabelQuotaCPU || label == LabelQuotaMemory || label == LabelQuotaAccelerators):
-		return number(0, 1<<62)
+		return checkNumber(0, 1<<62)
 	}
 	return nil
 }
--- a/internal/configstore/prune.go
+++ b/internal/configstore/prune.go
@@ -13,13 +13,13 @@
 // and the rows of the items that this edit removed. Without it, the number of
 // rows of removed items would grow by up to 3,300 a day. A failure is not
 // retried: a row that stays is harmless.
-func (e *editor) prune(ctx context.Context, accepted model.ConfigVersion) {
-	if accepted <= e.keepVersions {
+func (e *editor) prune(ctx context.Context, newest model.ConfigVersion) {
+	if newest <= e.keepVersions {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
-	entry, rev, err := readRow[rows.ConfigLog](ctx, e.table, rows.ConfigLogKey(accepted-e.keepVersions))
+	entry, rev, err := readRow[rows.ConfigLog](ctx, e.table, rows.ConfigLogKey(newest-e.keepVersions))
 	if err != nil || rev == 0 {
 		return
 	}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -116,13 +116,13 @@
 	if err := findings.Err(); err != nil {
 		return EditResult{}, err
 	}
-	r := editRequest{ctx: ctx, edit: e, answer: actor.NewReply[editAnswer]()}
-	if !s.editor.TrySend(r) {
+	request := editRequest{ctx: ctx, edit: e, reply: actor.NewReply[editReply]()}
+	if !s.editor.TrySend(request) {
 		return EditResult{}, fmt.Errorf("%w: too many edits are waiting", storage.ErrUnavailable)
 	}
 	select {
-	case a := <-r.answer.C():
-		return a.accepted, baseErrorAsFinding(e, a.err)
+	case reply := <-request.reply.C():
+		return reply.result, baseErrorAsFinding(e, reply.err)
 	case <-s.editor.Done():
 	case <-ctx.Done():
 	}
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -98,25 +98,25 @@
 // the queue, and the operations that stay in the queue. An operation that
 // conflicts with an earlier one stays, and so does every later one that
 // conflicts with it.
-func selectBatch(queue []*pending) (batch, rest []*pending) {
+func selectBatch(queue []*pending) (batch, remaining []*pending) {
 	rows := map[string]access{}
 	skipped := map[string]access{} // rows of the operations that stay in the queue
 	for i, p := range queue {
 		if len(rows) >= MaxTxnRows-1 || p.separate && len(batch) > 0 {
-			return batch, append(rest, queue[i:]...)
+			return batch, append(remaining, queue[i:]...)
 		}
 		if !fits(p, rows, skipped) {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 			addRows(skipped, p)
 			continue
 		}
 		batch = append(batch, p)
 		addRows(rows, p)
 		if p.separate {
-			return batch, append(rest, queue[i+1:]...)
+			return batch, append(remaining, queue[i+1:]...)
 		}
 	}
-	return batch, rest
+	return batch, remaining
 }
 
 // fits reports whether p can be added to a batch with these rows: it conflicts
--- a/internal/storage/poller.go
+++ b/internal/storage/poller.go
@@ -95,8 +95,8 @@
 		case psWaiting:
 			l.wait(ctx, in)
 		}
-		for _, n := range l.core.logRecords {
-			event.Log(l.config.Log, n.event, n.fields)
+		for _, r := range l.core.logRecords {
+			event.Log(l.config.Log, r.event, r.fields)
 		}
 		l.core.logRecords = nil
 	}
--- a/internal/storage/poller_chart.go
+++ b/internal/storage/poller_chart.go
@@ -105,7 +105,7 @@
 	wasUnhealthy := !p.backoff.Healthy()
 	p.wait = p.backoff.Success(p.now)
 	if wasUnhealthy && p.backoff.Healthy() {
-		p.log(event.StoreRecovered, log.Fields{})
+		p.logEvent(event.StoreRecovered, log.Fields{})
 	}
 	p.after, p.scannedOnce = p.scanned.UpTo, true
 }
@@ -119,18 +119,18 @@
 
 func (p *pollerCore) backOff() {
 	if p.backoff.Healthy() && p.cause != nil {
-		p.log(event.StoreUnavailable, log.Fields{"error": p.cause.Error()})
+		p.logEvent(event.StoreUnavailable, log.Fields{"error": p.cause.Error()})
 	}
 	p.wait = p.backoff.Failure(p.now)
 	p.schedule()
 }
 
 func (p *pollerCore) reportRegression() {
-	p.log(event.PollRegressed, log.Fields{"revision": p.scanned.UpTo, "known": p.after})
+	p.logEvent(event.PollRegressed, log.Fields{"revision": p.scanned.UpTo, "known": p.after})
 	p.cause = nil
 }
 
-func (p *pollerCore) log(e event.Event, f log.Fields) {
+func (p *pollerCore) logEvent(e event.Event, f log.Fields) {
 	f["prefix"] = p.prefix
 	p.logRecords = append(p.logRecords, logRecord{e, f})
 }
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -174,8 +174,8 @@
 
 // applyEffects carries out the effects of the core and sets the timer.
 func (l *writerLoop) applyEffects(e effects) {
-	for _, n := range e.logRecords {
-		event.Log(l.config.Log, n.event, n.fields)
+	for _, r := range e.logRecords {
+		event.Log(l.config.Log, r.event, r.fields)
 	}
 	for _, s := range e.settled {
 		s.op.reply.Put(s.WriteResult)
--- a/internal/storage/writer_actions.go
+++ b/internal/storage/writer_actions.go
@@ -70,7 +70,7 @@
 // failRefused reports the only operation of the current transaction as
 // refused.
 func (w *writerCore) failRefused() {
-	w.log(event.WriteRefused, w.cause)
+	w.logEvent(event.WriteRefused, w.cause)
 	for _, p := range w.current.ops {
 		w.settleOp(p, 0, w.cause)
 	}
@@ -113,7 +113,7 @@
 // may have taken effect before the row was overwritten.
 func (w *writerCore) adoptVersion() {
 	if w.version != 0 { // version 0: the row of a predecessor, which is normal
-		w.log(event.WriterRowMoved, nil)
+		w.logEvent(event.WriterRowMoved, nil)
 	}
 	if len(w.unconfirmed) > 0 {
 		w.settleUnknown(errors.Wrap(ErrOutcomeUnknown, "the writer's row was changed by another writer"))
@@ -126,7 +126,7 @@
 // settleRefusedAsUnknown settles the operations of a transaction that the
 // service refuses although an earlier version of it is unconfirmed.
 func (w *writerCore) settleRefusedAsUnknown() {
-	w.log(event.WriteRefused, w.cause)
+	w.logEvent(event.WriteRefused, w.cause)
 	w.settleUnknown(fmt.Errorf("%w: %v", ErrOutcomeUnknown, w.cause))
 }
 
@@ -150,7 +150,7 @@
 // backOff records the failure and sets the pause before the next call.
 func (w *writerCore) backOff() {
 	if w.backoff.Healthy() {
-		w.log(event.StoreUnavailable, w.cause)
+		w.logEvent(event.StoreUnavailable, w.cause)
 	}
 	w.wait = w.backoff.Failure(w.now)
 }
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -46,7 +46,7 @@
 // queue, and has had no effect, or in batches.
 type writerCore struct {
 	key, prefix string
-	maxQueued   int // of queue
+	maxQueued   int // operations in queue
 	state       chart.State
 	wakeAt      time.Time // when the state's delay ends; zero: never
 	backoff     *Backoff
@@ -195,7 +195,7 @@
 	wasUnhealthy := !w.backoff.Healthy()
 	w.applied, w.revision, w.wait = b, rev, w.backoff.Success(w.now)
 	if wasUnhealthy && w.backoff.Healthy() {
-		w.log(event.StoreRecovered, nil)
+		w.logEvent(event.StoreRecovered, nil)
 	}
 	w.step(e)
 }
@@ -204,7 +204,7 @@
 	w.out.settled = append(w.out.settled, settlement{p, WriteResult{rev, err}})
 }
 
-func (w *writerCore) log(e event.Event, cause error) {
+func (w *writerCore) logEvent(e event.Event, cause error) {
 	f := log.Fields{"writer": w.key}
 	if cause != nil {
 		f["error"] = cause.Error()
