--- a/internal/configstore/node.go
+++ b/internal/configstore/node.go
@@ -230,8 +230,8 @@
 
 func (n *node) update() Update { return Update{Snapshot: n.snapshot, State: n.lifecycle.stateName()} }
 
-// distribute sends the current version to each peer that was not sent it. When
-// a mailbox is full, it is repeated at the next tick.
+// distribute sends the current version to each peer to which it has not been
+// sent. If the mailbox of a peer is full, it tries again at the next tick.
 func (n *node) distribute() {
 	if !n.lifecycle.loaded {
 		return
--- a/internal/configstore/poller.go
+++ b/internal/configstore/poller.go
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// checkContiguous reports whether edits are the versions after a version without a
-// gap. If not, it returns the first missing version.
+// checkContiguous reports whether edits are the versions after a version
+// without a gap. If not, it returns the first missing version.
 func checkContiguous(after model.ConfigVersion, edits []rows.ConfigLog) (model.ConfigVersion, bool) {
 	for _, e := range edits {
 		if after++; e.Version != after {
@@ -152,7 +152,7 @@
 	return after + 1, len(edits) > 0
 }
 
-// deltaOf returns contiguous edits as one delta. edits must not be empty. edits must not be empty.
+// deltaOf returns contiguous edits as one delta. edits must not be empty.
 func deltaOf(edits []rows.ConfigLog) *msg.ConfigDelta {
 	d := &msg.ConfigDelta{From: edits[0].Version - 1, To: edits[len(edits)-1].Version}
 	for _, e := range edits {
--- a/internal/configstore/properties.go
+++ b/internal/configstore/properties.go
@@ -14,7 +14,7 @@
 // selectors.
 const (
 	LabelService           = "service"            // class: the service it belongs to; absent: every service
-	LabelDeadline          = "deadline-ms"        // class: default deadline of its requests in milliseconds in milliseconds
+	LabelDeadline          = "deadline-ms"        // class: default deadline of its requests in milliseconds
 	LabelPathPrefix        = "path-prefix"        // class: comma-separated path prefixes of its requests
 	LabelLong              = "long"               // class: true if its requests are scheduled as long from their arrival
 	LabelIdempotentMethods = "idempotent-methods" // class, service: comma-separated; replaces those of RFC 9110
@@ -30,14 +30,14 @@
 	Service           model.Service // empty: every service
 	Deadline          time.Duration // 0: not set
 	PathPrefixes      []string
-	Long              bool     // requests are long from their arrival     // requests are long from their arrival
+	Long              bool     // requests are long from their arrival
 	IdempotentMethods []string // nil: not set
 	Labels            model.Labels
 }
 
 // ServiceProperties are the properties of a service, read from its labels.
 type ServiceProperties struct {
-	DefaultTenant     model.Tenant // of requests that name no tenant; empty: not set // of requests that name no tenant; empty: not set
+	DefaultTenant     model.Tenant // of requests that name no tenant; empty: not set
 	IdempotentMethods []string     // nil: not set
 	Labels            model.Labels
 }
--- a/internal/configstore/prune.go
+++ b/internal/configstore/prune.go
@@ -9,8 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// prune deletes the log row of the oldest edit after a version was accepted,
-// and the rows of the items that this edit removed. Without it, the number of
+// prune deletes the log row of the edit that is no longer kept after version
+// newest was accepted, and the rows of the items that this edit removed. Without it, the number of
 // rows of removed items would grow by up to 3,300 a day. A failure is not
 // retried: a row that stays is harmless.
 func (e *editor) prune(ctx context.Context, newest model.ConfigVersion) {
--- a/internal/storage/poller_chart.go
+++ b/internal/storage/poller_chart.go
@@ -28,10 +28,10 @@
 const (
 	peScanned chart.Event = iota
 	peScanFailed
-	peDelivered
-	peReceiverStopped
+	peDelivered       // the receiver's mailbox accepted the changes
+	peReceiverStopped // the receiver has ended
 	peDelayElapsed
-	peScanRequested
+	peScanRequested // ScanNow was called
 )
 
 var pollerChart = chart.MustCompile(charts.Files, PollerBinding())
--- a/internal/storage/writer_chart.go
+++ b/internal/storage/writer_chart.go
@@ -22,19 +22,19 @@
 
 // Events of charts/writer.scxml.
 const (
-	weEnqueued chart.Event = iota
-	weWithdrawn
-	weLinger
-	weCommitted
-	weConflict
-	weFenced
-	weRefused
-	weUnavailable
-	weUnknown
-	weCommitFound
-	weRowUnchanged
-	weRowChanged
-	weResume
+	weEnqueued     chart.Event = iota
+	weWithdrawn                // a queued operation was withdrawn
+	weLinger                   // linger has elapsed
+	weCommitted                // the commit succeeded
+	weConflict                 // checks of operations failed
+	weFenced                   // the check of the writer's row failed
+	weRefused                  // the service refused the transaction
+	weUnavailable              // the call had no effect, or a read failed
+	weUnknown                  // the outcome of the commit is unknown
+	weCommitFound              // the writer's row names an unconfirmed transaction
+	weRowUnchanged             // the writer's row has the known version
+	weRowChanged               // another writer has written the writer's row
+	weResume                   // the pause has elapsed
 )
 
 var writerChart = chart.MustCompile(charts.Files, WriterBinding())
@@ -65,7 +65,8 @@
 			"assemble": (*writerCore).assemble, "commit": (*writerCore).commit, "readBack": (*writerCore).readBack,
 			"settle": (*writerCore).settle, "failConflicting": (*writerCore).failConflicting,
 			"failRefused": (*writerCore).failRefused, "split": (*writerCore).split,
-			"requeueUnlessUnconfirmed": (*writerCore).requeueUnlessUnconfirmed, "markUnconfirmed": (*writerCore).markUnconfirmed, "adoptVersion": (*writerCore).adoptVersion,
+			"requeueUnlessUnconfirmed": (*writerCore).requeueUnlessUnconfirmed,
+			"markUnconfirmed":          (*writerCore).markUnconfirmed, "adoptVersion": (*writerCore).adoptVersion,
 			"settleRefusedAsUnknown": (*writerCore).settleRefusedAsUnknown, "backOff": (*writerCore).backOff,
 		},
 		Delays: map[string]time.Duration{"linger": linger},
--- a/internal/storage/writer_core_test.go
+++ b/internal/storage/writer_core_test.go
@@ -57,6 +57,7 @@
 	s.recordEffects()
 }
 
+// advance moves the time to the end of the state's delay.
 func (s *script) advance() {
 	require.False(s.t, s.core.wakeAt.IsZero())
 	s.now = s.core.wakeAt
@@ -114,7 +115,7 @@
 // transaction turns out to have had no effect, and against an unconfirmed
 // transaction whose outcome is never determined because all its operations have
 // failed.
-func TestFencedResendSettlesUnconfirmed(t *testing.T) {
+func TestEmptyTransactionSettlesUnconfirmed(t *testing.T) {
 	s := newScript(t)
 	s.enqueue("a", 0)
 	s.advance()
