--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -48,10 +48,10 @@
 	table := storage.NewHTTPTable(storage.HTTPConfig{URL: tables.URL})
 	check := configstore.Validator{Labels: func(model.Labels) finding.List { return nil }, Selector: func(string) error { return nil }}
 	s := &system{t: t, store: configstore.StartStore(g, configstore.StoreConfig{ID: "entry-1", Table: table, Validator: check, Log: quiet})}
-	api := operator.New(g, operator.Config{Entry: "entry-1", Build: "test", DefaultCell: "dip-shed", Table: table, Store: s.store, Log: quiet,
-		Labels:   check.Labels,
-		Selector: func(string) (func(model.Labels) bool, error) { return func(model.Labels) bool { return true }, nil },
-		Services: func(context.Context) ([]model.ServiceStatus, error) { return s.status, nil },
+	api := operator.New(g, operator.Config{Entry: "entry-1", Build: "test", DefaultCell: "dip-shed", Table: table, ConfigStore: s.store, Log: quiet,
+		ValidateLabels: check.Labels,
+		ParseSelector:  func(string) (func(model.Labels) bool, error) { return func(model.Labels) bool { return true }, nil },
+		Services:       func(context.Context) ([]model.ServiceStatus, error) { return s.status, nil },
 		Explain: func(_ context.Context, kind, name string) (any, error) {
 			return map[string]any{"reason": "fits " + kind + " " + name, "workers": []any{map[string]string{"worker": "w1", "reason": "quota", "text": "team at its quota"}}}, nil
 		},
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -35,13 +35,13 @@
 	directory.Follow(g, c.Table, directoryInterval, c.Log, func(list directory.List) { v.entries.Set(&list) })
 	config := operator.Config{
 		Entry: v.self.Entry, Build: c.Build, Token: set.Entry.OperatorToken, DefaultCell: set.Entry.DefaultCell,
-		Table: c.Table, Objects: c.Objects, Store: store, Log: c.Log,
-		Labels: labels.Validate, Selector: matcher, Final: control.Final,
+		Table: c.Table, Objects: c.Objects, ConfigStore: store, Log: c.Log,
+		ValidateLabels: labels.Validate, ParseSelector: matcher, IsFinal: control.Final,
 		Services: v.services, Cells: v.cells.status, Explain: v.explain, Drain: v.drain, Peers: v.peers,
 		Metrics: registry.Handler(), Settings: set.Public(), Health: v.health,
 	}
 	if c.Recent != nil {
-		config.Recent = c.Recent.Events
+		config.RecentEvents = c.Recent.Events
 	}
 	api := operator.New(g, config)
 	api.Serve(g, c.Operator)
@@ -106,7 +106,7 @@
 	var list []operator.Peer
 	for _, e := range entries {
 		if e.ID != v.self.Entry {
-			list = append(list, operator.Peer{ID: e.ID, Operator: e.Operator})
+			list = append(list, operator.Peer{ID: e.ID, Address: e.Operator})
 		}
 	}
 	return list, nil
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -41,5 +41,5 @@
 	announce("new")
 	peers, err := v.peers(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, []operator.Peer{{ID: "new", Operator: "new"}}, peers)
+	require.Equal(t, []operator.Peer{{ID: "new", Address: "new"}}, peers)
 }
--- a/internal/operator/confighandlers.go
+++ b/internal/operator/confighandlers.go
@@ -44,7 +44,7 @@
 const waitInterval = 400 * time.Millisecond
 
 func (a *API) showConfig(r *http.Request) (response, error) {
-	u, err := a.Store.Current(r.Context())
+	u, err := a.ConfigStore.Current(r.Context())
 	if err != nil {
 		return response{}, err
 	}
@@ -67,7 +67,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	accepted, err := a.Store.Edit(ctx, e)
+	accepted, err := a.ConfigStore.Edit(ctx, e)
 	return response{body: accepted}, err
 }
 
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	list, err := a.Store.History(ctx, model.ConfigVersion(before), int(limit))
+	list, err := a.ConfigStore.History(ctx, model.ConfigVersion(before), int(limit))
 	return response{body: map[string]any{"edits": list}}, err
 }
 
@@ -97,7 +97,7 @@
 		return response{}, err
 	}
 	if version == 0 {
-		own, err := a.Store.Status(r.Context())
+		own, err := a.ConfigStore.Status(r.Context())
 		if err != nil {
 			return response{}, err
 		}
@@ -122,7 +122,7 @@
 // local, at the other entries and theirs. A brief result lists only daemons
 // that lag.
 func (a *API) spread(ctx context.Context, version model.ConfigVersion, local, brief bool) (ConfigStatus, error) {
-	own, err := a.Store.Status(ctx)
+	own, err := a.ConfigStore.Status(ctx)
 	if err != nil {
 		return ConfigStatus{}, err
 	}
@@ -183,7 +183,7 @@
 }
 
 func (a *API) peerStatus(ctx context.Context, p Peer, version model.ConfigVersion, brief bool) (s ConfigStatus, err error) {
-	base := p.Operator
+	base := p.Address
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
 	}
--- a/internal/operator/diagnose.go
+++ b/internal/operator/diagnose.go
@@ -35,8 +35,8 @@
 	runtime.ReadMemStats(&memory)
 	d := Diagnosis{Entry: string(a.Entry), Build: a.Build, Go: runtime.Version(), Goroutines: runtime.NumGoroutine(),
 		HeapBytes: memory.HeapAlloc, Settings: a.Settings, Events: []LoggedEvent{}}
-	if a.Recent != nil {
-		events, err := a.Recent(ctx)
+	if a.RecentEvents != nil {
+		events, err := a.RecentEvents(ctx)
 		if err != nil {
 			return response{}, err
 		}
--- a/internal/operator/fixture_test.go
+++ b/internal/operator/fixture_test.go
@@ -121,17 +121,17 @@
 func newFixture(t *testing.T, token string) *fixture {
 	f := &fixture{t: t, g: actor.NewGroup(t.Context(), nil), table: &scriptTable{rows: map[string]storage.Row{}}, store: &fixedStore{}}
 	f.api = New(f.g, Config{
-		Entry: "entry-1", Token: token, DefaultCell: "dip-shed", Table: f.table, Objects: f.table, Store: f.store,
-		Log:    &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
-		Labels: func(model.Labels) finding.List { return nil },
-		Selector: func(s string) (func(model.Labels) bool, error) {
+		Entry: "entry-1", Token: token, DefaultCell: "dip-shed", Table: f.table, Objects: f.table, ConfigStore: f.store,
+		Log:            &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
+		ValidateLabels: func(model.Labels) finding.List { return nil },
+		ParseSelector: func(s string) (func(model.Labels) bool, error) {
 			k, v, ok := strings.Cut(s, "=")
 			if !ok {
 				return nil, errors.New("expected key=value")
 			}
 			return func(l model.Labels) bool { return l[k] == v }, nil
 		},
-		Final: func(p model.Phase) bool { return p == "done" },
+		IsFinal: func(p model.Phase) bool { return p == "done" },
 	})
 	return f
 }
--- a/internal/operator/jobhandlers.go
+++ b/internal/operator/jobhandlers.go
@@ -42,7 +42,7 @@
 	if err := decode(r, "job", &spec); err != nil {
 		return response{}, err
 	}
-	if err := checkSpec(spec, a.Labels).Err(); err != nil {
+	if err := checkSpec(spec, a.ValidateLabels).Err(); err != nil {
 		return response{}, err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -73,7 +73,7 @@
 	phase, team := model.Phase(q.text("phase")), model.Team(q.text("team"))
 	matches := func(model.Labels) bool { return true }
 	if text := q.text("label"); text != "" {
-		if parsed, err := a.Selector(text); err != nil {
+		if parsed, err := a.ParseSelector(text); err != nil {
 			q.add("label", "%v", err)
 		} else {
 			matches = parsed
@@ -144,7 +144,7 @@
 	}
 	event.Log(a.Log, event.OperatorCancelAsked, log.Fields{"cell": cell, "job": id})
 	status := http.StatusAccepted
-	if a.Final != nil && a.Final(row.Phase) {
+	if a.IsFinal != nil && a.IsFinal(row.Phase) {
 		status = http.StatusOK
 	}
 	return response{status: status, body: JobView{row, cell}}, nil
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,8 +48,8 @@
 
 // Peer is another live entry.
 type Peer struct {
-	ID       model.EntryID
-	Operator string // address or URL of its operators' API
+	ID      model.EntryID
+	Address string // address or URL of its operators' API
 }
 
 // Config is what the API needs from the rest of the entry. Functions may be
@@ -61,14 +61,14 @@
 	DefaultCell model.Cell
 	Table       storage.Table
 	Objects     storage.Objects
-	Store       ConfigStore
+	ConfigStore ConfigStore
 	Log         log.Interface
 
-	Labels   func(model.Labels) finding.List                      // checks labels
-	Selector func(string) (func(model.Labels) bool, error)        // parses a label selector
-	Final    func(model.Phase) bool                               // the job's phase is final
-	Services func(context.Context) ([]model.ServiceStatus, error) // requests
-	Cells    func(context.Context) ([]model.CellStatus, error)    // jobs and workers
+	ValidateLabels func(model.Labels) finding.List                      // checks labels
+	ParseSelector  func(string) (func(model.Labels) bool, error)        // parses a label selector
+	IsFinal        func(model.Phase) bool                               // the job's phase is final
+	Services       func(context.Context) ([]model.ServiceStatus, error) // requests
+	Cells          func(context.Context) ([]model.CellStatus, error)    // jobs and workers
 	// Explain returns a JSON-encodable explanation of a thing of a kind (job,
 	// class, backend or worker), or an error that is storage.ErrNotFound.
 	Explain func(ctx context.Context, kind, name string) (any, error)
@@ -77,11 +77,11 @@
 	Drain   func(context.Context, model.BackendID) error
 	Peers   func(context.Context) ([]Peer, error) // nil: there are no other entries
 	Metrics http.Handler                          // nil: not served
-	// Settings are those of the process, without secrets, and Recent returns
+	// Settings are those of the process, without secrets, and RecentEvents returns
 	// its newest log events; both are for diagnostics and may be nil.
-	Settings map[string]string
-	Recent   func(context.Context) ([]LoggedEvent, error)
-	Health   func(context.Context) error // nil: always healthy
+	Settings     map[string]string
+	RecentEvents func(context.Context) ([]LoggedEvent, error)
+	Health       func(context.Context) error // nil: always healthy
 }
 
 // API is the operators' HTTP API.
@@ -98,7 +98,7 @@
 func New(g *actor.Group, c Config) *API {
 	a := &API{Config: c, client: &http.Client{Timeout: 3 * time.Second}, token: &actor.Value[token]{}}
 	a.SetToken(c.Token)
-	a.jobs = jobs{table: c.Table, final: c.Final}
+	a.jobs = jobs{table: c.Table, final: c.IsFinal}
 	ix := &jobIndex{table: c.Table, cells: map[model.Cell]*cellJobs{}}
 	a.index = actor.Spawn(g, actor.Spec[listRequest]{Name: "job-index", Mailbox: 16, Restart: actor.OnFailure, Run: ix.run})
 	return a
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -62,7 +62,7 @@
 	there.api.Serve(there.g, ln)
 	here.store.status = configstore.Status{Version: 3, Daemons: []model.AppliedVersion{{Daemon: "entry-1", Version: 3}, {Daemon: "w1", Version: 3}}}
 	there.store.status = configstore.Status{Version: 3, Daemons: []model.AppliedVersion{{Daemon: "entry-2", Version: 3}, {Daemon: "w1", Version: 2}, {Daemon: "w2", Version: 1}}}
-	peers := []Peer{{ID: "entry-2", Operator: ln.Addr().String()}}
+	peers := []Peer{{ID: "entry-2", Address: ln.Addr().String()}}
 	here.api.Peers = func(context.Context) ([]Peer, error) { return peers, nil }
 	for _, path := range []string{"/v1/config/status", "/v1/config/status?wait=1ms"} {
 		_, _, body := here.call("GET", path, "", "Authorization", "Bearer secret")
@@ -72,7 +72,7 @@
 	there.store.status.Daemons[2].Version = 3
 	_, _, body := here.call("GET", "/v1/config/status?wait=1m", "", "Authorization", "Bearer secret")
 	require.Equal(t, true, body["applied"])
-	peers = append(peers, Peer{ID: "entry-3", Operator: "http://127.0.0.1:1"})
+	peers = append(peers, Peer{ID: "entry-3", Address: "http://127.0.0.1:1"})
 	_, _, body = here.call("GET", "/v1/config/status", "", "Authorization", "Bearer secret")
 	require.Equal(t, []any{map[string]any{"daemon": "entry-3", "version": 0.0}}, body["lagging"])
 	here.api.client.CloseIdleConnections()
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -35,7 +35,7 @@
 	defer cancel()
 	s := Status{Entry: a.Entry, Build: a.Build, Services: []model.ServiceStatus{}, Cells: []model.CellStatus{}}
 	// A part that does not answer is a problem of its own and hides no other.
-	if u, err := a.Store.Current(ctx); err != nil {
+	if u, err := a.ConfigStore.Current(ctx); err != nil {
 		s.Problems = append(s.Problems, "configuration does not answer: "+err.Error())
 	} else {
 		s.Config = ConfigSummary{Version: u.Snapshot.Version(), State: u.State}
@@ -174,7 +174,7 @@
 	}
 	e := rowExplanation{Job: id, Cell: cell, Phase: row.Phase, Worker: row.Worker}
 	switch {
-	case a.Final != nil && a.Final(row.Phase):
+	case a.IsFinal != nil && a.IsFinal(row.Phase):
 		e.Reason = fmt.Sprintf("it is over: it is %s after %d attempts", row.Phase, row.Attempt)
 		if row.Reason != "" {
 			e.Reason += ": " + row.Reason
