--- a/internal/operator/confighandlers.go
+++ b/internal/operator/confighandlers.go
@@ -25,35 +25,35 @@
 	Items   []ItemView          `json:"items"`
 }
 
-// ItemView is an item with its key.
+// ItemView is an item of the configuration with its key.
 type ItemView struct {
 	Key model.ConfigKey `json:"key"`
 	configstore.Item
 }
 
-// ConfigStatus is how far a version of the configuration has got.
+// ConfigStatus reports which daemons use a version of the configuration.
 type ConfigStatus struct {
-	Version model.ConfigVersion    `json:"version"` // the version asked for
-	Applied bool                   `json:"applied"` // it is in force at every live daemon
+	Version model.ConfigVersion    `json:"version"` // the requested version
+	Applied bool                   `json:"applied"` // every live daemon uses it or a newer version
 	Daemons []model.AppliedVersion `json:"daemons,omitempty"`
-	Lagging []model.AppliedVersion `json:"lagging,omitempty"`
+	Lagging []model.AppliedVersion `json:"lagging,omitempty"` // those with an older version
 }
 
-// waitInterval is how often a waiting request looks again, here and at the
-// other entries.
-const waitInterval = 400 * time.Millisecond
+// statusPollInterval is the time between two reads of the status, at this
+// entry and at the others, while a request waits for a version.
+const statusPollInterval = 400 * time.Millisecond
 
 func (a *API) showConfig(r *http.Request) (response, error) {
-	u, err := a.ConfigStore.Current(r.Context())
+	update, err := a.ConfigStore.Current(r.Context())
 	if err != nil {
 		return response{}, err
 	}
 	q := query{r: r}
 	kind, name := model.ConfigKind(q.text("kind")), q.text("name")
-	view := ConfigView{Version: u.Snapshot.Version(), State: u.State, Items: []ItemView{}}
-	for _, k := range u.Snapshot.Keys(kind) {
+	view := ConfigView{Version: update.Snapshot.Version(), State: update.State, Items: []ItemView{}}
+	for _, k := range update.Snapshot.Keys(kind) {
 		if name == "" || k.Name == name {
-			item, _ := u.Snapshot.Item(k)
+			item, _ := update.Snapshot.Item(k)
 			view.Items = append(view.Items, ItemView{Key: k, Item: item})
 		}
 	}
@@ -75,7 +75,7 @@
 	q := query{r: r}
 	before := q.number("before", 0, 0, 1<<63)
 	limit := q.number("limit", 20, 1, 100)
-	if err := q.found.Err(); err != nil {
+	if err := q.findings.Err(); err != nil {
 		return response{}, err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -84,16 +84,17 @@
 	return response{body: map[string]any{"edits": list}}, err
 }
 
-// configStatus reports how far a version (by default the one in force here)
-// has got. With wait it answers when the version is in force everywhere, or
-// when the time is over. Entries ask each other with local, and while they
-// wait with brief, which names only the daemons that lag: a list of the 1,380
-// agents of a region at the target size measured 77 KB.
+// configStatus reports which daemons use a version, by default the one that
+// this entry uses. With the parameter wait it answers when every daemon uses
+// the version, or when that time has passed. Entries query each other with
+// local, which excludes further entries, and while they wait with brief, which
+// lists only lagging daemons: the full list of the 1,380 agents of a region at
+// the target size has 77 KB.
 func (a *API) configStatus(r *http.Request) (response, error) {
 	q := query{r: r}
 	version := model.ConfigVersion(q.number("version", 0, 0, 1<<63))
 	wait, local, brief := q.duration("wait", maxWait), q.flag("local"), q.flag("brief")
-	if err := q.found.Err(); err != nil {
+	if err := q.findings.Err(); err != nil {
 		return response{}, err
 	}
 	if version == 0 {
@@ -106,33 +107,33 @@
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	for wait > 0 {
-		s, err := a.spread(r.Context(), version, local, true)
+		s, err := a.collectStatus(r.Context(), version, local, true)
 		if err != nil {
 			return response{}, err
 		}
-		if s.Applied || !actor.Sleep(ctx, waitInterval) {
+		if s.Applied || !actor.Sleep(ctx, statusPollInterval) {
 			break
 		}
 	}
-	s, err := a.spread(r.Context(), version, local, brief)
+	s, err := a.collectStatus(r.Context(), version, local, brief)
 	return response{body: s}, err
 }
 
-// spread collects the versions in force at this entry, its agents and, unless
-// local, at the other entries and theirs. A brief result lists only daemons
-// that lag.
-func (a *API) spread(ctx context.Context, version model.ConfigVersion, local, brief bool) (ConfigStatus, error) {
+// collectStatus collects the versions that this entry and its agents use and,
+// unless local is set, those of the other entries and their agents. A brief
+// result lists only lagging daemons.
+func (a *API) collectStatus(ctx context.Context, version model.ConfigVersion, local, brief bool) (ConfigStatus, error) {
 	own, err := a.ConfigStore.Status(ctx)
 	if err != nil {
 		return ConfigStatus{}, err
 	}
-	all := map[string]model.ConfigVersion{}
-	note := func(list []model.AppliedVersion) {
+	versions := map[string]model.ConfigVersion{}
+	merge := func(list []model.AppliedVersion) {
 		for _, d := range list {
-			all[d.Daemon] = max(all[d.Daemon], d.Version)
+			versions[d.Daemon] = max(versions[d.Daemon], d.Version)
 		}
 	}
-	note(own.Daemons)
+	merge(own.Daemons)
 	if a.Peers != nil && !local {
 		peers, err := a.Peers(ctx)
 		if err != nil {
@@ -140,21 +141,22 @@
 		}
 		for _, p := range peers {
 			if p.ID != a.Entry {
-				note(a.askPeer(ctx, p, version, brief))
+				merge(a.peerVersions(ctx, p, version, brief))
 			}
 		}
 	}
-	s := summary(version, all)
+	s := newConfigStatus(version, versions)
 	if brief {
 		s.Daemons = nil
 	}
 	return s, nil
 }
 
-// summary sorts daemons into those that have a version and those that lag.
-func summary(version model.ConfigVersion, all map[string]model.ConfigVersion) ConfigStatus {
+// newConfigStatus lists all daemons by name, and as lagging those with a lower
+// version than the requested one.
+func newConfigStatus(version model.ConfigVersion, versions map[string]model.ConfigVersion) ConfigStatus {
 	s := ConfigStatus{Version: version}
-	for name, v := range all {
+	for name, v := range versions {
 		d := model.AppliedVersion{Daemon: name, Version: v}
 		s.Daemons = append(s.Daemons, d)
 		if v < version {
@@ -168,10 +170,10 @@
 	return s
 }
 
-// askPeer returns the versions known at another entry. An entry that does not
-// answer is reported with version 0, so that it counts as lagging.
-func (a *API) askPeer(ctx context.Context, p Peer, version model.ConfigVersion, brief bool) []model.AppliedVersion {
-	s, err := a.peerStatus(ctx, p, version, brief)
+// peerVersions returns the versions that another entry reports. An entry that
+// does not answer is reported with version 0, so that it counts as lagging.
+func (a *API) peerVersions(ctx context.Context, p Peer, version model.ConfigVersion, brief bool) []model.AppliedVersion {
+	s, err := a.fetchPeerStatus(ctx, p, version, brief)
 	if err != nil {
 		event.Log(a.Log, event.OperatorPeerSilent, log.Fields{"entry": p.ID, "error": err.Error()})
 		return []model.AppliedVersion{{Daemon: string(p.ID)}}
@@ -182,7 +184,7 @@
 	return s.Daemons
 }
 
-func (a *API) peerStatus(ctx context.Context, p Peer, version model.ConfigVersion, brief bool) (s ConfigStatus, err error) {
+func (a *API) fetchPeerStatus(ctx context.Context, p Peer, version model.ConfigVersion, brief bool) (s ConfigStatus, err error) {
 	base := p.Address
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
@@ -203,6 +205,6 @@
 	if res.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("status %d", res.StatusCode)
 	}
-	// 6,900 agents of 56 bytes each fit into the limit.
+	// The list of 6,900 agents, with 56 bytes each, is within the limit.
 	return s, json.NewDecoder(io.LimitReader(res.Body, 4*maxBody)).Decode(&s)
 }
--- a/internal/operator/diagnose.go
+++ b/internal/operator/diagnose.go
@@ -14,10 +14,11 @@
 	Time    time.Time         `json:"time"`
 	Level   string            `json:"level"`
 	Message string            `json:"message"`
-	Fields  map[string]string `json:"fields"` // event has the number of docs/events.md
+	Fields  map[string]string `json:"fields"` // the field "event" is the number in docs/events.md
 }
 
-// Diagnosis is what an entry tells of itself beyond its status.
+// Diagnosis is the diagnostic information of an entry's process, which its
+// Status does not include.
 type Diagnosis struct {
 	Entry      string            `json:"entry"`
 	Build      string            `json:"build"`
@@ -25,7 +26,7 @@
 	Goroutines int               `json:"goroutines"`
 	HeapBytes  uint64            `json:"heapBytes"`
 	Settings   map[string]string `json:"settings"` // without secrets
-	Events     []LoggedEvent     `json:"events"`   // the oldest first
+	Events     []LoggedEvent     `json:"events"`   // oldest first
 }
 
 func (a *API) diagnose(r *http.Request) (response, error) {
@@ -45,10 +46,10 @@
 	return response{body: d}, nil
 }
 
-// profiles serves the runtime's profiles to holders of the token. Without a
-// token only clients on this host may read them.
-func (a *API) profiles(mux *http.ServeMux) {
-	guard := func(h http.HandlerFunc) http.HandlerFunc {
+// registerProfiles adds the handlers of the runtime's profiles, which need the
+// token. If no token is set, only clients on this host may read them.
+func (a *API) registerProfiles(mux *http.ServeMux) {
+	restrict := func(h http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if !a.authorised(w, r) {
 				return
@@ -61,8 +62,8 @@
 			h(w, r)
 		}
 	}
-	mux.HandleFunc("GET /debug/pprof/", guard(pprof.Index))
-	mux.HandleFunc("GET /debug/pprof/profile", guard(pprof.Profile))
-	mux.HandleFunc("GET /debug/pprof/trace", guard(pprof.Trace))
-	mux.HandleFunc("GET /debug/pprof/symbol", guard(pprof.Symbol))
+	mux.HandleFunc("GET /debug/pprof/", restrict(pprof.Index))
+	mux.HandleFunc("GET /debug/pprof/profile", restrict(pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", restrict(pprof.Trace))
+	mux.HandleFunc("GET /debug/pprof/symbol", restrict(pprof.Symbol))
 }
--- a/internal/operator/encode.go
+++ b/internal/operator/encode.go
@@ -21,7 +21,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// errorBody is the JSON body of every answer that is not a success.
+// errorBody is the JSON body of every error response. Outcome says whether a
+// change may have taken effect; it is set if the store failed or rejected it.
 type errorBody struct {
 	Error    string                     `json:"error"`
 	Findings finding.List               `json:"findings,omitempty"`
@@ -29,26 +30,27 @@
 	Outcome  string                     `json:"outcome,omitempty"`
 }
 
-// JobConflictError says that a job with the same id and another content
-// exists.
+// JobConflictError reports that a job with the same id but a different
+// specification exists.
 type JobConflictError struct {
 	Cell model.Cell
 	Job  model.JobID
 }
 
 func (e *JobConflictError) Error() string {
-	return fmt.Sprintf("job %s exists in cell %s with another content; choose another id", e.Job, e.Cell)
+	return fmt.Sprintf("job %s already exists in cell %s with a different specification; choose another id", e.Job, e.Cell)
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a failed write means that the client has gone
+	_ = json.NewEncoder(w).Encode(v) // a failed write means that the client has disconnected
 }
 
-// writeError answers with the status that fits an error.
+// writeError sends the error response for err, and logs errors that have no
+// status of their own.
 func (a *API) writeError(w http.ResponseWriter, r *http.Request, err error) {
-	status, body := describe(err)
+	status, body := errorResponse(err)
 	if body.Outcome != "" {
 		w.Header().Set(model.OutcomeHeader, body.Outcome)
 	}
@@ -61,17 +63,18 @@
 	writeJSON(w, status, body)
 }
 
-func describe(err error) (int, errorBody) {
+// errorResponse returns the HTTP status and the body for an error.
+func errorResponse(err error) (int, errorBody) {
 	body := errorBody{Error: err.Error()}
 	var (
-		found    finding.List
-		tooLarge *http.MaxBytesError
-		conflict *configstore.ConflictError
-		job      *JobConflictError
+		findings    finding.List
+		tooLarge    *http.MaxBytesError
+		conflict    *configstore.ConflictError
+		jobConflict *JobConflictError
 	)
 	switch {
-	case errors.As(err, &found):
-		body.Error, body.Findings = "the request is invalid", found
+	case errors.As(err, &findings):
+		body.Error, body.Findings = "the request is invalid", findings
 		return http.StatusBadRequest, body
 	case errors.As(err, &tooLarge):
 		body.Error = fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit)
@@ -79,7 +82,7 @@
 	case errors.As(err, &conflict):
 		body.Conflict = conflict
 		return http.StatusConflict, body
-	case errors.As(err, &job):
+	case errors.As(err, &jobConflict):
 		return http.StatusConflict, body
 	case errors.Is(err, storage.ErrNotFound):
 		return http.StatusNotFound, body
@@ -96,8 +99,9 @@
 	return http.StatusInternalServerError, body
 }
 
-// decode reads a JSON body into v. Unknown fields and syntax errors are
-// findings with the line.
+// decode reads the JSON body of a request into v. Unknown fields and syntax
+// errors are returned as a finding with its line; a body over the size limit
+// is an *http.MaxBytesError.
 func decode(r *http.Request, source string, v any) error {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -105,71 +109,74 @@
 		if errors.As(err, &tooLarge) {
 			return err
 		}
-		return oneFinding(source, 0, "", "the body cannot be read: %v", err)
+		return newFinding(source, 0, "", "read request body: %v", err)
 	}
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return oneFinding(source, lineAt(raw, offsetOf(err, dec)), "", "%v", err)
+		return newFinding(source, lineNumber(raw, errorOffset(err, dec)), "", "%v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return oneFinding(source, lineAt(raw, dec.InputOffset()), "", "only one JSON value is expected")
+		return newFinding(source, lineNumber(raw, dec.InputOffset()), "", "only one JSON value is expected")
 	}
 	return nil
 }
 
-func offsetOf(err error, dec *json.Decoder) int64 {
+func errorOffset(err error, dec *json.Decoder) int64 {
 	var syntax *json.SyntaxError
-	var typ *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		return syntax.Offset
-	case errors.As(err, &typ):
-		return typ.Offset
+	case errors.As(err, &wrongType):
+		return wrongType.Offset
 	}
 	return dec.InputOffset()
 }
 
-func lineAt(raw []byte, offset int64) int {
+func lineNumber(raw []byte, offset int64) int {
 	return 1 + bytes.Count(raw[:min(offset, int64(len(raw)))], []byte("\n"))
 }
 
-func oneFinding(source string, line int, where, format string, args ...any) error {
-	var found finding.List
-	found.Add(source, line, where, format, args...)
-	return found
+func newFinding(source string, line int, element, format string, args ...any) error {
+	var findings finding.List
+	findings.Add(source, line, element, format, args...)
+	return findings
 }
 
-// query reads the parameters of a request and collects what is wrong.
+// query parses the parameters of a request, and collects a finding for each
+// invalid one.
 type query struct {
-	r     *http.Request
-	found finding.List
+	r        *http.Request
+	findings finding.List
 }
 
-func (q *query) add(name, format string, args ...any) { q.found.Add("query", 0, name, format, args...) }
+func (q *query) addFinding(name, format string, args ...any) {
+	q.findings.Add("query", 0, name, format, args...)
+}
 
 func (q *query) text(name string) string { return q.r.URL.Query().Get(name) }
 
-func (q *query) number(name string, fallback, low, high uint64) uint64 {
+func (q *query) number(name string, fallback, minValue, maxValue uint64) uint64 {
 	s := q.text(name)
 	if s == "" {
 		return fallback
 	}
 	n, err := strconv.ParseUint(s, 10, 64)
-	if err != nil || n < low || n > high {
-		q.add(name, "%q is not a whole number from %d to %d", s, low, high)
+	if err != nil || n < minValue || n > maxValue {
+		q.addFinding(name, "%q is not a whole number from %d to %d", s, minValue, maxValue)
 	}
 	return n
 }
 
-func (q *query) duration(name string, high time.Duration) time.Duration {
+func (q *query) duration(name string, maxValue time.Duration) time.Duration {
 	s := q.text(name)
 	if s == "" {
 		return 0
 	}
 	d, err := time.ParseDuration(s)
-	if err != nil || d < 0 || d > high {
-		q.add(name, "%q is not a duration of at most %s", s, high)
+	if err != nil || d < 0 || d > maxValue {
+		q.addFinding(name, "%q is not a duration of at most %s", s, maxValue)
 	}
 	return d
 }
@@ -177,7 +184,7 @@
 func (q *query) flag(name string) bool {
 	s := q.text(name)
 	if s != "" && s != "true" && s != "false" {
-		q.add(name, "%q is neither true nor false", s)
+		q.addFinding(name, "%q is neither true nor false", s)
 	}
 	return s == "true"
 }
--- a/internal/operator/fixture_test.go
+++ b/internal/operator/fixture_test.go
@@ -23,32 +23,33 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// scriptTable answers commits by a script, then normally. One goroutine uses
-// it at a time.
-type scriptTable struct {
-	rev    storage.Revision
-	rows   map[string]storage.Row
-	script []string // "away", "lost-after", "lost-before"
-	down   bool     // reads fail
+// scriptedTable is a table in memory whose first commits end as commitResults
+// says, one result a commit; later ones succeed. It is not safe for concurrent
+// use.
+type scriptedTable struct {
+	rev           storage.Revision
+	rows          map[string]storage.Row
+	commitResults []string // "away": table unavailable; "lost-before", "lost-after": outcome unknown, not committed or committed
+	readsFail     bool     // Read returns storage.ErrUnavailable
 }
 
-func (t *scriptTable) Commit(_ context.Context, x storage.Txn) (storage.Revision, error) {
+func (t *scriptedTable) Commit(_ context.Context, txn storage.Txn) (storage.Revision, error) {
 	step := ""
-	if len(t.script) > 0 {
-		step, t.script = t.script[0], t.script[1:]
+	if len(t.commitResults) > 0 {
+		step, t.commitResults = t.commitResults[0], t.commitResults[1:]
 	}
 	if step == "away" {
 		return 0, storage.ErrUnavailable
 	} else if step == "lost-before" {
 		return 0, storage.ErrOutcomeUnknown
 	}
-	for _, c := range x.Checks {
+	for _, c := range txn.Checks {
 		if t.rows[c.Key].Version != c.Version {
 			return 0, &storage.ConflictError{Keys: []string{c.Key}}
 		}
 	}
 	t.rev++
-	for _, p := range x.Puts {
+	for _, p := range txn.Puts {
 		t.rows[p.Key] = storage.Row{Key: p.Key, Value: p.Value, Version: t.rev}
 	}
 	if step == "lost-after" {
@@ -57,8 +58,8 @@
 	return t.rev, nil
 }
 
-func (t *scriptTable) Read(_ context.Context, key string) (storage.Row, error) {
-	if t.down {
+func (t *scriptedTable) Read(_ context.Context, key string) (storage.Row, error) {
+	if t.readsFail {
 		return storage.Row{}, storage.ErrUnavailable
 	}
 	row, ok := t.rows[key]
@@ -68,7 +69,7 @@
 	return row, nil
 }
 
-func (t *scriptTable) Scan(_ context.Context, prefix string, after storage.Revision) ([]storage.Row, storage.Revision, error) {
+func (t *scriptedTable) Scan(_ context.Context, prefix string, after storage.Revision) ([]storage.Row, storage.Revision, error) {
 	var out []storage.Row
 	for k, row := range t.rows {
 		if strings.HasPrefix(k, prefix) && row.Version > after {
@@ -78,13 +79,13 @@
 	return out, t.rev, nil
 }
 
-func (t *scriptTable) Put(context.Context, string, []byte) error { return nil }
-func (t *scriptTable) Get(_ context.Context, name string) ([]byte, error) {
+func (t *scriptedTable) Put(context.Context, string, []byte) error { return nil }
+func (t *scriptedTable) Get(_ context.Context, name string) ([]byte, error) {
 	return []byte("result of " + name), nil
 }
-func (t *scriptTable) Delete(context.Context, string) error { return nil }
+func (t *scriptedTable) Delete(context.Context, string) error { return nil }
 
-// fixedStore is a configuration whose answers are fixed.
+// fixedStore is a configuration store with fixed results.
 type fixedStore struct {
 	err    error
 	status configstore.Status
@@ -104,23 +105,23 @@
 
 type fixture struct {
 	t     *testing.T
-	g     *actor.Group
-	table *scriptTable
+	group *actor.Group
+	table *scriptedTable
 	store *fixedStore
 	api   *API
 }
 
-func inFixture(t *testing.T, token string, run func(f *fixture)) {
+func withFixture(t *testing.T, token string, run func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, token)
-		defer f.g.Stop()
+		defer f.group.Stop()
 		run(f)
 	})
 }
 
 func newFixture(t *testing.T, token string) *fixture {
-	f := &fixture{t: t, g: actor.NewGroup(t.Context(), nil), table: &scriptTable{rows: map[string]storage.Row{}}, store: &fixedStore{}}
-	f.api = New(f.g, Config{
+	f := &fixture{t: t, group: actor.NewGroup(t.Context(), nil), table: &scriptedTable{rows: map[string]storage.Row{}}, store: &fixedStore{}}
+	f.api = New(f.group, Config{
 		Entry: "entry-1", Token: token, DefaultCell: "dip-shed", Table: f.table, Objects: f.table, ConfigStore: f.store,
 		Log:            &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 		ValidateLabels: func(model.Labels) finding.List { return nil },
@@ -136,7 +137,9 @@
 	return f
 }
 
-// call sends a request and decodes the answer's body.
+// call sends a request with headers (name, value, ...), and returns the status,
+// the headers and the decoded JSON body of the response. A body of another
+// content type is returned under the key "raw".
 func (f *fixture) call(method, path, body string, header ...string) (int, http.Header, map[string]any) {
 	r := httptest.NewRequest(method, path, strings.NewReader(body)).WithContext(f.t.Context())
 	for i := 0; i+1 < len(header); i += 2 {
@@ -153,6 +156,6 @@
 	return w.Code, w.Header(), out
 }
 
-func job(id, program string) string {
+func jobJSON(id, program string) string {
 	return fmt.Sprintf(`{"id":%q,"team":"wicks","class":"priming","labels":{"line":%q},"resources":{"milliCpu":500,"memory":1024},"program":%q}`, id, id, program)
 }
--- a/internal/operator/index.go
+++ b/internal/operator/index.go
@@ -16,57 +16,60 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// maxPage bounds the jobs of one answer.
-const maxPage = 500
+// maxPageSize is the largest number of jobs in one response.
+const maxPageSize = 500
 
-// scanTimeout bounds the reading of changed rows before a list is answered.
+// scanTimeout limits the read of changed rows for one list request.
 const scanTimeout = 5 * time.Second
 
-// listRequest asks the index for one page.
+// listRequest requests one page of a cell's jobs: up to limit jobs that filter
+// accepts, with ids greater than after.
 type listRequest struct {
 	ctx    context.Context
 	cell   model.Cell
 	filter func(model.JobRow) bool
 	after  model.JobID
 	limit  int
-	answer actor.Reply[listAnswer]
+	reply  actor.Reply[listReply]
 }
 
-type listAnswer struct {
+type listReply struct {
 	page jobPage
 	err  error
 }
 
-// jobPage is a page of jobs in the order of their ids.
+// jobPage is a page of jobs, sorted by id.
 type jobPage struct {
 	Jobs []model.JobRow `json:"jobs"`
 	Next model.JobID    `json:"next,omitempty"` // pass as "after" for the next page
 }
 
-// jobIndex keeps the job rows of the cells that were listed, so that a list
-// reads only the rows that changed since the one before.
+// jobIndex caches the job rows of the cells that were listed, so that a list
+// request reads only the rows that changed since the previous one. The actor
+// job-index owns it.
 type jobIndex struct {
 	table storage.Table
 	cells map[model.Cell]*cellJobs
 }
 
+// cellJobs is the cached job rows of a cell, as of a revision of the table.
 type cellJobs struct {
-	rev  storage.Revision
-	rows map[model.JobID]model.JobRow
-	ids  []model.JobID // sorted
+	revision storage.Revision
+	rows     map[model.JobID]model.JobRow
+	ids      []model.JobID // sorted
 }
 
-func (ix *jobIndex) run(ctx context.Context, in <-chan listRequest) error {
+func (ix *jobIndex) run(ctx context.Context, requests <-chan listRequest) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case r := <-in:
+		case r := <-requests:
 			if r.ctx.Err() != nil {
 				continue
 			}
 			page, err := ix.list(r)
-			r.answer.Put(listAnswer{page, err})
+			r.reply.Put(listReply{page, err})
 		}
 	}
 }
@@ -78,7 +81,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, scanTimeout)
 	defer cancel()
-	changed, rev, err := ix.table.Scan(ctx, rows.JobPrefix(r.cell), c.rev)
+	changed, revision, err := ix.table.Scan(ctx, rows.JobPrefix(r.cell), c.revision)
 	if err != nil {
 		if !errors.Is(err, storage.ErrUnavailable) {
 			err = fmt.Errorf("%w: %v", storage.ErrUnavailable, err)
@@ -86,13 +89,14 @@
 		return jobPage{}, err
 	}
 	if len(changed) > 0 {
-		ix.cells[r.cell] = c // a cell without jobs may not exist
+		ix.cells[r.cell] = c // cells without jobs are not cached: clients may name cells that do not exist
 	}
 	c.update(rows.JobPrefix(r.cell), changed)
-	c.rev = rev
+	c.revision = revision
 	return c.page(r), nil
 }
 
+// update applies changed rows. Rows that cannot be decoded are removed.
 func (c *cellJobs) update(prefix string, changed []storage.Row) {
 	size := len(c.rows)
 	for _, row := range changed {
@@ -100,7 +104,7 @@
 		job, err := rows.Decode[model.JobRow](row.Value)
 		if row.Deleted || err != nil {
 			delete(c.rows, id)
-			size = -1
+			size = -1 // sort the ids again, also if another row was added
 			continue
 		}
 		c.rows[id] = job
--- a/internal/operator/jobhandlers.go
+++ b/internal/operator/jobhandlers.go
@@ -21,14 +21,14 @@
 	Cell model.Cell `json:"cell"`
 }
 
-// cell returns the cell that a request names, or the default one.
+// cell returns the cell that a request names, or the default cell.
 func (a *API) cell(r *http.Request) (model.Cell, error) {
 	cell := model.Cell(r.URL.Query().Get("cell"))
 	if cell == "" {
 		cell = a.DefaultCell
 	}
-	if !jobName(string(cell)) {
-		return "", oneFinding("query", 0, "cell", "name a cell; this entry has no default cell, or %q is not a cell's name", cell)
+	if !validName(string(cell)) {
+		return "", newFinding("query", 0, "cell", "%q is not a valid cell name; a request must name its cell if the entry has no default cell", cell)
 	}
 	return cell, nil
 }
@@ -42,7 +42,7 @@
 	if err := decode(r, "job", &spec); err != nil {
 		return response{}, err
 	}
-	if err := checkSpec(spec, a.ValidateLabels).Err(); err != nil {
+	if err := validateSpec(spec, a.ValidateLabels).Err(); err != nil {
 		return response{}, err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -69,51 +69,53 @@
 		return response{}, err
 	}
 	q := query{r: r}
-	limit := q.number("limit", 100, 1, maxPage)
+	limit := q.number("limit", 100, 1, maxPageSize)
 	phase, team := model.Phase(q.text("phase")), model.Team(q.text("team"))
 	matches := func(model.Labels) bool { return true }
 	if text := q.text("label"); text != "" {
 		if parsed, err := a.ParseSelector(text); err != nil {
-			q.add("label", "%v", err)
+			q.addFinding("label", "%v", err)
 		} else {
 			matches = parsed
 		}
 	}
-	if err := q.found.Err(); err != nil {
+	if err := q.findings.Err(); err != nil {
 		return response{}, err
 	}
 	filter := func(j model.JobRow) bool {
-		return (phase == "" || j.Phase == phase) && (team == "" || j.Spec.Team == team) && matches(selectable(j.Spec))
+		return (phase == "" || j.Phase == phase) && (team == "" || j.Spec.Team == team) && matches(selectorLabels(j.Spec))
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	answer, err := actor.Ask(ctx, a.index, func(rep actor.Reply[listAnswer]) listRequest {
-		return listRequest{ctx: ctx, cell: cell, filter: filter, after: model.JobID(q.text("after")), limit: int(limit), answer: rep}
+	result, err := actor.Ask(ctx, a.index, func(reply actor.Reply[listReply]) listRequest {
+		return listRequest{ctx: ctx, cell: cell, filter: filter, after: model.JobID(q.text("after")), limit: int(limit), reply: reply}
 	})
 	if err == nil {
-		err = answer.err
+		err = result.err
 	}
-	return response{body: answer.page}, err
+	return response{body: result.page}, err
 }
 
-// selectable returns the labels of a job that selectors see.
-func selectable(s model.JobSpec) model.Labels {
-	l := maps.Clone(s.Labels)
-	if l == nil {
-		l = model.Labels{}
-	}
-	l["team"], l["class"] = string(s.Team), string(s.Class)
-	return l
+// selectorLabels returns the labels that selectors are matched against: those
+// of the job, and its team and class.
+func selectorLabels(s model.JobSpec) model.Labels {
+	labels := maps.Clone(s.Labels)
+	if labels == nil {
+		labels = model.Labels{}
+	}
+	labels["team"], labels["class"] = string(s.Team), string(s.Class)
+	return labels
 }
 
-// find returns the job that a request's path names.
-func (a *API) find(ctx context.Context, r *http.Request) (JobView, error) {
+// findJob returns the job that the path of a request names, or
+// storage.ErrNotFound.
+func (a *API) findJob(ctx context.Context, r *http.Request) (JobView, error) {
 	cell, err := a.cell(r)
 	if err != nil {
 		return JobView{}, err
 	}
 	id := r.PathValue("id")
-	if !jobName(id) {
+	if !validName(id) {
 		return JobView{}, unknownJob(cell, model.JobID(id))
 	}
 	row, err := a.jobs.show(ctx, cell, model.JobID(id))
@@ -123,7 +125,7 @@
 func (a *API) showJob(r *http.Request) (response, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	view, err := a.find(ctx, r)
+	view, err := a.findJob(ctx, r)
 	return response{body: view}, err
 }
 
@@ -133,7 +135,7 @@
 		return response{}, err
 	}
 	id := model.JobID(r.PathValue("id"))
-	if !jobName(string(id)) {
+	if !validName(string(id)) {
 		return response{}, unknownJob(cell, id)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -153,7 +155,7 @@
 func (a *API) jobResult(r *http.Request) (response, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	view, err := a.find(ctx, r)
+	view, err := a.findJob(ctx, r)
 	if err != nil {
 		return response{}, err
 	}
--- a/internal/operator/jobs_test.go
+++ b/internal/operator/jobs_test.go
@@ -13,34 +13,35 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Guards against a job accepted that was not written, written twice, or
-// refused although it was written.
+// Guards against a job that is accepted but not written, written twice, or
+// rejected although it was written, when the table is unavailable or a request
+// or response is lost.
 func TestSubmit(t *testing.T) {
 	cases := map[string]struct {
-		script  []string
-		down    bool
-		status  int
-		outcome string
+		commitResults []string
+		readsFail     bool
+		status        int
+		outcome       string
 	}{
-		"written":                   {status: 201},
-		"response lost":             {script: []string{"lost-after"}, status: 200},
-		"request lost":              {script: []string{"lost-before"}, status: 201},
-		"away":                      {script: []string{"away"}, status: 503, outcome: "not-run"},
-		"lost, then away for long":  {script: []string{"lost-before", "away", "away", "away", "away", "away", "away", "away"}, status: 503, outcome: "unknown"},
-		"response lost, reads away": {script: []string{"lost-after"}, down: true, status: 503, outcome: "unknown"},
-		"request lost, reads away":  {script: []string{"lost-before"}, down: true, status: 201}, // the same commit again is safe
+		"written":                              {status: 201},
+		"response lost":                        {commitResults: []string{"lost-after"}, status: 200},
+		"request lost":                         {commitResults: []string{"lost-before"}, status: 201},
+		"table unavailable":                    {commitResults: []string{"away"}, status: 503, outcome: "not-run"},
+		"request lost, then table unavailable": {commitResults: []string{"lost-before", "away", "away", "away", "away", "away", "away", "away"}, status: 503, outcome: "unknown"},
+		"response lost, reads fail":            {commitResults: []string{"lost-after"}, readsFail: true, status: 503, outcome: "unknown"},
+		"request lost, reads fail":             {commitResults: []string{"lost-before"}, readsFail: true, status: 201}, // the commit is repeated
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			inFixture(t, "", func(f *fixture) {
-				f.table.script, f.table.down = c.script, c.down
-				status, header, body := f.call("POST", "/v1/jobs", job("j1", "prime"))
+			withFixture(t, "", func(f *fixture) {
+				f.table.commitResults, f.table.readsFail = c.commitResults, c.readsFail
+				status, header, body := f.call("POST", "/v1/jobs", jobJSON("j1", "prime"))
 				require.Equal(f.t, c.status, status, body)
 				require.Equal(f.t, c.outcome, header.Get(model.OutcomeHeader))
-				f.table.script, f.table.down = nil, false
-				again, _, _ := f.call("POST", "/v1/jobs", job("j1", "prime"))
+				f.table.commitResults, f.table.readsFail = nil, false
+				again, _, _ := f.call("POST", "/v1/jobs", jobJSON("j1", "prime"))
 				require.Contains(f.t, []int{200, 201}, again)
-				status, _, body = f.call("POST", "/v1/jobs", job("j1", "other"))
+				status, _, body = f.call("POST", "/v1/jobs", jobJSON("j1", "other"))
 				require.Equal(f.t, 409, status, body)
 				require.Len(f.t, f.table.rows, 1)
 				status, _, body = f.call("GET", "/v1/jobs/j1", "")
@@ -52,10 +53,10 @@
 	}
 }
 
-// Guards against a request that is refused with one finding of several, or
-// with another status than documented.
+// Guards against an invalid request that is rejected with only the first of
+// its findings, or with a status other than the documented one.
 func TestInvalidRequests(t *testing.T) {
-	inFixture(t, "", func(f *fixture) {
+	withFixture(t, "", func(f *fixture) {
 		status, _, body := f.call("POST", "/v1/jobs", `{"id":"a/b","resources":{"memory":-1}}`)
 		require.Equal(f.t, 400, status)
 		require.Len(f.t, body["findings"], 6)
@@ -80,11 +81,11 @@
 }
 
 // Guards against a list that misses, repeats or reorders jobs between pages,
-// or shows rows as they were at the first list.
+// or returns cached rows that have changed since.
 func TestListPages(t *testing.T) {
-	inFixture(t, "", func(f *fixture) {
+	withFixture(t, "", func(f *fixture) {
 		for i := range 7 {
-			f.call("POST", "/v1/jobs", job(fmt.Sprint("j", i), "x"))
+			f.call("POST", "/v1/jobs", jobJSON(fmt.Sprint("j", i), "x"))
 		}
 		var ids []string
 		after := ""
@@ -105,38 +106,38 @@
 	})
 }
 
-// Guards against a cancellation that overwrites the controller's newer row,
-// or is reported although it was not written.
+// Guards against a cancellation that overwrites a newer row of the controller,
+// or is reported as accepted although it was not written.
 func TestCancel(t *testing.T) {
-	inFixture(t, "", func(f *fixture) {
-		f.call("POST", "/v1/jobs", job("j1", "x"))
-		f.table.script = []string{"lost-after"}
+	withFixture(t, "", func(f *fixture) {
+		f.call("POST", "/v1/jobs", jobJSON("j1", "x"))
+		f.table.commitResults = []string{"lost-after"}
 		status, _, _ := f.call("DELETE", "/v1/jobs/j1", "")
 		require.Equal(f.t, 202, status)
 		key := rows.JobKey("dip-shed", "j2")
 		f.table.rows[key] = storage.Row{Key: key, Version: 9, Value: rows.Encode(model.JobRow{Spec: model.JobSpec{ID: "j2"}, Phase: "done", Result: "result/j2/1"})}
 		status, _, body := f.call("DELETE", "/v1/jobs/j2", "")
 		require.Equal(f.t, 200, status)
-		require.Nil(f.t, body["cancel"], "a finished job is left as it is")
+		require.Nil(f.t, body["cancel"], "the row of a finished job is not changed")
 		_, _, body = f.call("GET", "/v1/jobs/j2/result", "")
 		require.Equal(f.t, "result of result/j2/1", body["raw"])
-		f.call("POST", "/v1/jobs", job("j3", "x"))
-		f.table.script = []string{"away"}
+		f.call("POST", "/v1/jobs", jobJSON("j3", "x"))
+		f.table.commitResults = []string{"away"}
 		status, header, _ := f.call("DELETE", "/v1/jobs/j3", "")
 		require.Equal(f.t, 503, status)
 		require.Equal(f.t, "not-run", header.Get(model.OutcomeHeader))
 	})
 }
 
-// Guards against "not found" for a job that is over or that another entry
-// controls.
+// Guards against "not found" as the explanation of a job that has ended or
+// whose cell another entry owns. Such a job is explained from its row.
 func TestExplainJobByItsRow(t *testing.T) {
-	inFixture(t, "", func(f *fixture) {
+	withFixture(t, "", func(f *fixture) {
 		f.api.Explain = func(context.Context, string, string) (any, error) { return nil, storage.ErrNotFound }
 		f.api.Cells = func(context.Context) ([]model.CellStatus, error) {
 			return []model.CellStatus{{Cell: "dip-shed", Owner: "entry-2"}}, nil
 		}
-		for phase, want := range map[model.Phase]string{"done": "it is over", "running": "entry entry-2 owns cell dip-shed"} {
+		for phase, want := range map[model.Phase]string{"done": "the job has ended", "running": "entry entry-2 owns cell dip-shed"} {
 			f.table.rows["job/dip-shed/j1"] = storage.Row{Key: "job/dip-shed/j1", Version: 1, Value: rows.Encode(model.JobRow{Phase: phase})}
 			status, _, body := f.call("GET", "/v1/explain/job/j1", "")
 			require.Equal(f.t, 200, status)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,7 @@
-// Package operator serves the operators' HTTP API. It decides nothing about
-// requests or placement: it writes what operators ask for into the table, and
-// shows what the other parts of the entry know.
+// Package operator serves the operators' HTTP API. It makes no decisions about
+// requests or placement: it writes submitted jobs and cancellations to the
+// table, passes on edits and drains, and reports the status that the other
+// parts of the entry provide.
 package operator
 
 import (
@@ -26,19 +27,20 @@
 )
 
 const (
-	maxBody           = 1 << 20 // bytes; an edit of 100 items with five labels each measured 20 KB
-	maxHeader         = 16 << 10
+	maxBody           = 1 << 20  // bytes; an edit of 100 items with five labels each has 20 KB
+	maxHeader         = 16 << 10 // bytes
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 15 * time.Second
 	idleTimeout       = time.Minute
-	// requestTimeout bounds one request without a wait of its own. It covers
-	// the store's retries of an edit.
+	// requestTimeout limits every request without a wait parameter. It covers
+	// the retries of an edit by the configuration store.
 	requestTimeout = 12 * time.Second
-	// maxWait bounds the wait parameter of GET /v1/config/status.
+	// maxWait is the largest wait parameter of GET /v1/config/status.
 	maxWait = 60 * time.Second
 )
 
-// ConfigStore is the configuration of the entry; *configstore.Store is one.
+// ConfigStore is the configuration store of the entry, implemented by
+// *configstore.Store.
 type ConfigStore interface {
 	Edit(ctx context.Context, e configstore.Edit) (configstore.EditResult, error)
 	Current(ctx context.Context) (configstore.Update, error)
@@ -49,11 +51,11 @@
 // Peer is another live entry.
 type Peer struct {
 	ID      model.EntryID
-	Address string // address or URL of its operators' API
+	Address string // host:port or URL of its operators' API
 }
 
-// Config is what the API needs from the rest of the entry. Functions may be
-// called by any number of goroutines.
+// Config is what the API needs from the rest of the entry. Its functions are
+// called concurrently by several goroutines.
 type Config struct {
 	Entry       model.EntryID
 	Build       string // version of the program
@@ -64,21 +66,22 @@
 	ConfigStore ConfigStore
 	Log         log.Interface
 
-	ValidateLabels func(model.Labels) finding.List                      // checks labels
+	ValidateLabels func(model.Labels) finding.List                      // returns the findings for labels
 	ParseSelector  func(string) (func(model.Labels) bool, error)        // parses a label selector
-	IsFinal        func(model.Phase) bool                               // the job's phase is final
-	Services       func(context.Context) ([]model.ServiceStatus, error) // requests
-	Cells          func(context.Context) ([]model.CellStatus, error)    // jobs and workers
-	// Explain returns a JSON-encodable explanation of a thing of a kind (job,
-	// class, backend or worker), or an error that is storage.ErrNotFound.
+	IsFinal        func(model.Phase) bool                               // reports whether a phase of a job is final
+	Services       func(context.Context) ([]model.ServiceStatus, error) // nil: the status has no services
+	Cells          func(context.Context) ([]model.CellStatus, error)    // nil: the status has no cells
+	// Explain returns a JSON-encodable explanation of a job, class, backend
+	// server or worker; kind is "job", "class", "backend" or "worker". The
+	// error wraps storage.ErrNotFound if the name is unknown.
 	Explain func(ctx context.Context, kind, name string) (any, error)
-	// Drain asks for the drain of a backend server; storage.ErrNotFound when
-	// it is not known.
+	// Drain starts to drain a backend server. The error wraps
+	// storage.ErrNotFound if the backend server is unknown.
 	Drain   func(context.Context, model.BackendID) error
 	Peers   func(context.Context) ([]Peer, error) // nil: there are no other entries
 	Metrics http.Handler                          // nil: not served
-	// Settings are those of the process, without secrets, and RecentEvents returns
-	// its newest log events; both are for diagnostics and may be nil.
+	// Settings are those of the process, without secrets, and RecentEvents
+	// returns its newest log events. Both are for diagnostics and may be nil.
 	Settings     map[string]string
 	RecentEvents func(context.Context) ([]LoggedEvent, error)
 	Health       func(context.Context) error // nil: always healthy
@@ -87,18 +90,18 @@
 // API is the operators' HTTP API.
 type API struct {
 	Config
-	jobs   jobs
+	jobs   jobStore
 	index  actor.Address[listRequest]
 	client *http.Client // to other entries
 	token  *actor.Value[token]
 }
 
-// New starts the API's actors in g. The API serves nothing until its Handler
-// is used or Serve is called.
+// New starts the API's actors in g. The API accepts requests once Serve is
+// called or its Handler is used by a server.
 func New(g *actor.Group, c Config) *API {
 	a := &API{Config: c, client: &http.Client{Timeout: 3 * time.Second}, token: &actor.Value[token]{}}
 	a.SetToken(c.Token)
-	a.jobs = jobs{table: c.Table, final: c.IsFinal}
+	a.jobs = jobStore{table: c.Table, isFinal: c.IsFinal}
 	ix := &jobIndex{table: c.Table, cells: map[model.Cell]*cellJobs{}}
 	a.index = actor.Spawn(g, actor.Spec[listRequest]{Name: "job-index", Mailbox: 16, Restart: actor.OnFailure, Run: ix.run})
 	return a
@@ -110,7 +113,8 @@
 	required bool
 }
 
-// SetToken replaces the token; requests that come later need the new one.
+// SetToken replaces the bearer token; later requests need the new one. With an
+// empty text no token is required.
 func (a *API) SetToken(text string) {
 	a.token.Set(&token{digest: sha256.Sum256([]byte(text)), required: text != ""})
 }
@@ -137,21 +141,21 @@
 	})
 }
 
-// handler answers a request. What it returns is encoded with its status; the
-// error decides the status when there is one.
+// handler answers a request. Its error, if any, determines the HTTP status and
+// the body; otherwise they are those of the response.
 type handler func(r *http.Request) (response, error)
 
-// response is a successful answer.
+// response is the result of a successful request.
 type response struct {
 	status int    // 0: 200
 	body   any    // encoded as JSON, unless raw is set
-	raw    []byte // sent as it is
+	raw    []byte // sent unchanged as application/octet-stream
 }
 
 type route struct {
 	path, method string
 	handle       handler
-	open         bool // no token is required
+	public       bool // no token is required
 }
 
 func (a *API) routes() []route {
@@ -169,7 +173,7 @@
 		{path: "/v1/diagnose", method: "GET", handle: a.diagnose},
 		{path: "/v1/explain/{kind}/{name...}", method: "GET", handle: a.explain},
 		{path: "/v1/backends/{id}/drain", method: "POST", handle: a.drain},
-		{path: "/healthz", method: "GET", handle: a.health, open: true},
+		{path: "/healthz", method: "GET", handle: a.health, public: true},
 	}
 }
 
@@ -189,7 +193,7 @@
 			writeJSON(w, http.StatusMethodNotAllowed, errorBody{Error: r.URL.Path + " allows " + allow})
 		})
 	}
-	a.profiles(mux)
+	a.registerProfiles(mux)
 	if a.Metrics != nil {
 		mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 			if a.authorised(w, r) {
@@ -205,7 +209,7 @@
 
 func (a *API) serve(rt route) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !rt.open && !a.authorised(w, r) {
+		if !rt.public && !a.authorised(w, r) {
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
@@ -215,23 +219,24 @@
 			a.writeError(w, r, err)
 		case res.raw != nil:
 			w.Header().Set("Content-Type", "application/octet-stream")
-			_, _ = w.Write(res.raw) // a failed write means that the client has gone
+			_, _ = w.Write(res.raw) // a failed write means that the client has disconnected
 		default:
 			writeJSON(w, max(res.status, http.StatusOK), res.body)
 		}
 	}
 }
 
-// authorised compares digests, so that neither the token's content nor its
-// length shows in the time that it takes.
+// authorised reports whether a request has the required token, and answers 401
+// if it has not. It compares digests, so that the time taken depends neither
+// on the content nor on the length of the token.
 func (a *API) authorised(w http.ResponseWriter, r *http.Request) bool {
-	want := a.token.Get()
-	if !want.required {
+	current := a.token.Get()
+	if !current.required {
 		return true
 	}
 	given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	digest := sha256.Sum256([]byte(given))
-	if ok && subtle.ConstantTimeCompare(digest[:], want.digest[:]) == 1 {
+	if ok && subtle.ConstantTimeCompare(digest[:], current.digest[:]) == 1 {
 		return true
 	}
 	event.Log(a.Log, event.OperatorTokenRefused, log.Fields{"remote": r.RemoteAddr, "path": r.URL.Path})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,10 +16,10 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Guards against an API open to clients without the token, and a health check
-// that needs it.
+// Guards against an API that accepts clients without the token, and a health
+// check that requires it.
 func TestToken(t *testing.T) {
-	inFixture(t, "secret", func(f *fixture) {
+	withFixture(t, "secret", func(f *fixture) {
 		for header, want := range map[string]int{"": 401, "Bearer wrong": 401, "secret": 401, "Bearer secret": 200} {
 			status, _, _ := f.call("GET", "/v1/config", "", "Authorization", header)
 			require.Equal(f.t, want, status, header)
@@ -29,10 +29,11 @@
 	})
 }
 
-// Guards against configuration errors that lose their type on the way, and a
-// wait that returns before every daemon has the version.
+// Guards against errors of the configuration store that are answered with a
+// wrong status or without their details, and a wait that reports a version as
+// applied before every daemon has it.
 func TestConfig(t *testing.T) {
-	inFixture(t, "", func(f *fixture) {
+	withFixture(t, "", func(f *fixture) {
 		f.store.err = &configstore.ConflictError{Author: "esra", Version: 7, Base: 5}
 		status, _, body := f.call("POST", "/v1/config", `{"id":"e","base":5,"changes":[]}`)
 		require.Equal(f.t, 409, status)
@@ -51,15 +52,15 @@
 	})
 }
 
-// Guards against a wait that ends while a daemon of another entry lags, or an
-// entry that does not answer counts as up to date.
+// Guards against a wait that ends while a daemon of another entry lags, and an
+// entry that does not answer but counts as up to date.
 func TestConfigStatusAsksOtherEntries(t *testing.T) {
 	here, there := newFixture(t, "secret"), newFixture(t, "secret")
-	defer here.g.Stop()
-	defer there.g.Stop()
+	defer here.group.Stop()
+	defer there.group.Stop()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	there.api.Serve(there.g, ln)
+	there.api.Serve(there.group, ln)
 	here.store.status = configstore.Status{Version: 3, Daemons: []model.AppliedVersion{{Daemon: "entry-1", Version: 3}, {Daemon: "w1", Version: 3}}}
 	there.store.status = configstore.Status{Version: 3, Daemons: []model.AppliedVersion{{Daemon: "entry-2", Version: 3}, {Daemon: "w1", Version: 2}, {Daemon: "w2", Version: 1}}}
 	peers := []Peer{{ID: "entry-2", Address: ln.Addr().String()}}
@@ -78,28 +79,29 @@
 	here.api.client.CloseIdleConnections()
 }
 
-// Guards against a status that hides what is wrong behind what is not.
+// Guards against a status that omits a problem, or lists minor problems before
+// urgent ones.
 func TestStatusNamesProblemsFirst(t *testing.T) {
-	found := problems(Status{
+	list := problems(Status{
 		Config:   ConfigSummary{Version: 3, State: "stale"},
 		Services: []model.ServiceStatus{{Service: "wick-orders", Queued: 4, Backends: []model.BackendStatus{{Backend: "b1", Worker: "w1", State: "down"}, {Backend: "b2", State: "left"}}}},
 		Cells: []model.CellStatus{{Cell: "dip-shed", State: "holding", Phases: map[model.Phase]int{"parked": 2},
 			Workers: []model.WorkerStatus{{Worker: "w1", State: "ready"}, {Worker: "w2", State: "quarantined", Reason: "5 failures"}}}},
 	})
-	require.Len(t, found, 7)
-	require.Contains(t, found[0], "service wick-orders has no ready backend server")
-	require.Contains(t, found[1], "cell dip-shed is holding")
-	require.Contains(t, found[2], "cell dip-shed has no controller")
-	require.Contains(t, strings.Join(found, "\n"), "worker w2 is quarantined (5 failures)")
+	require.Len(t, list, 7)
+	require.Contains(t, list[0], "service wick-orders has no ready backend server")
+	require.Contains(t, list[1], "cell dip-shed is holding")
+	require.Contains(t, list[2], "cell dip-shed has no controller")
+	require.Contains(t, strings.Join(list, "\n"), "worker w2 is quarantined (5 failures)")
 }
 
-// Guards against a listener that accepts headers of any size, or outlives its
-// group.
+// Guards against a listener that accepts headers of any size, or keeps running
+// after its group has stopped.
 func TestServeBoundsHeaders(t *testing.T) {
 	f := newFixture(t, "")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ended := f.api.Serve(f.g, ln)
+	ended := f.api.Serve(f.group, ln)
 	req, err := http.NewRequest("GET", "http://"+ln.Addr().String()+"/healthz", nil)
 	require.NoError(t, err)
 	req.Header.Set("X-Large", strings.Repeat("x", 2*maxHeader))
@@ -108,11 +110,11 @@
 	res.Body.Close()
 	require.Equal(t, 431, res.StatusCode)
 	http.DefaultClient.CloseIdleConnections()
-	f.g.Stop()
+	f.group.Stop()
 	<-ended
 }
 
-// Guards against a path that the operations page does not describe.
+// Guards against a path of the API that docs/OPERATIONS.md does not describe.
 func TestPageHasEveryPath(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -121,10 +123,10 @@
 	}
 }
 
-// Guards against profiles or diagnostics for someone without the token, or
-// for another host when no token is set.
+// Guards against profiles or diagnostics that are served without the token, or
+// to another host when no token is set.
 func TestProfilesNeedTheToken(t *testing.T) {
-	inFixture(t, "secret", func(f *fixture) {
+	withFixture(t, "secret", func(f *fixture) {
 		for _, path := range []string{"/debug/pprof/goroutine", "/v1/diagnose"} {
 			status, _, _ := f.call("GET", path, "")
 			require.Equal(f.t, 401, status, path)
@@ -132,16 +134,17 @@
 			require.Equal(f.t, 200, status, path)
 		}
 	})
-	inFixture(t, "", func(f *fixture) {
+	withFixture(t, "", func(f *fixture) {
 		status, _, body := f.call("GET", "/debug/pprof/goroutine", "") // from 192.0.2.1
 		require.Equal(f.t, 403, status)
 		require.Contains(f.t, body["error"], "operator-token")
 	})
 }
 
-// Guards against an old token that stays valid, or a race with requests.
+// Guards against a replaced token that stays valid, and a new one that is
+// rejected.
 func TestTokenIsReplaced(t *testing.T) {
-	inFixture(t, "old", func(f *fixture) {
+	withFixture(t, "old", func(f *fixture) {
 		f.api.SetToken("new")
 		status, _, _ := f.call("GET", "/v1/status", "", "Authorization", "Bearer old")
 		require.Equal(f.t, 401, status)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -14,31 +14,32 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Status is what one entry knows of the system.
+// Status is the state of the system as one entry knows it.
 type Status struct {
 	Entry    model.EntryID         `json:"entry"`
 	Build    string                `json:"build"`
-	Problems []string              `json:"problems"` // what is wrong, most urgent first
+	Problems []string              `json:"problems"` // most urgent first
 	Config   ConfigSummary         `json:"config"`
 	Services []model.ServiceStatus `json:"services"`
 	Cells    []model.CellStatus    `json:"cells"`
 }
 
-// ConfigSummary is the configuration in force at the entry.
+// ConfigSummary is the version of the configuration that the entry uses.
 type ConfigSummary struct {
 	Version model.ConfigVersion `json:"version"`
-	State   string              `json:"state"`
+	State   string              `json:"state"` // state name of charts/config.scxml
 }
 
 func (a *API) status(r *http.Request) (response, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	s := Status{Entry: a.Entry, Build: a.Build, Services: []model.ServiceStatus{}, Cells: []model.CellStatus{}}
-	// A part that does not answer is a problem of its own and hides no other.
-	if u, err := a.ConfigStore.Current(ctx); err != nil {
+	// A part that does not answer is reported as a problem; the status of the
+	// other parts is still returned.
+	if update, err := a.ConfigStore.Current(ctx); err != nil {
 		s.Problems = append(s.Problems, "configuration does not answer: "+err.Error())
 	} else {
-		s.Config = ConfigSummary{Version: u.Snapshot.Version(), State: u.State}
+		s.Config = ConfigSummary{Version: update.Snapshot.Version(), State: update.State}
 	}
 	if a.Services != nil {
 		if list, err := a.Services(ctx); err != nil {
@@ -61,8 +62,9 @@
 	return response{body: s}, nil
 }
 
-// problems names what an operator should look at, most urgent first: what
-// callers notice, then what jobs notice, then what may become a problem.
+// problems returns the conditions that need an operator's attention, most
+// urgent first: those that affect callers, then those that affect jobs, then
+// those that may become a problem.
 func problems(s Status) []string {
 	var urgent, later []string
 	for _, svc := range s.Services {
@@ -75,16 +77,16 @@
 	}
 	switch s.Config.State {
 	case "empty":
-		urgent = append(urgent, "no configuration is held; work that needs one is refused")
+		urgent = append(urgent, "the entry has no configuration; work that needs one is refused")
 	case "stale":
-		later = append(later, fmt.Sprintf("configuration is stale at version %d: the table service is away", s.Config.Version))
+		later = append(later, fmt.Sprintf("configuration is stale at version %d: the table service is unavailable", s.Config.Version))
 	}
 	return append(urgent, later...)
 }
 
-// expected lists the states of backend servers and workers that are no
-// problem: in service, or taken out of it by an operator.
-var expected = map[string]bool{"ready": true, "draining": true, "finishing": true, "left": true}
+// normalStates are the states of backend servers and workers that are not
+// reported as problems: in service, or taken out of service by an operator.
+var normalStates = map[string]bool{"ready": true, "draining": true, "finishing": true, "left": true}
 
 func serviceProblems(s model.ServiceStatus) (urgent, later []string) {
 	ready := 0
@@ -92,7 +94,7 @@
 		if b.State == "ready" {
 			ready++
 		}
-		if expected[b.State] {
+		if normalStates[b.State] {
 			continue
 		}
 		later = append(later, fmt.Sprintf("service %s: backend server %s on %s is %s", s.Service, b.Backend, b.Worker, b.State))
@@ -113,7 +115,7 @@
 		urgent = append(urgent, fmt.Sprintf("cell %s has no controller, so no job is placed", c.Cell))
 	}
 	for _, w := range c.Workers {
-		if expected[w.State] {
+		if normalStates[w.State] {
 			continue
 		}
 		text := fmt.Sprintf("cell %s: worker %s is %s", c.Cell, w.Worker, w.State)
@@ -145,13 +147,13 @@
 	case !errors.Is(err, storage.ErrNotFound):
 		return response{body: v}, err
 	case kind == "job":
-		return a.explainRow(ctx, r, model.JobID(name))
+		return a.explainFromRow(ctx, r, model.JobID(name))
 	}
 	return response{}, fmt.Errorf("%s %q is not known to this entry; bambooctl status --all and backend list show what is: %w", kind, name, err)
 }
 
-// rowExplanation explains a job by its row, when no controller of this entry
-// has it in hand.
+// rowExplanation explains a job from its stored row, if no controller of this
+// entry manages the job.
 type rowExplanation struct {
 	Job    model.JobID    `json:"job"`
 	Cell   model.Cell     `json:"cell"`
@@ -160,33 +162,34 @@
 	Reason string         `json:"reason"`
 }
 
-func (a *API) explainRow(ctx context.Context, r *http.Request, id model.JobID) (response, error) {
+func (a *API) explainFromRow(ctx context.Context, r *http.Request, id model.JobID) (response, error) {
 	cell, err := a.cell(r)
 	if err != nil {
 		return response{}, err
 	}
-	if !jobName(string(id)) {
+	if !validName(string(id)) {
 		return response{}, unknownJob(cell, id)
 	}
-	row, found, err := a.jobs.read(ctx, rows.JobKey(cell, id))
+	row, found, err := a.jobs.readJob(ctx, rows.JobKey(cell, id))
 	if err != nil || !found {
 		return response{}, errors.CombineErrors(err, unknownJob(cell, id))
 	}
 	e := rowExplanation{Job: id, Cell: cell, Phase: row.Phase, Worker: row.Worker}
 	switch {
 	case a.IsFinal != nil && a.IsFinal(row.Phase):
-		e.Reason = fmt.Sprintf("it is over: it is %s after %d attempts", row.Phase, row.Attempt)
+		e.Reason = fmt.Sprintf("the job has ended: it is %s after %d attempts", row.Phase, row.Attempt)
 		if row.Reason != "" {
 			e.Reason += ": " + row.Reason
 		}
 	default:
-		e.Reason = a.otherOwner(ctx, cell)
+		e.Reason = a.ownerHint(ctx, cell)
 	}
 	return response{body: e}, nil
 }
 
-// otherOwner says where a job is explained that this entry does not control.
-func (a *API) otherOwner(ctx context.Context, cell model.Cell) string {
+// ownerHint returns the reason why this entry cannot explain a job of a cell,
+// and which entry can.
+func (a *API) ownerHint(ctx context.Context, cell model.Cell) string {
 	if a.Cells != nil {
 		list, err := a.Cells(ctx)
 		for _, c := range list {
