--- a/cmd/bambooctl/main.go
+++ b/cmd/bambooctl/main.go
@@ -1,4 +1,4 @@
-// Command bambooctl operates bambooscale from the command line.
+// Command bambooctl is the command-line client of bambooscale for operators.
 package main
 
 import (
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -15,30 +15,31 @@
 	"github.com/bambooscale/bambooscale/internal/operator"
 )
 
-// applying is the flags of the commands that compare a file.
-type applying struct {
+// fileFlags are the flags of config diff and config apply.
+type fileFlags struct {
 	file          string
 	prune, dryRun bool
 }
 
-func (p *applying) flags(c *cobra.Command) *cobra.Command {
+func (p *fileFlags) register(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVarP(&p.file, "file", "f", "", "file with items as config show --output json writes them, - for standard input")
 	c.Flags().BoolVar(&p.prune, "prune", false, "also remove every item that is not in the file")
 	return c
 }
 
-// compare reads the file and the newest configuration.
-func (a *app) compare(ctx context.Context, p *applying) ([]difference, operator.ConfigView, error) {
+// compare returns the differences between the file and the configuration of
+// the entry, and that configuration.
+func (a *app) compare(ctx context.Context, p *fileFlags) ([]difference, operator.ConfigView, error) {
 	var view operator.ConfigView
 	if p.file == "" {
-		return nil, view, failed(ExitUsage, "name the file with -f")
+		return nil, view, exitErrorf(ExitUsage, "a file is required; name it with -f")
 	}
 	wanted, err := readConfigFile(p.file, a.stdin)
 	var found finding.List
 	if errors.As(err, &found) {
-		return nil, view, failure{ExitUsage, errors.Wrap(err, "nothing was changed")}
+		return nil, view, exitError{ExitUsage, errors.Wrap(err, "nothing was changed")}
 	} else if err != nil {
-		return nil, view, failure{ExitUsage, err}
+		return nil, view, exitError{ExitUsage, err}
 	}
 	if view, err = a.readConfig(ctx, "", ""); err != nil {
 		return nil, view, err
@@ -47,18 +48,18 @@
 }
 
 func (a *app) configDiff() *cobra.Command {
-	p := &applying{}
-	return p.flags(leaf("diff", "Show what config apply would change", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	p := &fileFlags{}
+	return p.register(leaf("diff", "Show what config apply would change", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		list, _, err := a.compare(ctx, p)
 		if err != nil {
 			return err
 		}
-		return a.show(list, func(t *table) { drawDifferences(t, list) })
+		return a.show(list, func(t *table) { printDifferences(t, list) })
 	}))
 }
 
 func (a *app) configApply() *cobra.Command {
-	p, e := &applying{}, &editing{}
+	p, e := &fileFlags{}, &editFlags{}
 	c := leaf("apply", "Set labels and selectors from a file in one edit", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		list, view, err := a.compare(ctx, p)
 		if err != nil {
@@ -66,19 +67,19 @@
 		}
 		if len(list) == 0 || p.dryRun {
 			a.progress("%d items differ; nothing was changed", len(list))
-			return a.show(list, func(t *table) { drawDifferences(t, list) })
+			return a.show(list, func(t *table) { printDifferences(t, list) })
 		}
 		return a.apply(ctx, e, list, view)
 	})
 	c.Long = c.Short + `. The file is what config show --output json writes; items
 that are not in it stay unless --prune. Every finding is reported with its
-line. The edit is accepted as a whole or not at all; if an item was changed
-by someone else in the meantime it is a conflict.`
+line. The edit is accepted as a whole or not at all; it is a conflict if
+another edit has changed one of its items in the meantime.`
 	c.Flags().BoolVar(&p.dryRun, "dry-run", false, "only show what would change")
-	return e.flags(p.flags(c))
+	return e.register(p.register(c))
 }
 
-func (a *app) apply(ctx context.Context, e *editing, list []difference, view operator.ConfigView) error {
+func (a *app) apply(ctx context.Context, e *editFlags, list []difference, view operator.ConfigView) error {
 	edit := configstore.Edit{ID: e.id, Author: e.author, Base: view.Version}
 	if e.base >= 0 {
 		edit.Base = model.ConfigVersion(e.base)
@@ -99,7 +100,7 @@
 		}
 	}
 	return a.show(accepted, func(t *table) {
-		drawDifferences(t, list)
+		printDifferences(t, list)
 		t.line("%d changes accepted as version %d", len(list), accepted.Version)
 	})
 }
--- a/internal/command/applyfile.go
+++ b/internal/command/applyfile.go
@@ -15,15 +15,16 @@
 	"github.com/bambooscale/bambooscale/internal/operator"
 )
 
-// configFile is labels and selectors in the form that config show --output
-// json writes; version and author of an item are ignored.
+// configFile is a file of labels and selectors in the format of config show
+// --output json. The version and author of an item are ignored.
 type configFile struct {
 	Version json.RawMessage   `json:"version"`
 	State   json.RawMessage   `json:"state"`
 	Items   []json.RawMessage `json:"items"`
 }
 
-var fileCheck = configstore.Validator{
+// fileValidator checks items as the entry does.
+var fileValidator = configstore.Validator{
 	Labels: labels.Validate,
 	Selector: func(text string) error {
 		_, err := labels.Parse(text)
@@ -38,18 +39,18 @@
 	return os.ReadFile(file)
 }
 
-// readConfigFile returns the items of a file. The error is a finding.List
-// with every finding and its line, unless the file cannot be read.
+// readConfigFile returns the items of a file as changes. If the content is
+// invalid the error is a finding.List with every finding and its line.
 func readConfigFile(file string, stdin io.Reader) ([]configstore.Change, error) {
 	raw, err := readAll(file, stdin)
 	if err != nil {
 		return nil, err
 	}
-	var found finding.List
+	var findings finding.List
 	var content configFile
 	if err := decodeStrictly(raw, &content); err != nil {
-		found.Add(file, 0, "", "%v", err)
-		return nil, found
+		findings.Add(file, 0, "", "%v", err)
+		return nil, findings
 	}
 	var changes []configstore.Change
 	lines := map[model.ConfigKey]int{}
@@ -60,18 +61,18 @@
 		offset += len(item)
 		var view operator.ItemView
 		if err := decodeStrictly(item, &view); err != nil {
-			found.Add(file, line, fmt.Sprintf("items[%d]", i), "%v", err)
+			findings.Add(file, line, fmt.Sprintf("items[%d]", i), "%v", err)
 			continue
 		}
 		change := configstore.Change{Key: view.Key, Item: &view.ConfigItem}
-		if first, twice := lines[view.Key]; twice {
-			found.Add(file, line, view.Key.String(), "is also set in line %d", first)
+		if first, duplicate := lines[view.Key]; duplicate {
+			findings.Add(file, line, view.Key.String(), "is also set in line %d", first)
 		}
 		lines[view.Key] = line
-		found = append(found, checkItem(file, line, change)...)
+		findings = append(findings, checkItem(file, line, change)...)
 		changes = append(changes, change)
 	}
-	return changes, found.Err()
+	return changes, findings.Err()
 }
 
 func decodeStrictly(raw []byte, v any) error {
@@ -80,46 +81,48 @@
 	return dec.Decode(v)
 }
 
+// checkItem returns the findings for an item of a file, with its line.
 func checkItem(file string, line int, change configstore.Change) finding.List {
-	list := fileCheck.Validate(configstore.Edit{ID: "check", Changes: []configstore.Change{change}})
+	list := fileValidator.Validate(configstore.Edit{ID: "check", Changes: []configstore.Change{change}})
 	for i, f := range list {
-		where := strings.TrimPrefix(strings.TrimPrefix(f.Element, "changes[0]"), ".item")
-		list[i].Source, list[i].Line, list[i].Element = file, line, change.Key.String()+where
+		element := strings.TrimPrefix(strings.TrimPrefix(f.Element, "changes[0]"), ".item")
+		list[i].Source, list[i].Line, list[i].Element = file, line, change.Key.String()+element
 	}
 	return list
 }
 
-// difference is what an edit would change of one item.
+// difference is an item that an edit would change: added if Old is nil,
+// removed if New is nil.
 type difference struct {
 	Key model.ConfigKey   `json:"key"`
 	Old *model.ConfigItem `json:"old,omitempty"`
 	New *model.ConfigItem `json:"new,omitempty"`
 }
 
-// differences compares the newest configuration with the wanted items. Items
-// that are not wanted are removed only with prune.
+// differences compares the configuration of the entry with the wanted items.
+// Items that are not wanted are removed only if prune is set.
 func differences(view operator.ConfigView, wanted []configstore.Change, prune bool) []difference {
 	old := map[model.ConfigKey]*model.ConfigItem{}
 	for i := range view.Items {
 		old[view.Items[i].Key] = &view.Items[i].ConfigItem
 	}
 	list := []difference{}
-	kept := map[model.ConfigKey]bool{}
+	isWanted := map[model.ConfigKey]bool{}
 	for _, w := range wanted {
-		kept[w.Key] = true
+		isWanted[w.Key] = true
 		if before := old[w.Key]; before == nil || itemText(*before) != itemText(*w.Item) {
 			list = append(list, difference{w.Key, before, w.Item})
 		}
 	}
 	for _, item := range view.Items {
-		if prune && !kept[item.Key] {
+		if prune && !isWanted[item.Key] {
 			list = append(list, difference{item.Key, old[item.Key], nil})
 		}
 	}
 	return list
 }
 
-func drawDifferences(t *table, list []difference) {
+func printDifferences(t *table, list []difference) {
 	for _, d := range list {
 		switch {
 		case d.Old == nil:
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -21,12 +21,12 @@
 
 const (
 	dialTimeout = 3 * time.Second
-	// callTimeout is longer than any request takes at the server.
-	callTimeout = 80 * time.Second
-	maxAnswer   = 64 << 20 // bytes
+	// requestTimeout is longer than the server takes for any request.
+	requestTimeout  = 80 * time.Second
+	maxResponseSize = 64 << 20 // bytes
 )
 
-// client speaks the operators' API.
+// client sends requests to the operators' API of one entry.
 type client struct {
 	base  *url.URL
 	token string
@@ -42,11 +42,11 @@
 		return nil, fmt.Errorf("--server %q is not a URL", server)
 	}
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, Proxy: http.ProxyFromEnvironment}
-	return &client{base: u, token: token, http: &http.Client{Transport: transport, Timeout: callTimeout}}, nil
+	return &client{base: u, token: token, http: &http.Client{Transport: transport, Timeout: requestTimeout}}, nil
 }
 
-// remoteError is an answer of the API that is not a success.
-type remoteError struct {
+// apiError is an error response of the API.
+type apiError struct {
 	Status   int                        `json:"-"`
 	Text     string                     `json:"error"`
 	Findings finding.List               `json:"findings"`
@@ -54,7 +54,7 @@
 	Outcome  string                     `json:"outcome"`
 }
 
-func (e *remoteError) Error() string {
+func (e *apiError) Error() string {
 	if len(e.Findings) > 0 {
 		return e.Text + ":\n" + e.Findings.Error()
 	}
@@ -64,7 +64,7 @@
 	return e.Text
 }
 
-func (e *remoteError) exitCode() int {
+func (e *apiError) exitCode() int {
 	switch e.Status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return ExitUsage
@@ -76,23 +76,23 @@
 		return ExitUnavailable
 	case http.StatusServiceUnavailable:
 		if e.Outcome == model.OutcomeUnknown.String() {
-			return ExitUnknown
+			return ExitOutcomeUnknown
 		}
 		return ExitUnavailable
 	}
 	return ExitFailure
 }
 
-// get reads a resource into out.
+// get decodes a resource into out.
 func (c *client) get(ctx context.Context, path string, query url.Values, out any) error {
-	raw, err := c.raw(ctx, http.MethodGet, path, query, nil)
+	raw, err := c.do(ctx, http.MethodGet, path, query, nil)
 	if err != nil {
 		return err
 	}
-	return decodeAnswer(raw, out)
+	return decodeResponse(raw, out)
 }
 
-// send changes something and reads the answer into out.
+// send requests a change and decodes the response into out.
 func (c *client) send(ctx context.Context, method, path string, query url.Values, body, out any) error {
 	var raw []byte
 	if body != nil {
@@ -101,24 +101,25 @@
 			return err
 		}
 	}
-	raw, err := c.raw(ctx, method, path, query, raw)
+	raw, err := c.do(ctx, method, path, query, raw)
 	if err != nil {
 		return err
 	}
-	return decodeAnswer(raw, out)
+	return decodeResponse(raw, out)
 }
 
-func decodeAnswer(raw []byte, out any) error {
+func decodeResponse(raw []byte, out any) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber() // large numbers are shown as they were sent
+	dec.UseNumber() // large numbers keep all their digits
 	if err := dec.Decode(out); err != nil {
-		return fmt.Errorf("the server's answer cannot be decoded: %w", err)
+		return fmt.Errorf("decode server response: %w", err)
 	}
 	return nil
 }
 
-// raw sends a request and returns the answer's body.
-func (c *client) raw(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
+// do sends a request and returns the body of the response. The error is an
+// *apiError if the server answered with one.
+func (c *client) do(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
 	u := c.base.JoinPath(path)
 	u.RawQuery = query.Encode()
 	req, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(body))
@@ -133,15 +134,15 @@
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, lost(method, err)
+		return nil, connectionError(method, err)
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxResponseSize))
 	if err != nil {
-		return nil, lost(method, err)
+		return nil, connectionError(method, err)
 	}
 	if res.StatusCode >= 300 {
-		e := &remoteError{Status: res.StatusCode}
+		e := &apiError{Status: res.StatusCode}
 		if json.Unmarshal(raw, e) != nil || e.Text == "" {
 			e.Text = fmt.Sprintf("the server answered %s", res.Status)
 		}
@@ -150,15 +151,15 @@
 	return raw, nil
 }
 
-// lost gives an error of the connection its exit code: a change may have
-// taken effect unless the connection could not be opened.
-func lost(method string, err error) error {
+// connectionError adds the exit code to an error of the connection. A change
+// may have taken effect unless the connection could not be opened.
+func connectionError(method string, err error) error {
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		return failure{ExitUnavailable, fmt.Errorf("%w; name the operators' API of a running entry with --server or BAMBOOSCALE_SERVER", err)}
+		return exitError{ExitUnavailable, fmt.Errorf("%w; name the operators' API of a running entry with --server or BAMBOOSCALE_SERVER", err)}
 	case method == http.MethodGet:
-		return failure{ExitUnavailable, err}
+		return exitError{ExitUnavailable, err}
 	}
-	return failure{ExitUnknown, fmt.Errorf("the answer was lost, so it may have been done: %w", err)}
+	return exitError{ExitOutcomeUnknown, fmt.Errorf("the response was lost, so the change may have taken effect: %w", err)}
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -32,23 +32,23 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// system is an entry's operators' API on loopback, with a simulated table
-// behind its HTTP client.
-type system struct {
+// testEntry is the operators' API of an entry on loopback. Its table is a
+// stand-in for the table service, which it calls over HTTP.
+type testEntry struct {
 	t      *testing.T
 	url    string
 	store  *configstore.Store
 	status []model.ServiceStatus
 }
 
-func newSystem(t *testing.T) *system {
+func newTestEntry(t *testing.T) *testEntry {
 	g := actor.NewGroup(context.Background(), nil)
-	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	tables := httptest.NewServer(standin.NewTable(g, standin.StoreFaults{}).Handler())
-	table := storage.NewHTTPTable(storage.HTTPConfig{URL: tables.URL})
+	discardLog := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
+	tableServer := httptest.NewServer(standin.NewTable(g, standin.StoreFaults{}).Handler())
+	table := storage.NewHTTPTable(storage.HTTPConfig{URL: tableServer.URL})
 	check := configstore.Validator{Labels: func(model.Labels) finding.List { return nil }, Selector: func(string) error { return nil }}
-	s := &system{t: t, store: configstore.StartStore(g, configstore.StoreConfig{ID: "entry-1", Table: table, Validator: check, Log: quiet})}
-	api := operator.New(g, operator.Config{Entry: "entry-1", Build: "test", DefaultCell: "dip-shed", Table: table, ConfigStore: s.store, Log: quiet,
+	s := &testEntry{t: t, store: configstore.StartStore(g, configstore.StoreConfig{ID: "entry-1", Table: table, Validator: check, Log: discardLog})}
+	api := operator.New(g, operator.Config{Entry: "entry-1", Build: "test", DefaultCell: "dip-shed", Table: table, ConfigStore: s.store, Log: discardLog,
 		ValidateLabels: check.Labels,
 		ParseSelector:  func(string) (func(model.Labels) bool, error) { return func(model.Labels) bool { return true }, nil },
 		Services:       func(context.Context) ([]model.ServiceStatus, error) { return s.status, nil },
@@ -58,12 +58,13 @@
 	})
 	server := httptest.NewServer(api.Handler())
 	s.url = server.URL
-	t.Cleanup(func() { server.Close(); g.Stop(); table.Close(); tables.Close() })
+	t.Cleanup(func() { server.Close(); g.Stop(); table.Close(); tableServer.Close() })
 	return s
 }
 
-// run executes a command line and checks its exit code.
-func (s *system) run(code int, stdin string, args ...string) string {
+// run executes a command line with an input, checks its exit code, and returns
+// its output and its error output.
+func (s *testEntry) run(code int, stdin string, args ...string) string {
 	s.t.Helper()
 	var out, errs bytes.Buffer
 	got := Run(s.t.Context(), append(args, "--server", s.url), strings.NewReader(stdin), &out, &errs)
@@ -71,10 +72,10 @@
 	return out.String() + errs.String()
 }
 
-// Guards against a label command that loses other labels, or an exit code
-// that tells a script the wrong thing.
+// Guards against a label command that removes other labels, and exit codes
+// that hide a conflict, invalid input or a missing item from scripts.
 func TestLabelsAndSelectors(t *testing.T) {
-	s := newSystem(t)
+	s := newTestEntry(t)
 	s.run(ExitOK, "", "label", "set", "team", "wicks", "quota-cpu=4000", "floor=2")
 	s.run(ExitOK, "", "label", "set", "team", "wicks", "floor=3", "--author", "esra")
 	require.Regexp(t, `team +wicks +floor=3,quota-cpu=4000 +2 +esra`, s.run(ExitOK, "", "label", "show", "team", "wicks"))
@@ -93,10 +94,10 @@
 	require.Contains(t, s.run(ExitOK, "", "config", "status", "--wait"), "version 5 is in effect at 1 of 1 daemons")
 }
 
-// Guards against a wait that ends before every daemon has the version, or
-// does not say which daemon lags.
+// Guards against a wait that succeeds before every daemon has the version, or
+// does not name the lagging daemons.
 func TestWaitNamesLaggards(t *testing.T) {
-	s := newSystem(t)
+	s := newTestEntry(t)
 	require.NoError(t, s.store.LinkUp(t.Context(), "w7", 0, actor.Address[msg.Control]{}))
 	out := s.run(ExitFailure, "", "label", "set", "team", "wicks", "floor=2", "--wait", "--timeout", "10ms")
 	require.Contains(t, out, "version 1 is accepted, but not in effect everywhere")
@@ -104,10 +105,10 @@
 	require.Contains(t, out, "lagging: w7 (version 0)")
 }
 
-// Guards against a job submitted twice or with lost fields, and against exit
-// codes that hide a conflict.
+// Guards against a repeated submission that is not recognised, fields of a file
+// or of flags that are lost, and exit codes that hide a conflict.
 func TestJobs(t *testing.T) {
-	s := newSystem(t)
+	s := newTestEntry(t)
 	spec := `{"id":"j1","team":"wicks","class":"priming","resources":{"milliCpu":500,"memory":1000},"program":"prime"}`
 	s.run(ExitOK, spec, "job", "submit", "-f", "-", "--memory", "2KiB", "--label", "line=3")
 	s.run(ExitOK, spec, "job", "submit", "-f", "-", "--memory", "2KiB", "--label", "line=3")
@@ -122,36 +123,37 @@
 	s.run(ExitNotFound, "", "job", "result", "j1")
 }
 
-// Guards against a change whose answer was lost that is reported as not done.
+// Guards against a change that is reported as not done although only its
+// response was lost, or the server does not know its outcome.
 func TestLostAnswers(t *testing.T) {
-	cut := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	disconnecting := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			c.Close()
 		}
 	}))
-	defer cut.Close()
+	defer disconnecting.Close()
 	submit := []string{"job", "submit", "--id", "j", "--team", "t", "--class", "c", "--cpu", "1", "--memory", "1", "--program", "p"}
-	s := &system{t: t, url: cut.URL}
-	s.run(ExitUnknown, "", submit...)
+	s := &testEntry{t: t, url: disconnecting.URL}
+	s.run(ExitOutcomeUnknown, "", submit...)
 	s.run(ExitUnavailable, "", "job", "show", "j")
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	s.url = gone.URL
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
+	s.url = closed.URL
 	s.run(ExitUnavailable, "", submit...)
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	unavailable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(503)
-		fmt.Fprint(w, `{"error":"table is away","outcome":"unknown"}`)
+		fmt.Fprint(w, `{"error":"table is unavailable","outcome":"unknown"}`)
 	}))
-	defer busy.Close()
-	s.url = busy.URL
-	s.run(ExitUnknown, "", submit...)
+	defer unavailable.Close()
+	s.url = unavailable.URL
+	s.run(ExitOutcomeUnknown, "", submit...)
 }
 
-// Guards against a status longer than a screen, or one that begins with what
-// is not wrong.
+// Guards against a status or top longer than a screen, and a status that does
+// not begin with the problems.
 func TestStatusFitsAScreen(t *testing.T) {
-	s := newSystem(t)
+	s := newTestEntry(t)
 	for i := range 20 {
 		s.status = append(s.status, model.ServiceStatus{Service: model.Service(fmt.Sprint("s", i)),
 			Backends: []model.BackendStatus{{Backend: "b1", State: "down"}}, Recent: []model.RecentStatus{{Class: "c", Tenant: "t", P99: 3e6, Refused: 7}}})
@@ -168,9 +170,10 @@
 	s.run(ExitNotFound, "", "backend", "drain", "b1")
 }
 
-// Guards against a mistyped command that a script takes for a success.
+// Guards against a mistyped command or an invalid file that ends with the exit
+// code of a success.
 func TestUsage(t *testing.T) {
-	s := &system{t: t, url: "http://127.0.0.1:1"}
+	s := &testEntry{t: t, url: "http://127.0.0.1:1"}
 	for _, args := range [][]string{{"jbo"}, {"job", "sumbit"}, {"job"}, {"status", "--nope"}, {"job", "show"}, {"version", "-o", "xml"}, {"label", "set", "team"}} {
 		s.run(ExitUsage, "", args...)
 	}
@@ -191,14 +194,15 @@
 	require.Contains(t, s.run(ExitUsage, "", "settings", "check", bad), `s.ini:2: [daemon] role`)
 }
 
-// Guards against a wait for a job that ends early, or never.
+// Guards against a wait for a job that ends early, or does not end, because it
+// has the wrong final phases.
 func TestFinalPhases(t *testing.T) {
 	final, err := finalPhases(fstest.MapFS{"job.scxml": {Data: []byte(`<scxml name="job" initial="pending"><state id="pending"/><final id="done"/><final id="failed"/></scxml>`)}})
 	require.NoError(t, err)
 	require.Equal(t, map[model.Phase]bool{"done": true, "failed": true}, final)
 }
 
-// Guards against a command that the operations page does not describe.
+// Guards against a command that docs/OPERATIONS.md does not describe.
 func TestPageHasEveryCommand(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -214,8 +218,8 @@
 	walk((&app{}).root())
 }
 
-// Guards against a load run whose answers are miscounted, or whose report
-// needs the network or runs text of the plan as markup.
+// Guards against a load run that miscounts responses, and a report that needs
+// the network or does not escape text of the plan.
 func TestBenchLoadAndReport(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/refused" {
@@ -224,7 +228,7 @@
 		}
 	}))
 	defer target.Close()
-	s := &system{t: t, url: "http://127.0.0.1:1"}
+	s := &testEntry{t: t, url: "http://127.0.0.1:1"}
 	plan := `{"target":"` + target.URL + `","requests":60,"classes":[
 		{"name":"<b>reads","path":"/","phases":[{"seconds":0.3,"from":100}]},
 		{"name":"refused","path":"/refused","phases":[{"seconds":0.3,"from":100}]}]}`
@@ -242,10 +246,10 @@
 	s.run(ExitUsage, "", "bench", "load", "--rate", "-1")
 }
 
-// Guards against a bundle that is lost because one part cannot be read, or
-// that claims to be one when no part can.
+// Guards against a bundle that is not written because one part cannot be read,
+// and one that is reported as a success although no part can be read.
 func TestDiagnose(t *testing.T) {
-	s := newSystem(t) // serves no metrics
+	s := newTestEntry(t) // serves no metrics
 	file := filepath.Join(t.TempDir(), "b.tar.gz")
 	require.Contains(t, s.run(ExitOK, "", "diagnose", "--out", file), "6 of 7 parts")
 	f, err := os.Open(file)
@@ -268,10 +272,10 @@
 	s.run(ExitUnavailable, "", "diagnose", "--out", file+"2")
 }
 
-// Guards against a file that is applied in part, loses items, or is refused
-// with its first defect only.
+// Guards against a file that is applied in part or removes other items, and one
+// that is rejected with only the first of its findings.
 func TestConfigApply(t *testing.T) {
-	s := newSystem(t)
+	s := newTestEntry(t)
 	s.run(ExitOK, "", "label", "set", "team", "wicks", "quota-cpu=4000")
 	s.run(ExitOK, "", "label", "set", "team", "braids", "quota-cpu=1000")
 	file := filepath.Join(t.TempDir(), "c.json")
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -16,8 +16,8 @@
 	"github.com/bambooscale/bambooscale/internal/rows"
 )
 
-// showItems shows the items of a kind and name that keep accepts. An empty
-// result is an error when one item was named.
+// showItems shows the items of a kind and name that keep accepts; an empty kind
+// or name means all. With one, an empty result is an error.
 func (a *app) showItems(ctx context.Context, kind model.ConfigKind, name string, one bool, keep func(model.ConfigKey) bool) error {
 	view, err := a.readConfig(ctx, kind, name)
 	if err != nil {
@@ -30,13 +30,13 @@
 		}
 	}
 	if one && len(kept) == 0 {
-		return failed(ExitNotFound, "%s/%s is not configured", kind, name)
+		return exitErrorf(ExitNotFound, "%s/%s is not configured", kind, name)
 	}
 	view.Items = kept
 	return a.show(view, func(t *table) {
 		t.row("KIND", "NAME", "VALUE", "VERSION", "AUTHOR")
 		for _, i := range view.Items {
-			t.row(i.Key.Kind, i.Key.Name, itemText(i.ConfigItem), i.Version, dash(i.Author))
+			t.row(i.Key.Kind, i.Key.Name, itemText(i.ConfigItem), i.Version, orDash(i.Author))
 		}
 	})
 }
@@ -49,7 +49,7 @@
 }
 
 func (a *app) configCommand() *cobra.Command {
-	return a.group("config", "Show and apply the configuration, its history and how far it has got",
+	return a.group("config", "Show and apply the configuration, and show its history and the versions that daemons use",
 		a.configShow(), a.configHistory(), a.configStatus(), a.configDiff(), a.configApply())
 }
 
@@ -79,7 +79,7 @@
 					if c.Item != nil {
 						value = itemText(*c.Item)
 					}
-					t.row(e.Version, dash(e.Author), c.Key, value, e.Edit)
+					t.row(e.Version, orDash(e.Author), c.Key, value, e.Edit)
 				}
 			}
 		})
@@ -93,7 +93,7 @@
 	var version uint64
 	var wait bool
 	var timeout time.Duration
-	c := leaf("status", "Show the version in force at every daemon", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	c := leaf("status", "Show which version every daemon uses", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		var s operator.ConfigStatus
 		get := func() error {
 			q := url.Values{"version": {strconv.FormatUint(version, 10)}}
@@ -102,27 +102,27 @@
 		if err := get(); err != nil {
 			return err
 		}
-		var waited error
+		var waitErr error
 		if wait && !s.Applied {
-			waited = a.awaitConfig(ctx, s.Version, timeout)
+			waitErr = a.awaitConfig(ctx, s.Version, timeout)
 			if err := get(); err != nil {
-				return errors.CombineErrors(waited, err)
+				return errors.CombineErrors(waitErr, err)
 			}
 		}
-		return errors.CombineErrors(waited, a.showSpread(s))
+		return errors.CombineErrors(waitErr, a.showConfigStatus(s))
 	})
 	f := c.Flags()
-	f.Uint64Var(&version, "version", 0, "version to look for (default: the one in force at the entry)")
+	f.Uint64Var(&version, "version", 0, "version to check (default: the one that the entry uses)")
 	f.BoolVar(&wait, "wait", false, "wait until the version is in effect at every live daemon")
 	f.DurationVar(&timeout, "timeout", 30*time.Second, "longest wait")
 	return c
 }
 
-func (a *app) showSpread(s operator.ConfigStatus) error {
+func (a *app) showConfigStatus(s operator.ConfigStatus) error {
 	return a.show(s, func(t *table) {
 		t.line("version %d is in effect at %d of %d daemons", s.Version, len(s.Daemons)-len(s.Lagging), len(s.Daemons))
 		if len(s.Lagging) > 0 {
-			t.line("lagging: %s", laggards(s))
+			t.line("lagging: %s", laggingText(s))
 		}
 	})
 }
--- a/internal/command/diagnose.go
+++ b/internal/command/diagnose.go
@@ -14,7 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// bundleParts are the files of a diagnostics bundle and where they come from.
+// bundleParts are the files of a diagnostics bundle, and the paths and queries
+// of the API that they are read from.
 var bundleParts = []struct {
 	file, path string
 	query      url.Values
@@ -30,7 +31,7 @@
 
 func (a *app) diagnoseCommand() *cobra.Command {
 	out := ""
-	c := leaf("diagnose", "Write a bundle that describes an entry, to send with a report", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	c := leaf("diagnose", "Write a diagnostics bundle of an entry, to attach to a problem report", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		if out == "" {
 			out = "bambooscale-" + time.Now().UTC().Format("20060102-150405") + ".tar.gz"
 		}
@@ -43,27 +44,29 @@
 			return err
 		}
 		if missing == len(bundleParts) {
-			return failed(ExitUnavailable, "%s holds errors only: the entry answered nothing", out)
+			return exitErrorf(ExitUnavailable, "%s contains only errors: the entry answered no request", out)
 		}
 		return a.show(map[string]any{"file": out, "missing": missing}, func(t *table) {
 			t.line("%s: %d of %d parts", out, len(bundleParts)-missing, len(bundleParts))
 		})
 	})
-	c.Long = c.Short + `. It has the status with the states of cells, workers and
-backend servers, queues, the configuration with its history and spread, the
-newest log events, the settings without secrets, metrics and a goroutine
-profile. Labels, selectors and names are in it; tokens and keys are not. A
-part that cannot be read is replaced by its error.`
+	c.Long = c.Short + `. It contains the status with the states of cells, workers
+and backend servers, queues, the configuration with its history and the
+versions that daemons use, the newest log events, the settings without
+secrets, metrics and a goroutine profile. Labels, selectors and names are
+included; tokens and keys are not. A part that cannot be read is replaced by
+its error.`
 	c.Flags().StringVar(&out, "out", "", "file to write, which must not exist (default: bambooscale-TIME.tar.gz)")
 	return c
 }
 
-// writeBundle writes the parts and returns how many could not be read.
+// writeBundle writes the bundle to f as a compressed tar archive, and returns
+// the number of parts that could not be read.
 func (a *app) writeBundle(ctx context.Context, f *os.File) (missing int, err error) {
 	zip := gzip.NewWriter(f)
 	archive := tar.NewWriter(zip)
 	for _, p := range bundleParts {
-		raw, err := a.client.raw(ctx, http.MethodGet, p.path, p.query, nil)
+		raw, err := a.client.do(ctx, http.MethodGet, p.path, p.query, nil)
 		name := p.file
 		if err != nil {
 			missing++
--- a/internal/command/edit.go
+++ b/internal/command/edit.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// editTries bounds how often an edit whose outcome is unknown is sent
-	// again with the same id.
-	editTries = 3
-	editPause = time.Second
-	// waitStep is how long the server holds one request of a wait, so that
-	// progress is shown.
-	waitStep = 5 * time.Second
+	// maxEditSends is how often an edit is sent with the same id, at most,
+	// while its outcome is unknown.
+	maxEditSends = 3
+	retryDelay   = time.Second
+	// longPollTime limits how long the server delays the response to one
+	// request of a wait, so that progress is shown in between.
+	longPollTime = 5 * time.Second
 )
 
-// editing is the flags of commands that edit the configuration.
-type editing struct {
+// editFlags are the flags of commands that edit the configuration.
+type editFlags struct {
 	id, author string
-	base       int64
+	base       int64 // negative: the newest version
 	wait       bool
 	timeout    time.Duration
 }
 
-func (e *editing) flags(c *cobra.Command) *cobra.Command {
+func (e *editFlags) register(c *cobra.Command) *cobra.Command {
 	f := c.Flags()
 	f.StringVar(&e.id, "edit-id", "", "id of the edit; repeating an edit with its id has no further effect (default: a random one)")
 	f.StringVar(&e.author, "author", userName(), "name recorded with the edit")
@@ -55,7 +55,8 @@
 	return u.Username
 }
 
-// readItem returns the newest item of a key, and the version read.
+// readItem returns the item of a key, nil if there is none, and the version of
+// the configuration that was read.
 func (a *app) readItem(ctx context.Context, k model.ConfigKey) (*model.ConfigItem, model.ConfigVersion, error) {
 	view, err := a.readConfig(ctx, k.Kind, k.Name)
 	if err != nil || len(view.Items) == 0 {
@@ -64,6 +65,7 @@
 	return &view.Items[0].ConfigItem, view.Version, nil
 }
 
+// readConfig reads the items of a kind and name; empty ones match all.
 func (a *app) readConfig(ctx context.Context, kind model.ConfigKind, name string) (view operator.ConfigView, err error) {
 	q := url.Values{}
 	if kind != "" {
@@ -75,9 +77,9 @@
 	return view, a.client.get(ctx, "/v1/config", q, &view)
 }
 
-// edit changes one item. change receives the newest item, or nil, and returns
-// what replaces it; nil removes it.
-func (a *app) edit(ctx context.Context, e *editing, k model.ConfigKey, change func(*model.ConfigItem) (*model.ConfigItem, error)) error {
+// edit changes one item. change receives the present item, or nil if there is
+// none, and returns its replacement, or nil to remove it.
+func (a *app) edit(ctx context.Context, e *editFlags, k model.ConfigKey, change func(*model.ConfigItem) (*model.ConfigItem, error)) error {
 	old, version, err := a.readItem(ctx, k)
 	if err != nil {
 		return err
@@ -108,60 +110,61 @@
 // sendEdit sends an edit, and sends it again with the same id while its
 // outcome is unknown.
 func (a *app) sendEdit(ctx context.Context, e configstore.Edit) (accepted configstore.EditResult, err error) {
-	for try := range editTries {
+	for try := range maxEditSends {
 		if try > 0 {
 			a.progress("the outcome of edit %s is unknown; sending it again", e.ID)
-			if !actor.Sleep(ctx, editPause) {
+			if !actor.Sleep(ctx, retryDelay) {
 				break
 			}
 		}
 		err = a.client.send(ctx, http.MethodPost, "/v1/config", nil, e, &accepted)
-		if err == nil || exitCode(err) != ExitUnknown {
-			return accepted, unknownBefore(try > 0, err)
+		if err == nil || exitCode(err) != ExitOutcomeUnknown {
+			return accepted, keepOutcomeUnknown(try > 0, err)
 		}
 	}
 	return accepted, err
 }
 
-// unknownBefore keeps an edit unknown when a repetition could not be made.
-func unknownBefore(repeated bool, err error) error {
+// keepOutcomeUnknown returns the error of an edit with ExitOutcomeUnknown if a
+// repetition had no effect: the first one may still have taken effect.
+func keepOutcomeUnknown(repeated bool, err error) error {
 	if repeated && err != nil && exitCode(err) == ExitUnavailable {
-		return failure{ExitUnknown, err}
+		return exitError{ExitOutcomeUnknown, err}
 	}
 	return err
 }
 
-// awaitConfig waits until a version is in effect everywhere.
+// awaitConfig waits until every live daemon uses a version.
 func (a *app) awaitConfig(ctx context.Context, v model.ConfigVersion, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var s operator.ConfigStatus
 	for {
-		q := url.Values{"version": {strconv.FormatUint(uint64(v), 10)}, "wait": {waitStep.String()}}
+		q := url.Values{"version": {strconv.FormatUint(uint64(v), 10)}, "wait": {longPollTime.String()}}
 		err := a.client.get(ctx, "/v1/config/status", q, &s)
 		switch {
 		case err == nil && s.Applied:
 			a.progress("version %d is in effect at %d daemons", v, len(s.Daemons))
 			return nil
 		case ctx.Err() != nil:
-			return failed(ExitFailure, "version %d is accepted, but not in effect everywhere after %s; lagging: %s", v, timeout, laggards(s))
+			return exitErrorf(ExitFailure, "version %d is accepted, but not in effect everywhere after %s; lagging: %s", v, timeout, laggingText(s))
 		case err != nil && exitCode(err) != ExitUnavailable:
 			return err
 		case err != nil:
-			actor.Sleep(ctx, editPause)
+			actor.Sleep(ctx, retryDelay)
 		default:
-			a.progress("waiting for version %d at %s", v, laggards(s))
+			a.progress("waiting for version %d at %s", v, laggingText(s))
 		}
 	}
 }
 
-// laggards names the first daemons that lag.
-func laggards(s operator.ConfigStatus) string {
-	const shown = 5
+// laggingText lists the first few lagging daemons and their versions.
+func laggingText(s operator.ConfigStatus) string {
+	const maxShown = 5
 	var names []string
 	for i, d := range s.Lagging {
-		if i == shown {
-			names = append(names, fmt.Sprintf("and %d more", len(s.Lagging)-shown))
+		if i == maxShown {
+			names = append(names, fmt.Sprintf("and %d more", len(s.Lagging)-maxShown))
 			break
 		}
 		names = append(names, fmt.Sprintf("%s (version %d)", d.Daemon, d.Version))
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -23,8 +23,8 @@
 		a.jobSubmit(), a.jobList(), a.jobShow(), a.jobCancel(), a.jobResult())
 }
 
-func jobPath(id string, more ...string) string {
-	return strings.Join(append([]string{"/v1/jobs", url.PathEscape(id)}, more...), "/")
+func jobPath(id string, segments ...string) string {
+	return strings.Join(append([]string{"/v1/jobs", url.PathEscape(id)}, segments...), "/")
 }
 
 func cellQuery(cell string) url.Values {
@@ -35,8 +35,8 @@
 	return q
 }
 
-// submission is the flags of job submit.
-type submission struct {
+// submitFlags are the flags of job submit.
+type submitFlags struct {
 	file, cell, cpu, memory string
 	labels                  []string
 	spec                    model.JobSpec
@@ -45,7 +45,7 @@
 }
 
 func (a *app) jobSubmit() *cobra.Command {
-	s := &submission{}
+	s := &submitFlags{}
 	c := leaf("submit", "Submit a job from a file or from flags", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		return a.submit(ctx, s)
 	})
@@ -53,25 +53,25 @@
 	f := c.Flags()
 	f.StringVarP(&s.file, "file", "f", "", "file with the job as JSON, - for standard input; flags replace its fields")
 	f.StringVar(&s.cell, "cell", "", "cell that runs the job (default: the entry's default cell)")
-	f.StringVar((*string)(&s.spec.ID), "id", "", "job's id (default: a random one, which is printed)")
-	f.StringVar((*string)(&s.spec.Team), "team", "", "owner of the job (default: \"default\")")
+	f.StringVar((*string)(&s.spec.ID), "id", "", "id of the job (default: a random one, which is printed)")
+	f.StringVar((*string)(&s.spec.Team), "team", "", "team that owns the job (default: \"default\")")
 	f.StringVar((*string)(&s.spec.Class), "class", "", "class of the job (default: \"default\")")
 	f.StringVar(&s.cpu, "cpu", "", "processors, such as 2 or 500m")
 	f.StringVar(&s.memory, "memory", "", "memory, such as 512MiB")
 	f.Int64Var(&s.spec.Resources.Accelerators, "accelerators", 0, "accelerators")
-	f.StringVar(&s.spec.Program, "program", "", "program, passed to the worker as it is")
-	f.BoolVar(&s.spec.Urgent, "urgent", false, "place it before other jobs")
-	f.BoolVar(&s.spec.LongRunning, "long-running", false, "a stop is worse than a late failover")
+	f.StringVar(&s.spec.Program, "program", "", "program, passed to the worker unchanged")
+	f.BoolVar(&s.spec.Urgent, "urgent", false, "place the job before others")
+	f.BoolVar(&s.spec.LongRunning, "long-running", false, "keep the job running for longer without a controller: a stop is worse than a late failover")
 	f.StringArrayVarP(&s.labels, "label", "l", nil, "label key=value; may be repeated")
 	f.BoolVar(&s.wait, "wait", false, "wait until the job has ended")
 	f.DurationVar(&s.timeout, "timeout", 0, "longest wait; 0 has no limit")
 	return c
 }
 
-func (a *app) submit(ctx context.Context, s *submission) error {
+func (a *app) submit(ctx context.Context, s *submitFlags) error {
 	spec, err := s.resolve(a.stdin)
 	if err != nil {
-		return failure{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	var view operator.JobView
 	if err := a.client.send(ctx, http.MethodPost, "/v1/jobs", cellQuery(s.cell), spec, &view); err != nil {
@@ -83,20 +83,21 @@
 	return a.showJobs([]operator.JobView{view}, view)
 }
 
-// resolve reads the file, then lets flags replace its fields.
-func (s *submission) resolve(stdin io.Reader) (spec model.JobSpec, err error) {
+// resolve returns the job of the file, if there is one, with its fields
+// replaced by the flags that are set.
+func (s *submitFlags) resolve(stdin io.Reader) (spec model.JobSpec, err error) {
 	if s.file != "" {
 		if err = readJSON(s.file, stdin, &spec); err != nil {
 			return spec, err
 		}
 	}
-	override(&spec.ID, s.spec.ID)
-	override(&spec.Team, s.spec.Team)
-	override(&spec.Class, s.spec.Class)
-	override(&spec.Program, s.spec.Program)
-	override(&spec.Resources.Accelerators, s.spec.Resources.Accelerators)
-	override(&spec.Urgent, s.spec.Urgent)
-	override(&spec.LongRunning, s.spec.LongRunning)
+	overrideIfSet(&spec.ID, s.spec.ID)
+	overrideIfSet(&spec.Team, s.spec.Team)
+	overrideIfSet(&spec.Class, s.spec.Class)
+	overrideIfSet(&spec.Program, s.spec.Program)
+	overrideIfSet(&spec.Resources.Accelerators, s.spec.Resources.Accelerators)
+	overrideIfSet(&spec.Urgent, s.spec.Urgent)
+	overrideIfSet(&spec.LongRunning, s.spec.LongRunning)
 	if s.cpu != "" {
 		if spec.Resources.CPU, err = settings.ParseCPU(s.cpu); err != nil {
 			return spec, fmt.Errorf("--cpu: %w", err)
@@ -122,7 +123,7 @@
 	return spec, nil
 }
 
-func (s *submission) addLabels(spec *model.JobSpec) error {
+func (s *submitFlags) addLabels(spec *model.JobSpec) error {
 	if len(s.labels) > 0 && spec.Labels == nil {
 		spec.Labels = model.Labels{}
 	}
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// override sets a field to a flag's value if the flag was given one.
-func override[T comparable](field *T, flag T) {
+// overrideIfSet sets a field to the value of a flag unless that is zero.
+func overrideIfSet[T comparable](field *T, flag T) {
 	var zero T
 	if flag != zero {
 		*field = flag
@@ -185,7 +186,7 @@
 			if j.CancelRequested && phase != "cancelled" {
 				phase += " (cancel requested)"
 			}
-			t.row(j.Spec.ID, j.Spec.Team, j.Spec.Class, phase, j.Attempt, dash(string(j.Worker)), dash(j.Reason))
+			t.row(j.Spec.ID, j.Spec.Team, j.Spec.Class, phase, j.Attempt, orDash(string(j.Worker)), orDash(j.Reason))
 		}
 	})
 }
@@ -202,14 +203,14 @@
 			t.row("id", view.Spec.ID)
 			t.row("cell", view.Cell)
 			t.row("team, class", fmt.Sprintf("%s, %s", view.Spec.Team, view.Spec.Class))
-			t.row("labels", dash(labelsText(view.Spec.Labels)))
+			t.row("labels", orDash(labelsText(view.Spec.Labels)))
 			t.row("declared size", fmt.Sprintf("%s cores, %s, %d accelerators", cores(r.CPU), gigabytes(r.Memory), r.Accelerators))
 			t.row("phase", view.Phase)
 			t.row("attempt", fmt.Sprintf("%d (%d evictions, %d failures)", view.Attempt, view.Evictions, view.Failures))
-			t.row("worker", dash(string(view.Worker)))
-			t.row("checkpoint", dash(view.Checkpoint))
-			t.row("result", dash(view.Result))
-			t.row("reason", dash(view.Reason))
+			t.row("worker", orDash(string(view.Worker)))
+			t.row("checkpoint", orDash(view.Checkpoint))
+			t.row("result", orDash(view.Result))
+			t.row("reason", orDash(view.Reason))
 			t.row("cancel requested", view.CancelRequested)
 		})
 	})
@@ -233,7 +234,7 @@
 		if err := a.awaitJob(ctx, view, timeout); !errors.As(err, &ended) {
 			return err
 		}
-		return nil // any end is what was asked for
+		return nil // the job has ended, whether cancelled or in another way
 	})
 	f := c.Flags()
 	f.StringVar(&cell, "cell", "", "cell of the job (default: the entry's default cell)")
@@ -245,7 +246,7 @@
 func (a *app) jobResult() *cobra.Command {
 	var cell string
 	c := leaf("result ID", "Write a job's result to standard output", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
-		raw, err := a.client.raw(ctx, http.MethodGet, jobPath(args[0], "result"), cellQuery(cell), nil)
+		raw, err := a.client.do(ctx, http.MethodGet, jobPath(args[0], "result"), cellQuery(cell), nil)
 		if err != nil {
 			return err
 		}
--- a/internal/command/jobwait.go
+++ b/internal/command/jobwait.go
@@ -14,21 +14,24 @@
 	"github.com/bambooscale/bambooscale/internal/operator"
 )
 
-// jobPoll is how often a waiting command looks at the job.
-const jobPoll = time.Second
+// pollInterval is the time between two requests for the state of a job or of a
+// backend server while a command waits.
+const pollInterval = time.Second
 
-// phaseParked is the phase in which a job waits for an operator; waiting for
-// it to end would last for ever.
+// phaseParked is the phase in which a job waits for an operator. A wait for its
+// end would not return until then.
 const phaseParked model.Phase = "parked"
 
-// jobEndedError says that a job ended in another way than done.
+// jobEndedError reports that the wait for a job ended in a phase other than
+// done.
 type jobEndedError struct{ job operator.JobView }
 
 func (e *jobEndedError) Error() string {
-	return fmt.Sprintf("job %s is %s: %s", e.job.Spec.ID, e.job.Phase, dash(e.job.Reason))
+	return fmt.Sprintf("job %s is %s: %s", e.job.Spec.ID, e.job.Phase, orDash(e.job.Reason))
 }
 
-// awaitJob waits until a job has ended. Every end but done is a failure.
+// awaitJob waits until a job has ended or is parked, and shows it. Every phase
+// but done is a *jobEndedError.
 func (a *app) awaitJob(ctx context.Context, view operator.JobView, timeout time.Duration) error {
 	final, err := finalPhases(charts.Files)
 	if err != nil {
@@ -47,8 +50,8 @@
 		if final[view.Phase] || (view.Phase == phaseParked && !view.CancelRequested) {
 			break
 		}
-		if !actor.Sleep(ctx, jobPoll) {
-			return failed(ExitFailure, "job %s has not ended yet; it is %s", view.Spec.ID, view.Phase)
+		if !actor.Sleep(ctx, pollInterval) {
+			return exitErrorf(ExitFailure, "job %s has not ended yet; it is %s", view.Spec.ID, view.Phase)
 		}
 		err := a.client.get(ctx, jobPath(string(view.Spec.ID)), cellQuery(string(view.Cell)), &view)
 		if err != nil && exitCode(err) != ExitUnavailable {
@@ -64,7 +67,7 @@
 	return nil
 }
 
-// finalPhases reads the final states of the job's chart.
+// finalPhases returns the final states of charts/job.scxml.
 func finalPhases(fsys fs.FS) (map[model.Phase]bool, error) {
 	doc, err := chart.Parse(fsys, "job")
 	if err != nil {
--- a/internal/command/label.go
+++ b/internal/command/label.go
@@ -17,8 +17,8 @@
 const kindsHelp = "KIND is service, class, team, worker, backend or job."
 
 func (a *app) labelSet() *cobra.Command {
-	e, replace := &editing{}, false
-	c := leaf("set KIND NAME KEY=VALUE...", "Set labels of a thing", cobra.MinimumNArgs(3), func(ctx context.Context, args []string) error {
+	e, replace := &editFlags{}, false
+	c := leaf("set KIND NAME KEY=VALUE...", "Set labels of an item", cobra.MinimumNArgs(3), func(ctx context.Context, args []string) error {
 		return a.edit(ctx, e, labelKey(args), func(old *model.ConfigItem) (*model.ConfigItem, error) {
 			l := model.Labels{}
 			if old != nil && !replace {
@@ -27,16 +27,16 @@
 			for _, arg := range args[2:] {
 				k, v, ok := strings.Cut(arg, "=")
 				if !ok {
-					return nil, failed(ExitUsage, "%q is not KEY=VALUE", arg)
+					return nil, exitErrorf(ExitUsage, "%q is not KEY=VALUE", arg)
 				}
 				l[k] = v
 			}
 			return &model.ConfigItem{Labels: l}, nil
 		})
 	})
-	c.Long = c.Short + ". Other labels of the thing stay. " + kindsHelp
-	c.Flags().BoolVar(&replace, "replace", false, "remove all other labels of the thing")
-	return e.flags(c)
+	c.Long = c.Short + ". Its other labels are kept. " + kindsHelp
+	c.Flags().BoolVar(&replace, "replace", false, "remove all other labels of the item")
+	return e.register(c)
 }
 
 func labelKey(args []string) model.ConfigKey {
@@ -44,16 +44,16 @@
 }
 
 func (a *app) labelRemove() *cobra.Command {
-	e := &editing{}
-	c := leaf("remove KIND NAME [KEY...]", "Remove labels of a thing, or all of them", cobra.MinimumNArgs(2), func(ctx context.Context, args []string) error {
+	e := &editFlags{}
+	c := leaf("remove KIND NAME [KEY...]", "Remove some or all labels of an item", cobra.MinimumNArgs(2), func(ctx context.Context, args []string) error {
 		return a.edit(ctx, e, labelKey(args), func(old *model.ConfigItem) (*model.ConfigItem, error) {
 			if old == nil {
-				return nil, failed(ExitNotFound, "%s has no labels", labelKey(args))
+				return nil, exitErrorf(ExitNotFound, "%s has no labels", labelKey(args))
 			}
 			l := maps.Clone(old.Labels)
 			for _, k := range args[2:] {
 				if _, ok := l[k]; !ok {
-					return nil, failed(ExitNotFound, "%s has no label %q", labelKey(args), k)
+					return nil, exitErrorf(ExitNotFound, "%s has no label %q", labelKey(args), k)
 				}
 				delete(l, k)
 			}
@@ -64,7 +64,7 @@
 		})
 	})
 	c.Long = c.Short + ". " + kindsHelp
-	return e.flags(c)
+	return e.register(c)
 }
 
 func (a *app) labelShow() *cobra.Command {
--- a/internal/command/offline.go
+++ b/internal/command/offline.go
@@ -40,7 +40,7 @@
 		files[i] = strings.TrimSuffix(filepath.Base(f), ".scxml")
 	}
 	if len(files) == 0 {
-		return nil, failed(ExitNotFound, "there are no charts")
+		return nil, exitErrorf(ExitNotFound, "no charts (*.scxml) found")
 	}
 	return files, nil
 }
@@ -81,25 +81,25 @@
 				return err
 			}
 		}
-		found := finding.List{}
+		findings := finding.List{}
 		for _, n := range names {
 			doc, err := chart.Parse(files(), n)
-			var list finding.List
+			var invalid finding.List
 			switch {
-			case errors.As(err, &list):
-				found = append(found, list...)
+			case errors.As(err, &invalid):
+				findings = append(findings, invalid...)
 			case errors.Is(err, fs.ErrNotExist):
-				return failed(ExitNotFound, "chart %q does not exist", n)
+				return exitErrorf(ExitNotFound, "chart %q does not exist", n)
 			case err != nil:
 				return err
 			default:
-				found = append(found, doc.Check()...)
+				findings = append(findings, doc.Check()...)
 			}
 		}
-		if err := a.show(found, func(t *table) { t.line("%d charts checked, %d findings", len(names), len(found)) }); err != nil {
+		if err := a.show(findings, func(t *table) { t.line("%d charts checked, %d findings", len(names), len(findings)) }); err != nil {
 			return err
 		}
-		return found.Err()
+		return findings.Err()
 	})
 }
 
@@ -110,18 +110,18 @@
 		case all && len(args) == 0:
 			return a.drawAllCharts(files())
 		case all || len(args) == 0:
-			return failed(ExitUsage, "name one chart, or use --all")
+			return exitErrorf(ExitUsage, "name one chart, or use --all")
 		}
 		doc, err := chart.Parse(files(), args[0])
 		if errors.Is(err, fs.ErrNotExist) {
-			return failed(ExitNotFound, "chart %q does not exist; chart list shows those that do", args[0])
+			return exitErrorf(ExitNotFound, "chart %q does not exist; chart list shows those that do", args[0])
 		} else if err != nil {
 			return err
 		}
 		_, err = fmt.Fprint(a.stdout, doc.Mermaid())
 		return err
 	})
-	c.Flags().BoolVar(&all, "all", false, "write a Markdown page with every chart, docs/charts.md")
+	c.Flags().BoolVar(&all, "all", false, "write a Markdown page with every chart (docs/charts.md)")
 	return c
 }
 
@@ -149,9 +149,9 @@
 		}),
 		leaf("check FILE", "Check a settings file and report every finding", cobra.ExactArgs(1), func(_ context.Context, args []string) error {
 			_, err := settings.Load(args[0])
-			var found finding.List
-			if errors.As(err, &found) {
-				return failure{ExitUsage, err}
+			var findings finding.List
+			if errors.As(err, &findings) {
+				return exitError{ExitUsage, err}
 			} else if err != nil {
 				return err
 			}
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -18,17 +18,18 @@
 	return enc.Encode(v)
 }
 
-// show prints v as JSON, or as the table that draw writes.
-func (a *app) show(v any, draw func(t *table)) error {
+// show writes v to standard output as JSON, or as the table that print writes,
+// depending on --output.
+func (a *app) show(v any, print func(t *table)) error {
 	if a.output == "json" {
 		return a.json(v)
 	}
 	t := newTable(a.stdout)
-	draw(t)
+	print(t)
 	return t.flush()
 }
 
-// progress tells on stderr what a command waits for.
+// progress writes a line about the progress of a command to standard error.
 func (a *app) progress(format string, args ...any) { fmt.Fprintf(a.stderr, format+"\n", args...) }
 
 // table writes aligned columns.
@@ -46,7 +47,7 @@
 	fmt.Fprintln(t.w)
 }
 
-// line writes text that does not take part in the columns.
+// line writes a line that does not affect the alignment of columns.
 func (t *table) line(format string, args ...any) {
 	_ = t.w.Flush()
 	fmt.Fprintf(t.w, format+"\n", args...)
@@ -55,6 +56,7 @@
 
 func (t *table) flush() error { return t.w.Flush() }
 
+// labelsText formats labels as key=value pairs, sorted by key.
 func labelsText(l model.Labels) string {
 	parts := make([]string, 0, len(l))
 	for k, v := range l {
@@ -75,15 +77,16 @@
 	return fmt.Sprintf("%.1fms", float64(d)/float64(time.Millisecond))
 }
 
-func dash(s string) string {
+// orDash returns s, or "-" for an empty cell of a table.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// tree writes any JSON value as indented text.
-func (t *table) tree(indent string, v any) {
+// printTree writes a decoded JSON value as indented text, with sorted keys.
+func (t *table) printTree(indent string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		keys := make([]string, 0, len(v))
@@ -92,22 +95,22 @@
 		}
 		sort.Strings(keys)
 		for _, k := range keys {
-			t.branch(indent+k+":", indent, v[k])
+			t.printBranch(indent+k+":", indent, v[k])
 		}
 	case []any:
 		for _, e := range v {
-			t.branch(indent+"-", indent, e)
+			t.printBranch(indent+"-", indent, e)
 		}
 	default:
 		t.line("%s%v", indent, v)
 	}
 }
 
-func (t *table) branch(head, indent string, v any) {
+func (t *table) printBranch(head, indent string, v any) {
 	switch v.(type) {
 	case map[string]any, []any:
 		t.line("%s", head)
-		t.tree(indent+"  ", v)
+		t.printTree(indent+"  ", v)
 	default:
 		t.line("%s %v", head, v)
 	}
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,5 +1,5 @@
-// Package command is the command line of bambooctl. Each command is one or
-// few requests to the operators' API; the package decides nothing else.
+// Package command implements the command line of bambooctl. Most commands send
+// one or a few requests to the operators' API of an entry.
 package command
 
 import (
@@ -15,20 +15,20 @@
 
 // Exit codes, for scripts.
 const (
-	ExitOK          = 0
-	ExitFailure     = 1 // the command ran, but what it waited for failed
-	ExitUsage       = 2 // the command line or the input is invalid
-	ExitConflict    = 3 // something else was changed or submitted first
-	ExitNotFound    = 4
-	ExitUnavailable = 5 // refused or unavailable; nothing was changed
-	ExitUnknown     = 6 // the change may have taken effect; repeating it is safe
+	ExitOK             = 0
+	ExitFailure        = 1 // the command ran, but it or what it waited for failed
+	ExitUsage          = 2 // the command line or the input is invalid
+	ExitConflict       = 3 // another change or job came first
+	ExitNotFound       = 4
+	ExitUnavailable    = 5 // refused or unavailable; nothing was changed
+	ExitOutcomeUnknown = 6 // the change may have taken effect; repeating it is safe
 )
 
 const exitCodesText = `Exit codes: 0 done, 1 failed, 2 invalid command line or input, 3 conflict,
 4 not found, 5 refused or unavailable (nothing was changed), 6 outcome unknown
 (it may have been done; repeating the command with the same id is safe).`
 
-// app is the state of one invocation.
+// app is the state of one run of the program.
 type app struct {
 	stdout, stderr io.Writer
 	stdin          io.Reader
@@ -37,26 +37,26 @@
 	client         *client
 }
 
-// ranError marks errors of a command that ran, as opposed to those of cobra
-// about the command line.
-type ranError struct{ error }
+// runError marks the errors that a command returned, as opposed to those of
+// cobra about the command line.
+type runError struct{ error }
 
-func (e ranError) Unwrap() error { return e.error }
+func (e runError) Unwrap() error { return e.error }
 
-// failure is an error with its exit code.
-type failure struct {
+// exitError is an error with its exit code.
+type exitError struct {
 	code int
 	error
 }
 
-func (e failure) Unwrap() error { return e.error }
+func (e exitError) Unwrap() error { return e.error }
 
-func failed(code int, format string, args ...any) error {
-	return failure{code, fmt.Errorf(format, args...)}
+func exitErrorf(code int, format string, args ...any) error {
+	return exitError{code, fmt.Errorf(format, args...)}
 }
 
-// Run executes a command line (without the program's name) and returns the
-// exit code.
+// Run executes a command line, given without the name of the program, and
+// returns the exit code.
 func Run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	a := &app{stdin: stdin, stdout: stdout, stderr: stderr}
 	root := a.root()
@@ -69,16 +69,17 @@
 		return ExitOK
 	}
 	fmt.Fprintf(stderr, "bambooctl: %v\n", err)
-	var ran ranError
-	if !errors.As(err, &ran) {
+	var failedRun runError
+	if !errors.As(err, &failedRun) {
 		return ExitUsage
 	}
 	return exitCode(err)
 }
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
-	var f failure
-	var r *remoteError
+	var f exitError
+	var r *apiError
 	switch {
 	case errors.As(err, &f):
 		return f.code
@@ -119,7 +120,7 @@
 	return fallback
 }
 
-// group is a command that only has subcommands.
+// group returns a command that only has subcommands.
 func (a *app) group(use, short string, subs ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ArbitraryArgs,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -127,18 +128,18 @@
 				return fmt.Errorf("unknown command %q for %q; see %s --help", args[0], c.CommandPath(), c.CommandPath())
 			}
 			_ = c.Help()
-			return errors.New("name a command")
+			return errors.New("a command is required")
 		}}
 	c.AddCommand(subs...)
 	return c
 }
 
-// leaf is a command that does something.
+// leaf returns a command without subcommands, which calls run.
 func leaf(use, short string, args cobra.PositionalArgs, run func(ctx context.Context, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: args,
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := run(c.Context(), args); err != nil {
-				return ranError{err}
+				return runError{err}
 			}
 			return nil
 		}}
--- a/internal/command/selector.go
+++ b/internal/command/selector.go
@@ -17,7 +17,7 @@
 }
 
 func (a *app) selectorSet() *cobra.Command {
-	e, s := &editing{}, &model.Selector{}
+	e, s := &editFlags{}, &model.Selector{}
 	c := leaf("set NAME", "Set a selector", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		return a.edit(ctx, e, selectorKey(args[0]), func(*model.ConfigItem) (*model.ConfigItem, error) {
 			return &model.ConfigItem{Selector: s}, nil
@@ -31,15 +31,15 @@
 	f.StringVar((*string)(&s.Kind), "kind", "", "may-share, must-stay-apart or yields-first")
 	f.StringVar(&s.Subject, "subject", "", "label selector, such as 'class in (priming,braiding)'")
 	f.StringVar(&s.Object, "object", "", "label selector of other work or hosts; not for yields-first")
-	return e.flags(c)
+	return e.register(c)
 }
 
 func (a *app) selectorRemove() *cobra.Command {
-	e := &editing{}
-	return e.flags(leaf("remove NAME", "Remove a selector", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	e := &editFlags{}
+	return e.register(leaf("remove NAME", "Remove a selector", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		return a.edit(ctx, e, selectorKey(args[0]), func(old *model.ConfigItem) (*model.ConfigItem, error) {
 			if old == nil {
-				return nil, failed(ExitNotFound, "selector %q does not exist", args[0])
+				return nil, exitErrorf(ExitNotFound, "selector %q does not exist", args[0])
 			}
 			return nil, nil
 		})
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -16,11 +16,12 @@
 	"github.com/bambooscale/bambooscale/internal/operator"
 )
 
-// Lines of each part of status, so that all of it fits a screen of 24 lines.
+// Largest number of lines in each part of status, so that the whole fits on a
+// screen of 24 lines.
 const (
-	statusProblems = 8
-	statusServices = 5
-	statusCells    = 5
+	maxStatusProblems = 8
+	maxStatusServices = 5
+	maxStatusCells    = 5
 )
 
 func (a *app) readStatus(ctx context.Context) (s operator.Status, err error) {
@@ -29,51 +30,53 @@
 
 func (a *app) statusCommand() *cobra.Command {
 	all := false
-	c := leaf("status", "Show what is wrong, then services and cells", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	c := leaf("status", "Show problems, then services and cells", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		s, err := a.readStatus(ctx)
 		if err != nil {
 			return err
 		}
-		return a.show(s, func(t *table) { drawStatus(t, s, all) })
+		return a.show(s, func(t *table) { printStatus(t, s, all) })
 	})
 	c.Flags().BoolVar(&all, "all", false, "show every line instead of one screen")
 	return c
 }
 
-// first returns how many of n lines are shown.
-func first(n, limit int, all bool) int {
+// shownLines returns how many of n lines are shown: limit at most, unless all
+// is set.
+func shownLines(n, limit int, all bool) int {
 	if all {
 		return n
 	}
 	return min(n, limit)
 }
 
-func drawStatus(t *table, s operator.Status, all bool) {
+func printStatus(t *table, s operator.Status, all bool) {
 	if len(s.Problems) == 0 {
 		t.line("no problems")
 	}
-	n := first(len(s.Problems), statusProblems, all)
+	n := shownLines(len(s.Problems), maxStatusProblems, all)
 	for _, p := range s.Problems[:n] {
 		t.line("! %s", p)
 	}
-	more(t, len(s.Problems)-n)
+	printMore(t, len(s.Problems)-n)
 	t.line("entry %s, build %s; configuration version %d, %s", s.Entry, s.Build, s.Config.Version, s.Config.State)
-	drawServices(t, s.Services, all)
-	drawCells(t, s.Cells, all)
+	printServices(t, s.Services, all)
+	printCells(t, s.Cells, all)
 }
 
-func more(t *table, n int) {
+// printMore says that n lines were omitted.
+func printMore(t *table, n int) {
 	if n > 0 {
 		t.line("  and %d more; show them with --all", n)
 	}
 }
 
-func drawServices(t *table, list []model.ServiceStatus, all bool) {
+func printServices(t *table, list []model.ServiceStatus, all bool) {
 	if len(list) == 0 {
 		return
 	}
 	t.row("SERVICE", "BACKENDS READY", "QUEUED", "RUNNING", "FREE CREDITS", "REFUSED")
-	n := first(len(list), statusServices, all)
+	n := shownLines(len(list), maxStatusServices, all)
 	for _, s := range list[:n] {
 		ready := 0
 		for _, b := range s.Backends {
@@ -83,15 +86,15 @@
 		}
 		t.row(s.Service, fmt.Sprintf("%d/%d", ready, len(s.Backends)), s.Queued, s.Running, s.Credits, s.Refused)
 	}
-	more(t, len(list)-n)
+	printMore(t, len(list)-n)
 }
 
-func drawCells(t *table, list []model.CellStatus, all bool) {
+func printCells(t *table, list []model.CellStatus, all bool) {
 	if len(list) == 0 {
 		return
 	}
 	t.row("CELL", "STATE", "OWNER", "EPOCH", "WORKERS READY", "JOBS")
-	n := first(len(list), statusCells, all)
+	n := shownLines(len(list), maxStatusCells, all)
 	for _, c := range list[:n] {
 		ready := 0
 		for _, w := range c.Workers {
@@ -99,9 +102,9 @@
 				ready++
 			}
 		}
-		t.row(c.Cell, c.State, dash(string(c.Owner)), c.Epoch, fmt.Sprintf("%d/%d", ready, len(c.Workers)), phasesText(c.Phases))
+		t.row(c.Cell, c.State, orDash(string(c.Owner)), c.Epoch, fmt.Sprintf("%d/%d", ready, len(c.Workers)), phasesText(c.Phases))
 	}
-	more(t, len(list)-n)
+	printMore(t, len(list)-n)
 }
 
 func phasesText(phases map[model.Phase]int) string {
@@ -110,7 +113,7 @@
 		parts = append(parts, fmt.Sprintf("%s %d", p, n))
 	}
 	sort.Strings(parts)
-	return dash(strings.Join(parts, ", "))
+	return orDash(strings.Join(parts, ", "))
 }
 
 func (a *app) backendCommand() *cobra.Command {
@@ -160,14 +163,15 @@
 				return err
 			}
 		}
-		return a.show(answer, func(t *table) { t.line("backend server %s drains", args[0]) })
+		return a.show(answer, func(t *table) { t.line("backend server %s is draining", args[0]) })
 	})
 	c.Flags().BoolVar(&wait, "wait", false, "wait until its last request has ended")
 	c.Flags().DurationVar(&timeout, "timeout", time.Minute, "longest wait")
 	return c
 }
 
-// awaitDrain waits until a backend server has left, as this entry knows it.
+// awaitDrain waits until a backend server is in the state left, or unknown, at
+// the entry.
 func (a *app) awaitDrain(ctx context.Context, id model.BackendID, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -185,8 +189,8 @@
 			shown = now
 			a.progress("%s", now)
 		}
-		if !actor.Sleep(ctx, jobPoll) {
-			return failed(ExitFailure, "backend server %s has not left after %s", id, timeout)
+		if !actor.Sleep(ctx, pollInterval) {
+			return exitErrorf(ExitFailure, "backend server %s has not left after %s", id, timeout)
 		}
 	}
 }
