--- a/internal/operator/encode.go
+++ b/internal/operator/encode.go
@@ -122,6 +122,7 @@
 	return nil
 }
 
+// errorOffset returns the position of a decoding error in the input, in bytes.
 func errorOffset(err error, dec *json.Decoder) int64 {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
@@ -134,10 +135,12 @@
 	return dec.InputOffset()
 }
 
+// lineNumber returns the line, counted from 1, at an offset in bytes.
 func lineNumber(raw []byte, offset int64) int {
 	return 1 + bytes.Count(raw[:min(offset, int64(len(raw)))], []byte("\n"))
 }
 
+// newFinding returns a list of one finding as an error.
 func newFinding(source string, line int, element, format string, args ...any) error {
 	var findings finding.List
 	findings.Add(source, line, element, format, args...)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -152,6 +152,7 @@
 	raw    []byte // sent unchanged as application/octet-stream
 }
 
+// route is a path and method of the API, and the handler for it.
 type route struct {
 	path, method string
 	handle       handler
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -68,12 +68,12 @@
 func problems(s Status) []string {
 	var urgent, later []string
 	for _, svc := range s.Services {
-		u, l := serviceProblems(svc)
-		urgent, later = append(urgent, u...), append(later, l...)
+		svcUrgent, svcLater := serviceProblems(svc)
+		urgent, later = append(urgent, svcUrgent...), append(later, svcLater...)
 	}
 	for _, c := range s.Cells {
-		u, l := cellProblems(c)
-		urgent, later = append(urgent, u...), append(later, l...)
+		cellUrgent, cellLater := cellProblems(c)
+		urgent, later = append(urgent, cellUrgent...), append(later, cellLater...)
 	}
 	switch s.Config.State {
 	case "empty":
