--- a/internal/command/applyfile.go
+++ b/internal/command/applyfile.go
@@ -32,6 +32,7 @@
 	},
 }
 
+// readAll reads a file, or standard input for "-".
 func readAll(file string, stdin io.Reader) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(stdin)
@@ -65,8 +66,8 @@
 			continue
 		}
 		change := configstore.Change{Key: view.Key, Item: &view.ConfigItem}
-		if first, duplicate := lines[view.Key]; duplicate {
-			findings.Add(file, line, view.Key.String(), "is also set in line %d", first)
+		if firstLine, duplicate := lines[view.Key]; duplicate {
+			findings.Add(file, line, view.Key.String(), "is also set in line %d", firstLine)
 		}
 		lines[view.Key] = line
 		findings = append(findings, checkItem(file, line, change)...)
@@ -75,6 +76,7 @@
 	return changes, findings.Err()
 }
 
+// decodeStrictly decodes a JSON value and rejects unknown fields.
 func decodeStrictly(raw []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -110,8 +112,8 @@
 	isWanted := map[model.ConfigKey]bool{}
 	for _, w := range wanted {
 		isWanted[w.Key] = true
-		if before := old[w.Key]; before == nil || itemText(*before) != itemText(*w.Item) {
-			list = append(list, difference{w.Key, before, w.Item})
+		if previous := old[w.Key]; previous == nil || itemText(*previous) != itemText(*w.Item) {
+			list = append(list, difference{w.Key, previous, w.Item})
 		}
 	}
 	for _, item := range view.Items {
@@ -122,6 +124,7 @@
 	return list
 }
 
+// printDifferences writes a line for each item: + added, - removed, ~ changed.
 func printDifferences(t *table, list []difference) {
 	for _, d := range list {
 		switch {
--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -108,11 +108,11 @@
 		return exitError{ExitUsage, errors.Wrap(err, "read load plan")}
 	}
 	a.progress("sending to %s for %s", plan.Target, plan.Duration())
-	r := load.Run(ctx, plan, load.Dial(plan.Target))
-	if err := a.show(r, func(t *table) { printLoad(t, r) }); err != nil {
+	report := load.Run(ctx, plan, load.Dial(plan.Target))
+	if err := a.show(report, func(t *table) { printLoad(t, report) }); err != nil {
 		return err
 	}
-	for _, c := range r.Classes {
+	for _, c := range report.Classes {
 		if c.Done == 0 && c.Sent > 0 {
 			return exitErrorf(ExitFailure, "no request of class %s succeeded; see its statuses and errors, and the entry's status", c.Name)
 		}
@@ -120,14 +120,14 @@
 	return nil
 }
 
-func printLoad(t *table, r load.Report) {
+func printLoad(t *table, report load.Report) {
 	t.row("CLASS", "SENT", "DONE", "LATE", "REFUSED", "UNSENT", "UNFINISHED", "P50", "P99", "P99.9", "MAX")
-	for _, c := range r.Classes {
+	for _, c := range report.Classes {
 		l := c.Latency
 		t.row(c.Name, c.Sent, c.Done, c.Late, c.Refused, c.Unsent, c.Unfinished,
 			fmt.Sprintf("%.1fms", l.P50), fmt.Sprintf("%.1fms", l.P99), fmt.Sprintf("%.1fms", l.P999), fmt.Sprintf("%.1fms", l.Max))
 	}
-	for _, c := range r.Classes {
+	for _, c := range report.Classes {
 		t.line("%s: status %s; outcome %s; errors %s", c.Name, countsText(c.Statuses), countsText(c.Outcomes), countsText(c.Errors))
 	}
 }
@@ -145,18 +145,18 @@
 func (a *app) reportCommand() *cobra.Command {
 	out := ""
 	c := leaf("report FILE", "Write an HTML page with plots from the JSON of bench load", cobra.ExactArgs(1), func(_ context.Context, args []string) error {
-		var r load.Report
-		if err := readJSON(args[0], a.stdin, &r); err != nil {
+		var report load.Report
+		if err := readJSON(args[0], a.stdin, &report); err != nil {
 			return exitError{ExitUsage, errors.Wrap(err, "the file is not the output of bench load --output json")}
 		}
 		if out == "" {
-			return r.WriteHTML(a.stdout)
+			return report.WriteHTML(a.stdout)
 		}
 		f, err := os.Create(out)
 		if err != nil {
 			return err
 		}
-		return errors.CombineErrors(r.WriteHTML(f), f.Close())
+		return errors.CombineErrors(report.WriteHTML(f), f.Close())
 	})
 	c.Long = c.Short + ". The page needs no other file and no network. FILE is - for standard input."
 	c.Flags().StringVar(&out, "out", "", "file to write (default: standard output)")
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -255,16 +255,16 @@
 	f, err := os.Open(file)
 	require.NoError(t, err)
 	defer f.Close()
-	zip, err := gzip.NewReader(f)
+	gz, err := gzip.NewReader(f)
 	require.NoError(t, err)
 	var names []string
-	for archive := tar.NewReader(zip); ; {
-		h, err := archive.Next()
+	for archive := tar.NewReader(gz); ; {
+		header, err := archive.Next()
 		if err == io.EOF {
 			break
 		}
 		require.NoError(t, err)
-		names = append(names, h.Name)
+		names = append(names, header.Name)
 	}
 	require.Contains(t, names, "bambooscale/goroutines.txt")
 	require.Contains(t, names, "bambooscale/metrics.txt.error")
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -41,6 +41,8 @@
 	})
 }
 
+// itemText formats an item: its labels, or the kind and the two label selectors
+// of its selector.
 func itemText(i model.ConfigItem) string {
 	if s := i.Selector; s != nil {
 		return strings.TrimSpace(fmt.Sprintf("%s: %s | %s", s.Kind, s.Subject, s.Object))
--- a/internal/command/diagnose.go
+++ b/internal/command/diagnose.go
@@ -63,8 +63,8 @@
 // writeBundle writes the bundle to f as a compressed tar archive, and returns
 // the number of parts that could not be read.
 func (a *app) writeBundle(ctx context.Context, f *os.File) (missing int, err error) {
-	zip := gzip.NewWriter(f)
-	archive := tar.NewWriter(zip)
+	gz := gzip.NewWriter(f)
+	archive := tar.NewWriter(gz)
 	for _, p := range bundleParts {
 		raw, err := a.client.do(ctx, http.MethodGet, p.path, p.query, nil)
 		name := p.file
@@ -81,5 +81,5 @@
 			return missing, err
 		}
 	}
-	return missing, errors.CombineErrors(archive.Close(), zip.Close())
+	return missing, errors.CombineErrors(archive.Close(), gz.Close())
 }
--- a/internal/command/edit.go
+++ b/internal/command/edit.go
@@ -107,8 +107,8 @@
 	return a.show(accepted, func(t *table) { t.line("%s accepted as version %d", k, accepted.Version) })
 }
 
-// sendEdit sends an edit, and sends it again with the same id while its
-// outcome is unknown.
+// sendEdit sends an edit, and repeats it with the same id while its outcome is
+// unknown; it sends the edit maxEditSends times at most.
 func (a *app) sendEdit(ctx context.Context, e configstore.Edit) (accepted configstore.EditResult, err error) {
 	for try := range maxEditSends {
 		if try > 0 {
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -204,7 +204,7 @@
 			t.row("cell", view.Cell)
 			t.row("team, class", fmt.Sprintf("%s, %s", view.Spec.Team, view.Spec.Class))
 			t.row("labels", orDash(labelsText(view.Spec.Labels)))
-			t.row("declared size", fmt.Sprintf("%s cores, %s, %d accelerators", cores(r.CPU), gigabytes(r.Memory), r.Accelerators))
+			t.row("declared size", fmt.Sprintf("%s cores, %s, %d accelerators", coresText(r.CPU), gigabytesText(r.Memory), r.Accelerators))
 			t.row("phase", view.Phase)
 			t.row("attempt", fmt.Sprintf("%d (%d evictions, %d failures)", view.Attempt, view.Evictions, view.Failures))
 			t.row("worker", orDash(string(view.Worker)))
--- a/internal/command/label.go
+++ b/internal/command/label.go
@@ -14,6 +14,7 @@
 	return a.group("label", "Set, remove and show labels", a.labelSet(), a.labelRemove(), a.labelShow())
 }
 
+// kindsHelp is part of the help of every command that takes a KIND of item.
 const kindsHelp = "KIND is service, class, team, worker, backend or job."
 
 func (a *app) labelSet() *cobra.Command {
--- a/internal/command/offline.go
+++ b/internal/command/offline.go
@@ -17,6 +17,7 @@
 	"github.com/bambooscale/bambooscale/internal/settings"
 )
 
+// chartCommand and settingsCommand read files and need no entry.
 func (a *app) chartCommand() *cobra.Command {
 	dir := ""
 	files := func() fs.FS {
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -66,11 +66,11 @@
 	return strings.Join(parts, ",")
 }
 
-func cores(c model.MilliCPU) string { return fmt.Sprintf("%.1f", float64(c)/1000) }
+func coresText(c model.MilliCPU) string { return fmt.Sprintf("%.1f", float64(c)/1000) }
 
-func gigabytes(b model.Bytes) string { return fmt.Sprintf("%.1fGB", float64(b)/1e9) }
+func gigabytesText(b model.Bytes) string { return fmt.Sprintf("%.1fGB", float64(b)/1e9) }
 
-func millis(d time.Duration) string {
+func millisText(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -19,7 +19,7 @@
 	ExitFailure        = 1 // the command ran, but it or what it waited for failed
 	ExitUsage          = 2 // the command line or the input is invalid
 	ExitConflict       = 3 // another change or job came first
-	ExitNotFound       = 4
+	ExitNotFound       = 4 // the named item does not exist
 	ExitUnavailable    = 5 // refused or unavailable; nothing was changed
 	ExitOutcomeUnknown = 6 // the change may have taken effect; repeating it is safe
 )
@@ -51,6 +51,7 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
+// exitErrorf returns a formatted error with its exit code.
 func exitErrorf(code int, format string, args ...any) error {
 	return exitError{code, fmt.Errorf(format, args...)}
 }
@@ -96,7 +97,7 @@
 	root.Long = root.Short + ".\n\n" + exitCodesText
 	root.SilenceErrors, root.SilenceUsage = true, true
 	flags := root.PersistentFlags()
-	flags.StringVar(&a.server, "server", environment("BAMBOOSCALE_SERVER", "http://127.0.0.1:8081"), "URL of an entry's operators' API")
+	flags.StringVar(&a.server, "server", envOrDefault("BAMBOOSCALE_SERVER", "http://127.0.0.1:8081"), "URL of an entry's operators' API")
 	flags.StringVar(&a.token, "token", "", "bearer token (default: the environment variable BAMBOOSCALE_TOKEN)")
 	flags.StringVarP(&a.output, "output", "o", "table", "output format: table or json")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
@@ -113,7 +114,8 @@
 	return root
 }
 
-func environment(name, fallback string) string {
+// envOrDefault returns an environment variable, or fallback if it is empty.
+func envOrDefault(name, fallback string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
--- a/internal/command/top.go
+++ b/internal/command/top.go
@@ -93,7 +93,7 @@
 	t.line("")
 	t.row("LAST 15 TO 30 S", "CLASS", "TENANT", "REQUESTS", "REFUSED", "P50", "P99", "P99.9")
 	for _, r := range rows[:shownLines(len(rows), maxTopClasses, false)] {
-		t.row(r.service, r.Class, orDash(string(r.Tenant)), r.Requests, r.Refused, millis(r.P50), millis(r.P99), millis(r.P999))
+		t.row(r.service, r.Class, orDash(string(r.Tenant)), r.Requests, r.Refused, millisText(r.P50), millisText(r.P99), millisText(r.P999))
 	}
 }
 
@@ -127,8 +127,8 @@
 	t.line("")
 	t.row("WORKER", "STATE", "TASKS", "CORES CHARGED", "MEMORY CHARGED", "ACCELERATORS CHARGED")
 	for _, w := range workers[:shownLines(len(workers), maxTopWorkers, false)] {
-		t.row(w.Worker, w.State, w.Tasks, cores(w.Charged.CPU)+"/"+cores(w.Capacity.CPU),
-			gigabytes(w.Charged.Memory)+"/"+gigabytes(w.Capacity.Memory),
+		t.row(w.Worker, w.State, w.Tasks, coresText(w.Charged.CPU)+"/"+coresText(w.Capacity.CPU),
+			gigabytesText(w.Charged.Memory)+"/"+gigabytesText(w.Capacity.Memory),
 			fmt.Sprintf("%d/%d", w.Charged.Accelerators, w.Capacity.Accelerators))
 	}
 }
