--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -51,7 +51,7 @@
 }
 
 func (a *app) configCommand() *cobra.Command {
-	return a.group("config", "Show and apply the configuration, and show its history and the versions that daemons use",
+	return a.group("config", "Show and apply the configuration, its history and its rollout",
 		a.configShow(), a.configHistory(), a.configStatus(), a.configDiff(), a.configApply())
 }
 
