--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -28,11 +28,11 @@
 func TestRecordedHistoryIsClean(t *testing.T) { require.Empty(t, Check(recorded(t))) }
 
 // span returns the run of a task.
-func (h *History) span(task string) *standin.Span {
+func (h *History) span(task string) *standin.TaskRun {
 	for i := range h.Workers {
-		for k := range h.Workers[i].Spans {
-			if h.Workers[i].Spans[k].Task == task {
-				return &h.Workers[i].Spans[k]
+		for k := range h.Workers[i].Runs {
+			if h.Workers[i].Runs[k].Task == task {
+				return &h.Workers[i].Runs[k]
 			}
 		}
 	}
@@ -49,11 +49,11 @@
 }
 
 // rerun plants another run of the task of job "steps", changed by edit.
-func (h *History) rerun(edit func(*standin.Span)) {
+func (h *History) rerun(edit func(*standin.TaskRun)) {
 	s := *h.span("steps/1")
 	edit(&s)
 	w := &h.Workers[0]
-	w.Spans = append(w.Spans, s)
+	w.Runs = append(w.Runs, s)
 }
 
 // put plants a commit of a job's row, made from its last one.
@@ -67,7 +67,7 @@
 }
 
 // record returns the run of a call at its backend server.
-func (h *History) record(key string) (*Backend, standin.Record) {
+func (h *History) record(key string) (*Backend, standin.RequestRecord) {
 	for i := range h.Backends {
 		for _, r := range h.Backends[i].Records {
 			if r.Key == key {
@@ -75,10 +75,10 @@
 			}
 		}
 	}
-	return nil, standin.Record{}
+	return nil, standin.RequestRecord{}
 }
 
-func (h *History) duplicate(key string, edit func(*standin.Record)) {
+func (h *History) duplicate(key string, edit func(*standin.RequestRecord)) {
 	b, r := h.record(key)
 	edit(&r)
 	b.Records = append(b.Records, r)
@@ -94,14 +94,14 @@
 		}
 	}},
 	{"capacity", "one task too many at a time", func(h *History) {
-		h.rerun(func(s *standin.Span) { s.Task, s.Declared.CPU = "other/1", 4000 })
-		h.rerun(func(s *standin.Span) { s.Task, s.Started = "more/1", s.Started+1 })
+		h.rerun(func(s *standin.TaskRun) { s.Task, s.Declared.CPU = "other/1", 4000 })
+		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started = "more/1", s.Started+1 })
 	}},
 	{"one live attempt", "a second attempt during the first", func(h *History) {
-		h.rerun(func(s *standin.Span) { s.Task, s.Started = "steps/2", s.Ended-1 })
+		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started = "steps/2", s.Ended-1 })
 	}},
 	{"one live attempt", "an attempt that runs again later", func(h *History) {
-		h.rerun(func(s *standin.Span) { s.Started, s.Ended = s.Ended+1, s.Ended+2 })
+		h.rerun(func(s *standin.TaskRun) { s.Started, s.Ended = s.Ended+1, s.Ended+2 })
 	}},
 	{"effect once", "a second result", func(h *History) {
 		h.put("steps", func(r *model.JobRow) { r.Result = "result/steps/2" })
@@ -118,10 +118,10 @@
 	{"committed checkpoint", "a start at a step without a checkpoint", func(h *History) { h.span("steps/1").FromStep = 3 }},
 	{"committed checkpoint", "a start before the committed checkpoint", func(h *History) {
 		h.put("steps", func(r *model.JobRow) { r.Attempt = 2 })
-		h.rerun(func(s *standin.Span) { s.Task, s.Started, s.Ended = "steps/2", s.Ended+1, s.Ended+2 })
+		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/2", s.Ended+1, s.Ended+2 })
 	}},
 	{"committed checkpoint", "an attempt that was not committed", func(h *History) {
-		h.rerun(func(s *standin.Span) { s.Task, s.Started, s.Ended = "steps/9", s.Ended+1, s.Ended+2 })
+		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/9", s.Ended+1, s.Ended+2 })
 	}},
 	{"whole answers", "a cut answer", func(h *History) { h.call("running").Body = "slept" }},
 	{"whole answers", "another request's answer", func(h *History) { h.call("counted").Body = h.call("running").Body }},
@@ -131,14 +131,14 @@
 		c.Status, c.Outcome = 503, "not-run"
 	}},
 	{"at most once", "a POST that ran twice", func(h *History) {
-		h.duplicate("counted-0", func(r *standin.Record) { r.Started, r.Finished = r.Finished+1e9, r.Finished+2e9 })
+		h.duplicate("counted-0", func(r *standin.RequestRecord) { r.Started, r.Finished = r.Finished+1e9, r.Finished+2e9 })
 	}},
 	{"at most once", "a GET that ran in two places", func(h *History) {
-		h.duplicate("last-0", func(r *standin.Record) { r.Started++ })
+		h.duplicate("last-0", func(r *standin.RequestRecord) { r.Started++ })
 	}},
 	{"drain", "a request after the drain", func(h *History) {
 		b := &h.Backends[2]
-		b.Records = append(b.Records, standin.Record{Key: "late", Started: b.Drained + int64(drainBound+time.Millisecond), End: "complete"})
+		b.Records = append(b.Records, standin.RequestRecord{Key: "late", Started: b.Drained + int64(drainBound+time.Millisecond), End: "complete"})
 	}},
 	{"graceful shutdown", "an entry that cuts a request", func(h *History) {
 		c := h.call("running")
@@ -151,10 +151,10 @@
 	}},
 	{"configuration in force", "a process that keeps an old version", func(h *History) {
 		h.Faults = nil
-		h.Views = append(h.Views, View{"agent-9", "entry-2", h.Edits[0].At + int64(configBound+time.Second), 0})
+		h.Views = append(h.Views, ConfigView{"agent-9", "entry-2", h.Edits[0].At + int64(configBound+time.Second), 0})
 	}},
 	{"configuration versions", "a process that goes back", func(h *History) {
-		h.Views = append(h.Views, View{"agent-9", "entry-1", 1, 7}, View{"agent-9", "entry-1", 2, 6})
+		h.Views = append(h.Views, ConfigView{"agent-9", "entry-1", 1, 7}, ConfigView{"agent-9", "entry-1", 2, 6})
 	}},
 	{"configuration versions", "a table that goes back", func(h *History) {
 		for v := range model.ConfigVersion(2) {
--- a/internal/history/config.go
+++ b/internal/history/config.go
@@ -31,7 +31,7 @@
 // everywhere; 0: never.
 func (h *History) due(at int64) int64 {
 	due := at + int64(configBound)
-	faults := append([]Interval{}, h.Faults...)
+	faults := append([]FaultInterval{}, h.Faults...)
 	sort.Slice(faults, func(i, j int) bool { return faults[i].From < faults[j].From })
 	for _, f := range faults {
 		if f.From > due {
@@ -47,7 +47,7 @@
 
 // newerElsewhere reports whether another process had seen the version in force
 // before: a report can be late, as that of an entry without a link.
-func newerElsewhere(views []View, v View, version uint64) bool {
+func newerElsewhere(views []ConfigView, v ConfigView, version uint64) bool {
 	for _, o := range views {
 		if o.Via != v.Via && o.At <= v.At && o.Version >= version {
 			return true
@@ -56,8 +56,8 @@
 	return false
 }
 
-func (h *History) byProcess() map[string][]View {
-	m := map[string][]View{}
+func (h *History) byProcess() map[string][]ConfigView {
+	m := map[string][]ConfigView{}
 	for _, v := range h.Views {
 		m[v.Process] = append(m[v.Process], v)
 	}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -23,9 +23,9 @@
 	Steps     map[string]int      `json:"steps"`    // checkpoint object to its step
 	Accepted  []string            `json:"accepted"` // jobs whose submission was accepted
 	Edits     []Edit              `json:"edits"`
-	Views     []View              `json:"views"`
+	Views     []ConfigView        `json:"views"`
 	Shutdowns []Shutdown          `json:"shutdowns"`
-	Faults    []Interval          `json:"faults"`
+	Faults    []FaultInterval     `json:"faults"`
 	// Settled says that the run went on without faults until every accepted
 	// job had ended; then each of them must have had its effect.
 	Settled bool `json:"settled"`
@@ -47,17 +47,17 @@
 
 // Backend is the log of a backend server.
 type Backend struct {
-	ID      string           `json:"id"`
-	Agent   string           `json:"agent"`
-	Records []standin.Record `json:"records"`
-	Drained int64            `json:"drained"` // when its agent accepted the drain; 0: never
+	ID      string                  `json:"id"`
+	Agent   string                  `json:"agent"`
+	Records []standin.RequestRecord `json:"records"`
+	Drained int64                   `json:"drained"` // when its agent accepted the drain; 0: never
 }
 
 // Worker is the log of a worker.
 type Worker struct {
-	ID       string          `json:"id"`
-	Capacity model.Resources `json:"capacity"`
-	Spans    []standin.Span  `json:"spans"`
+	ID       string            `json:"id"`
+	Capacity model.Resources   `json:"capacity"`
+	Runs     []standin.TaskRun `json:"spans"`
 }
 
 // Edit is an accepted edit.
@@ -67,8 +67,8 @@
 	At      int64  `json:"at"`
 }
 
-// View is the configuration version in force at a process at a moment.
-type View struct {
+// ConfigView is the configuration version in force at a process at a moment.
+type ConfigView struct {
 	Process string `json:"process"`
 	Via     string `json:"via"` // process that reported it
 	At      int64  `json:"at"`
@@ -82,8 +82,8 @@
 	Ended   int64  `json:"ended"`
 }
 
-// Interval is a time during which a fault was in force.
-type Interval struct {
+// FaultInterval is a time during which a fault was in force.
+type FaultInterval struct {
 	Fault string `json:"fault"`
 	From  int64  `json:"from"`
 	Until int64  `json:"until"` // 0: still in force
--- a/internal/history/jobs.go
+++ b/internal/history/jobs.go
@@ -15,7 +15,7 @@
 
 // placedSpan is a run of a task and the worker on which it was.
 type placedSpan struct {
-	standin.Span
+	standin.TaskRun
 	worker string
 }
 
@@ -43,7 +43,7 @@
 // capacity finds moments at which a worker runs more than it has.
 func capacity(h *History, found report) {
 	for _, w := range h.Workers {
-		spans := append([]standin.Span{}, w.Spans...)
+		spans := append([]standin.TaskRun{}, w.Runs...)
 		sort.SliceStable(spans, func(i, j int) bool { return spans[i].Started < spans[j].Started })
 		for i, s := range spans {
 			sum := s.Declared
@@ -63,7 +63,7 @@
 func (h *History) byJob() map[string][]placedSpan {
 	jobs := map[string][]placedSpan{}
 	for _, w := range h.Workers {
-		for _, s := range w.Spans {
+		for _, s := range w.Runs {
 			p := placedSpan{s, w.ID}
 			jobs[p.job()] = append(jobs[p.job()], p)
 		}
@@ -115,7 +115,7 @@
 	versions := h.jobVersions()
 	finished := map[string]bool{}
 	for _, w := range h.Workers {
-		for _, s := range w.Spans {
+		for _, s := range w.Runs {
 			finished["result/"+s.Task] = finished["result/"+s.Task] || s.State == model.TaskDone
 		}
 	}
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -22,7 +22,7 @@
 
 // placedRecord is a request at a backend server.
 type placedRecord struct {
-	standin.Record
+	standin.RequestRecord
 	backend string
 }
 
@@ -88,7 +88,7 @@
 				case !r.ran() || !o.ran():
 				case r.Method == http.MethodPost || r.Method == http.MethodPatch:
 					found("%s %s ran at %s and at %s", r.Method, key, o.backend, r.backend)
-				case overlap(r.Record, o.Record):
+				case overlap(r.RequestRecord, o.RequestRecord):
 					found("%s %s ran at %s and at %s at the same time", r.Method, key, o.backend, r.backend)
 				}
 			}
@@ -96,7 +96,7 @@
 	}
 }
 
-func overlap(a, b standin.Record) bool {
+func overlap(a, b standin.RequestRecord) bool {
 	if b.Started < a.Started {
 		a, b = b, a
 	}
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -82,9 +82,9 @@
 	AfterDrain int `json:"afterDrain"`
 }
 
-// Record is one request, for a history checker. Times are in nanoseconds
+// RequestRecord is one request, for a history checker. Times are in nanoseconds
 // since the Unix epoch.
-type Record struct {
+type RequestRecord struct {
 	Key      string `json:"key"` // the request's header X-Request-Key
 	Method   string `json:"method"`
 	URI      string `json:"uri"`
@@ -149,7 +149,7 @@
 	control  BackendControl
 	counts   BackendState
 	values   map[string]int64 // of /count
-	records  []Record
+	records  []RequestRecord
 	running  map[uint64]*admission
 	waiting  []*admission // above the slots, for at most cancelGrace
 	lastID   uint64
--- a/internal/standin/backend_http.go
+++ b/internal/standin/backend_http.go
@@ -21,8 +21,8 @@
 )
 
 // Log returns the requests in the order of their arrival.
-func (b *Backend) Log(ctx context.Context) ([]Record, error) {
-	return ask(ctx, b.to, func(r backendReply[[]Record]) message[*backendState] { return recordsMsg{r} })
+func (b *Backend) Log(ctx context.Context) ([]RequestRecord, error) {
+	return ask(ctx, b.to, func(r backendReply[[]RequestRecord]) message[*backendState] { return recordsMsg{r} })
 }
 
 // Control sets faults, starts or stops announcements, or drains.
@@ -89,7 +89,7 @@
 // until the slot is free again.
 func (b *Backend) exchange(serve func(*heldWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		record := Record{Key: r.Header.Get(KeyHeader), Method: r.Method, URI: r.RequestURI}
+		record := RequestRecord{Key: r.Header.Get(KeyHeader), Method: r.Method, URI: r.RequestURI}
 		v, err := ask(context.WithoutCancel(r.Context()), b.to, func(reply backendReply[verdict]) message[*backendState] {
 			return beginMsg{record, Fault(r.URL.Query().Get("fault")), reply}
 		})
--- a/internal/standin/backend_messages.go
+++ b/internal/standin/backend_messages.go
@@ -27,7 +27,7 @@
 
 // beginMsg asks for a slot.
 type beginMsg struct {
-	record Record
+	record RequestRecord
 	fault  Fault // that the request asks for
 	reply  backendReply[verdict]
 }
@@ -182,8 +182,8 @@
 	m.reply.Put(answer[BackendState]{value: state})
 }
 
-type recordsMsg struct{ reply backendReply[[]Record] }
+type recordsMsg struct{ reply backendReply[[]RequestRecord] }
 
 func (m recordsMsg) handle(s *backendState) {
-	m.reply.Put(answer[[]Record]{value: slices.Clone(s.records)})
+	m.reply.Put(answer[[]RequestRecord]{value: slices.Clone(s.records)})
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -92,9 +92,9 @@
 	Expired      int          `json:"expired"`
 }
 
-// Span is one run of a task, for a history checker. Times are in nanoseconds
+// TaskRun is one run of a task, for a history checker. Times are in nanoseconds
 // since the Unix epoch.
-type Span struct {
+type TaskRun struct {
 	Task       string          `json:"task"`
 	Started    int64           `json:"started"`
 	Ended      int64           `json:"ended"` // 0 while it runs
@@ -123,7 +123,7 @@
 	faults  WorkerFaults
 	counts  WorkerState
 	tasks   map[string]*task
-	spans   []Span
+	spans   []TaskRun
 }
 
 // NewWorker starts a worker in g.
@@ -186,7 +186,7 @@
 		s.counts.Overcommits++
 	}
 	t.span = len(s.spans)
-	s.spans = append(s.spans, Span{Task: t.spec.ID, Started: s.clock.now(), State: model.TaskRunning,
+	s.spans = append(s.spans, TaskRun{Task: t.spec.ID, Started: s.clock.now(), State: model.TaskRunning,
 		FromStep: fromStep, Declared: t.spec.Resources, Overcommit: over})
 }
 
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -65,8 +65,8 @@
 }
 
 // Log returns every run of a task, in the order of their starts.
-func (w *Worker) Log(ctx context.Context) ([]Span, error) {
-	return ask(ctx, w.to, func(r workerReply[[]Span]) message[*workerState] { return spansMsg{r} })
+func (w *Worker) Log(ctx context.Context) ([]TaskRun, error) {
+	return ask(ctx, w.to, func(r workerReply[[]TaskRun]) message[*workerState] { return spansMsg{r} })
 }
 
 // SetFaults replaces the faults.
--- a/internal/standin/worker_messages.go
+++ b/internal/standin/worker_messages.go
@@ -183,8 +183,8 @@
 	m.reply.Put(answer[WorkerState]{value: state})
 }
 
-type spansMsg struct{ reply workerReply[[]Span] }
+type spansMsg struct{ reply workerReply[[]TaskRun] }
 
 func (m spansMsg) handle(s *workerState) {
-	m.reply.Put(answer[[]Span]{value: append([]Span{}, s.spans...)})
+	m.reply.Put(answer[[]TaskRun]{value: append([]TaskRun{}, s.spans...)})
 }
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -55,7 +55,7 @@
 	h := s.record
 	h.Calls, h.Steps = s.past, map[string]int{}
 	for _, list := range s.watchers {
-		reply := make(chan []history.View)
+		reply := make(chan []history.ConfigView)
 		list <- reply
 		h.Views = append(h.Views, <-reply...)
 	}
@@ -64,7 +64,7 @@
 	}
 	for _, name := range names("worker", agentCount) {
 		w := history.Worker{ID: name, Capacity: model.Resources{CPU: 4000, Memory: 8 << 30}}
-		if err := s.control(name, "/control/log", nil, &w.Spans); err != nil {
+		if err := s.control(name, "/control/log", nil, &w.Runs); err != nil {
 			return h, err
 		}
 		h.Workers = append(h.Workers, w)
@@ -180,14 +180,14 @@
 // for themselves and their agents.
 func (s *system) watchVersions() {
 	for _, e := range names("entry", entryCount) {
-		ask := make(chan chan []history.View)
+		ask := make(chan chan []history.ConfigView)
 		s.watchers = append(s.watchers, ask)
 		go watchVersions(s.group.Context(), e, "http://"+s.addr("operator>"+e), ask)
 	}
 }
 
-func watchVersions(ctx context.Context, entry, base string, ask <-chan chan []history.View) {
-	var seen []history.View
+func watchVersions(ctx context.Context, entry, base string, ask <-chan chan []history.ConfigView) {
+	var seen []history.ConfigView
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -198,12 +198,12 @@
 			asked := time.Now().UnixNano()
 			if call(limited, base+"/v1/config/status?local=true", nil, &st) == nil {
 				for _, d := range st.Daemons {
-					seen = append(seen, history.View{Process: d.Daemon, Via: entry, At: asked, Version: uint64(d.Version)})
+					seen = append(seen, history.ConfigView{Process: d.Daemon, Via: entry, At: asked, Version: uint64(d.Version)})
 				}
 			}
 			cancel()
 		case reply := <-ask:
-			reply <- append([]history.View{}, seen...)
+			reply <- append([]history.ConfigView{}, seen...)
 		case <-ctx.Done():
 			return
 		}
--- a/test/record_test.go
+++ b/test/record_test.go
@@ -43,8 +43,8 @@
 		}
 	}
 	for _, w := range h.Workers {
-		attempts += len(w.Spans)
-		for _, s := range w.Spans {
+		attempts += len(w.Runs)
+		for _, s := range w.Runs {
 			if s.FromStep > 0 {
 				resumed++
 			}
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -34,7 +34,7 @@
 	record   history.History // what is known before the logs are collected
 	open     map[string]int  // fault in force to its index in record.Faults
 	summary  string          // of the history, once it was checked
-	watchers []chan chan []history.View
+	watchers []chan chan []history.ConfigView
 	marks    map[string]string
 	failed   bool             // until the history has been checked
 	drained  map[string]int64 // backend server to when its drain was accepted
@@ -181,7 +181,7 @@
 		return
 	}
 	s.open[fault] = len(s.record.Faults)
-	s.record.Faults = append(s.record.Faults, history.Interval{Fault: fault, From: time.Now().UnixNano()})
+	s.record.Faults = append(s.record.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
 }
 
 func (s *system) end(fault string) {
--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -70,7 +70,7 @@
 
 func taskState(s *system, a []string) (bool, error) {
 	for _, name := range names("worker", agentCount) {
-		var spans []standin.Span
+		var spans []standin.TaskRun
 		if err := s.control(name, "/control/log", nil, &spans); err != nil {
 			return false, err
 		}
