--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -8,7 +8,7 @@
 // checks are the properties in the order in which they are reported.
 var checks = []struct {
 	property string
-	find     func(*History, report)
+	find     func(*History, reportFunc)
 }{
 	{"capacity", capacity},
 	{"one live attempt", oneLiveAttempt},
@@ -24,25 +24,25 @@
 }
 
 // report adds a violation.
-type report func(format string, args ...any)
+type reportFunc func(format string, args ...any)
 
 // Check returns every violation that the history shows, each with the name of
 // the property.
 func Check(h History) []string {
-	var found []string
+	var violations []string
 	for _, c := range checks {
 		c.find(&h, func(format string, args ...any) {
-			found = append(found, c.property+": "+fmt.Sprintf(format, args...))
+			violations = append(violations, c.property+": "+fmt.Sprintf(format, args...))
 		})
 	}
-	return found
+	return violations
 }
 
 // excused reports whether a fault was in force at some time between from and
 // until, or ended less than after before from.
-func (h *History) excused(from, until int64, after time.Duration) bool {
+func (h *History) overlapsFault(from, until int64, recovery time.Duration) bool {
 	for _, f := range h.Faults {
-		if f.From <= until && (f.Until == 0 || f.Until+int64(after) >= from) {
+		if f.From <= until && (f.Until == 0 || f.Until+int64(recovery) >= from) {
 			return true
 		}
 	}
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -16,7 +16,7 @@
 )
 
 // recorded is a history of the scenario test/testdata/mixed.txt.
-func recorded(t *testing.T) History {
+func recordedHistory(t *testing.T) History {
 	raw, err := os.ReadFile("testdata/recorded.json")
 	require.NoError(t, err)
 	var h History
@@ -25,10 +25,10 @@
 }
 
 // Guards against a checker that finds fault with a correct run.
-func TestRecordedHistoryIsClean(t *testing.T) { require.Empty(t, Check(recorded(t))) }
+func TestRecordedHistoryHasNoViolations(t *testing.T) { require.Empty(t, Check(recordedHistory(t))) }
 
 // span returns the run of a task.
-func (h *History) span(task string) *standin.TaskRun {
+func (h *History) run(task string) *standin.TaskRun {
 	for i := range h.Workers {
 		for k := range h.Workers[i].Runs {
 			if h.Workers[i].Runs[k].Task == task {
@@ -49,16 +49,16 @@
 }
 
 // rerun plants another run of the task of job "steps", changed by edit.
-func (h *History) rerun(edit func(*standin.TaskRun)) {
-	s := *h.span("steps/1")
+func (h *History) addRun(edit func(*standin.TaskRun)) {
+	s := *h.run("steps/1")
 	edit(&s)
 	w := &h.Workers[0]
 	w.Runs = append(w.Runs, s)
 }
 
 // put plants a commit of a job's row, made from its last one.
-func (h *History) put(job string, edit func(*model.JobRow)) {
-	list := h.jobVersions()[job]
+func (h *History) addJobRow(job string, edit func(*model.JobRow)) {
+	list := h.jobRows()[job]
 	row := list[len(list)-1]
 	edit(&row)
 	c := standin.Committed{Revision: h.Commits[len(h.Commits)-1].Revision + 1}
@@ -78,13 +78,13 @@
 	return nil, standin.RequestRecord{}
 }
 
-func (h *History) duplicate(key string, edit func(*standin.RequestRecord)) {
+func (h *History) addRecord(key string, edit func(*standin.RequestRecord)) {
 	b, r := h.record(key)
 	edit(&r)
 	b.Records = append(b.Records, r)
 }
 
-var planted = []struct {
+var violationCases = []struct {
 	property, name string
 	plant          func(*History)
 }{
@@ -94,34 +94,34 @@
 		}
 	}},
 	{"capacity", "one task too many at a time", func(h *History) {
-		h.rerun(func(s *standin.TaskRun) { s.Task, s.Declared.CPU = "other/1", 4000 })
-		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started = "more/1", s.Started+1 })
+		h.addRun(func(s *standin.TaskRun) { s.Task, s.Declared.CPU = "other/1", 4000 })
+		h.addRun(func(s *standin.TaskRun) { s.Task, s.Started = "more/1", s.Started+1 })
 	}},
 	{"one live attempt", "a second attempt during the first", func(h *History) {
-		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started = "steps/2", s.Ended-1 })
+		h.addRun(func(s *standin.TaskRun) { s.Task, s.Started = "steps/2", s.Ended-1 })
 	}},
 	{"one live attempt", "an attempt that runs again later", func(h *History) {
-		h.rerun(func(s *standin.TaskRun) { s.Started, s.Ended = s.Ended+1, s.Ended+2 })
+		h.addRun(func(s *standin.TaskRun) { s.Started, s.Ended = s.Ended+1, s.Ended+2 })
 	}},
 	{"effect once", "a second result", func(h *History) {
-		h.put("steps", func(r *model.JobRow) { r.Result = "result/steps/2" })
+		h.addJobRow("steps", func(r *model.JobRow) { r.Result = "result/steps/2" })
 	}},
 	{"effect once", "a done job that runs again", func(h *History) {
-		h.put("steps", func(r *model.JobRow) { r.Phase = "pending" })
+		h.addJobRow("steps", func(r *model.JobRow) { r.Phase = "pending" })
 	}},
-	{"effect once", "a result that no run wrote", func(h *History) { h.span("steps/1").State = model.TaskFailed }},
+	{"effect once", "a result that no run wrote", func(h *History) { h.run("steps/1").State = model.TaskFailed }},
 	{"effect once", "an accepted job that is lost", func(h *History) { h.Accepted = append(h.Accepted, "lost") }},
 	{"effect once", "an accepted job that never ends", func(h *History) {
-		h.put("steps", func(r *model.JobRow) { r.Spec.ID, r.Phase = "stuck", "pending" })
+		h.addJobRow("steps", func(r *model.JobRow) { r.Spec.ID, r.Phase = "stuck", "pending" })
 		h.Accepted = append(h.Accepted, "stuck")
 	}},
-	{"committed checkpoint", "a start at a step without a checkpoint", func(h *History) { h.span("steps/1").FromStep = 3 }},
+	{"committed checkpoint", "a start at a step without a checkpoint", func(h *History) { h.run("steps/1").FromStep = 3 }},
 	{"committed checkpoint", "a start before the committed checkpoint", func(h *History) {
-		h.put("steps", func(r *model.JobRow) { r.Attempt = 2 })
-		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/2", s.Ended+1, s.Ended+2 })
+		h.addJobRow("steps", func(r *model.JobRow) { r.Attempt = 2 })
+		h.addRun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/2", s.Ended+1, s.Ended+2 })
 	}},
 	{"committed checkpoint", "an attempt that was not committed", func(h *History) {
-		h.rerun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/9", s.Ended+1, s.Ended+2 })
+		h.addRun(func(s *standin.TaskRun) { s.Task, s.Started, s.Ended = "steps/9", s.Ended+1, s.Ended+2 })
 	}},
 	{"whole answers", "a cut answer", func(h *History) { h.call("running").Body = "slept" }},
 	{"whole answers", "another request's answer", func(h *History) { h.call("counted").Body = h.call("running").Body }},
@@ -131,10 +131,10 @@
 		c.Status, c.Outcome = 503, "not-run"
 	}},
 	{"at most once", "a POST that ran twice", func(h *History) {
-		h.duplicate("counted-0", func(r *standin.RequestRecord) { r.Started, r.Finished = r.Finished+1e9, r.Finished+2e9 })
+		h.addRecord("counted-0", func(r *standin.RequestRecord) { r.Started, r.Finished = r.Finished+1e9, r.Finished+2e9 })
 	}},
 	{"at most once", "a GET that ran in two places", func(h *History) {
-		h.duplicate("last-0", func(r *standin.RequestRecord) { r.Started++ })
+		h.addRecord("last-0", func(r *standin.RequestRecord) { r.Started++ })
 	}},
 	{"drain", "a request after the drain", func(h *History) {
 		b := &h.Backends[2]
@@ -169,11 +169,11 @@
 }
 
 // Guards against a checker that no longer finds a violation.
-func TestPlantedViolationsAreFound(t *testing.T) {
+func TestInjectedViolationsAreFound(t *testing.T) {
 	covered := map[string]bool{}
-	for _, p := range planted {
+	for _, p := range violationCases {
 		t.Run(p.property+"/"+p.name, func(t *testing.T) {
-			h := recorded(t)
+			h := recordedHistory(t)
 			p.plant(&h)
 			found := Check(h)
 			require.True(t, len(found) > 0 && strings.Contains(strings.Join(found, "\n"), p.property+": "), "found: %v", found)
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -95,5 +95,5 @@
 	configBound = 5 * time.Second
 	// recovery is allowed after a fault before configBound counts: a lost
 	// link is noticed after 4 s and dialled again with a backoff.
-	recovery = 20 * time.Second
+	recoveryTime = 20 * time.Second
 )
--- a/internal/history/jobs.go
+++ b/internal/history/jobs.go
@@ -14,12 +14,12 @@
 const phaseDone model.Phase = "done"
 
 // placedSpan is a run of a task and the worker on which it was.
-type placedSpan struct {
+type placedRun struct {
 	standin.TaskRun
 	worker string
 }
 
-func (s placedSpan) end() int64 {
+func (s placedRun) end() int64 {
 	if s.Ended == 0 {
 		return math.MaxInt64
 	}
@@ -27,12 +27,12 @@
 }
 
 // job and attempt are the parts of a task's id.
-func (s placedSpan) job() string {
-	job, _ := splitTask(s.Task)
+func (s placedRun) job() string {
+	job, _ := splitTaskID(s.Task)
 	return job
 }
 
-func splitTask(id string) (job, attempt string) {
+func splitTaskID(id string) (job, attempt string) {
 	i := strings.LastIndexByte(id, '/')
 	if i < 0 {
 		return id, ""
@@ -41,52 +41,52 @@
 }
 
 // capacity finds moments at which a worker runs more than it has.
-func capacity(h *History, found report) {
+func capacity(h *History, report reportFunc) {
 	for _, w := range h.Workers {
-		spans := append([]standin.TaskRun{}, w.Runs...)
-		sort.SliceStable(spans, func(i, j int) bool { return spans[i].Started < spans[j].Started })
-		for i, s := range spans {
+		runs := append([]standin.TaskRun{}, w.Runs...)
+		sort.SliceStable(runs, func(i, j int) bool { return runs[i].Started < runs[j].Started })
+		for i, s := range runs {
 			sum := s.Declared
-			for _, o := range spans[:i] {
+			for _, o := range runs[:i] {
 				if o.Ended == 0 || o.Ended > s.Started {
 					sum = sum.Add(o.Declared)
 				}
 			}
 			if !sum.Fits(w.Capacity) {
-				found("%s runs %+v of %+v when %s starts", w.ID, sum, w.Capacity, s.Task)
+				report("%s runs %+v of %+v when %s starts", w.ID, sum, w.Capacity, s.Task)
 			}
 		}
 	}
 }
 
 // byJob groups the runs by job, in the order of their starts.
-func (h *History) byJob() map[string][]placedSpan {
-	jobs := map[string][]placedSpan{}
+func (h *History) runsByJob() map[string][]placedRun {
+	jobs := map[string][]placedRun{}
 	for _, w := range h.Workers {
 		for _, s := range w.Runs {
-			p := placedSpan{s, w.ID}
+			p := placedRun{s, w.ID}
 			jobs[p.job()] = append(jobs[p.job()], p)
 		}
 	}
-	for _, spans := range jobs {
-		sort.SliceStable(spans, func(i, j int) bool { return spans[i].Started < spans[j].Started })
+	for _, runs := range jobs {
+		sort.SliceStable(runs, func(i, j int) bool { return runs[i].Started < runs[j].Started })
 	}
 	return jobs
 }
 
 // oneLiveAttempt finds two runs of a job at the same time, and an attempt that
 // was run twice.
-func oneLiveAttempt(h *History, found report) {
-	for job, spans := range h.byJob() {
+func oneLiveAttempt(h *History, report reportFunc) {
+	for job, runs := range h.runsByJob() {
 		attempts := map[string]string{}
-		for i, s := range spans {
-			if worker, again := attempts[s.Task]; again {
-				found("attempt %s ran on %s and again on %s", s.Task, worker, s.worker)
+		for i, s := range runs {
+			if worker, repeated := attempts[s.Task]; repeated {
+				report("attempt %s ran on %s and again on %s", s.Task, worker, s.worker)
 			}
 			attempts[s.Task] = s.worker
-			for _, o := range spans[:i] {
+			for _, o := range runs[:i] {
 				if o.end() > s.Started {
-					found("job %s: %s started on %s while %s ran on %s", job, s.Task, s.worker, o.Task, o.worker)
+					report("job %s: %s started on %s while %s ran on %s", job, s.Task, s.worker, o.Task, o.worker)
 				}
 			}
 		}
@@ -94,7 +94,7 @@
 }
 
 // jobVersions returns the committed values of each job's row, in order.
-func (h *History) jobVersions() map[string][]model.JobRow {
+func (h *History) jobRows() map[string][]model.JobRow {
 	jobs := map[string][]model.JobRow{}
 	for _, c := range h.Commits {
 		for _, p := range c.Puts {
@@ -111,42 +111,42 @@
 
 // effectOnce finds results that changed, that no finished run wrote, and, in
 // a settled history, accepted jobs without a result.
-func effectOnce(h *History, found report) {
-	versions := h.jobVersions()
+func effectOnce(h *History, report reportFunc) {
+	rowsByJob := h.jobRows()
 	finished := map[string]bool{}
 	for _, w := range h.Workers {
 		for _, s := range w.Runs {
 			finished["result/"+s.Task] = finished["result/"+s.Task] || s.State == model.TaskDone
 		}
 	}
-	for job, list := range versions {
+	for job, list := range rowsByJob {
 		result := ""
 		for _, row := range list {
 			switch {
 			case result != "" && (row.Phase != phaseDone || row.Result != result):
-				found("job %s had result %s and then phase %s with result %q", job, result, row.Phase, row.Result)
+				report("job %s had result %s and then phase %s with result %q", job, result, row.Phase, row.Result)
 			case row.Phase == phaseDone && !finished[row.Result]:
-				found("job %s is done with result %q, which no run wrote", job, row.Result)
+				report("job %s is done with result %q, which no run wrote", job, row.Result)
 			case row.Phase == phaseDone:
 				result = row.Result
 			}
 		}
 	}
 	for _, job := range h.Accepted {
-		list := versions[job]
+		list := rowsByJob[job]
 		if len(list) == 0 {
-			found("job %s was accepted but has no row", job)
+			report("job %s was accepted but has no row", job)
 		} else if last := list[len(list)-1]; h.Settled && last.Phase != phaseDone {
-			found("job %s was accepted but ended as %s: %s", job, last.Phase, last.Reason)
+			report("job %s was accepted but ended as %s: %s", job, last.Phase, last.Reason)
 		}
 	}
 }
 
 // committedCheckpoint finds runs that started elsewhere than at the
 // checkpoint that the job's row named when it committed the attempt.
-func committedCheckpoint(h *History, found report) {
+func committedCheckpoint(h *History, report reportFunc) {
 	committed := map[string]string{} // attempt to checkpoint
-	for job, list := range h.jobVersions() {
+	for job, list := range h.jobRows() {
 		last := uint32(0)
 		for _, row := range list {
 			if row.Attempt > last {
@@ -154,17 +154,17 @@
 			}
 		}
 	}
-	for _, spans := range h.byJob() {
-		for _, s := range spans {
-			name, placed := committed[s.Task]
+	for _, runs := range h.runsByJob() {
+		for _, s := range runs {
+			name, named := committed[s.Task]
 			step, stored := h.Steps[name]
 			switch {
-			case !placed:
-				found("%s ran on %s, but no row names this attempt", s.Task, s.worker)
+			case !named:
+				report("%s ran on %s, but no row names this attempt", s.Task, s.worker)
 			case name != "" && !stored:
-				found("%s resumes from %s, which is not stored", s.Task, name)
+				report("%s resumes from %s, which is not stored", s.Task, name)
 			case s.FromStep != step && (s.FromStep > 0 || s.State == model.TaskDone):
-				found("%s started at step %d, its committed checkpoint %q is of step %d", s.Task, s.FromStep, name, step)
+				report("%s started at step %d, its committed checkpoint %q is of step %d", s.Task, s.FromStep, name, step)
 			}
 		}
 	}
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -12,7 +12,7 @@
 const (
 	// A backend server notices later than its client that a request was
 	// cancelled; until then it may overlap with a retry.
-	cancelNotice = time.Second
+	cancelDetectionTime = time.Second
 	// A request that was sent this long before the signal has reached the
 	// entry. A connection that is still in the kernel's queue has not.
 	sentMargin = time.Second
@@ -29,7 +29,7 @@
 // ran reports whether the request took a slot.
 func (r placedRecord) ran() bool { return r.End != "refused" }
 
-func (h *History) byKey() map[string][]placedRecord {
+func (h *History) recordsByKey() map[string][]placedRecord {
 	m := map[string][]placedRecord{}
 	for _, b := range h.Backends {
 		for _, r := range b.Records {
@@ -41,8 +41,8 @@
 
 // wholeAnswers finds successful answers that are cut, or another request's,
 // and answers without a run.
-func wholeAnswers(h *History, found report) {
-	records := h.byKey()
+func wholeAnswers(h *History, report reportFunc) {
+	records := h.recordsByKey()
 	for _, c := range h.Calls {
 		if c.Error != "" || c.Status != http.StatusOK {
 			continue
@@ -55,24 +55,24 @@
 		}
 		switch {
 		case c.Body != c.Want:
-			found("%s was answered %q, not %q", c.Key, c.Body, c.Want)
+			report("%s was answered %q, not %q", c.Key, c.Body, c.Want)
 		case complete == 0:
-			found("%s was answered, but no backend server completed it", c.Key)
+			report("%s was answered, but no backend server completed it", c.Key)
 		}
 	}
 }
 
 // notRun finds requests that ran although the caller was told that they did
 // not.
-func notRun(h *History, found report) {
-	records := h.byKey()
+func notRun(h *History, report reportFunc) {
+	records := h.recordsByKey()
 	for _, c := range h.Calls {
 		if c.Outcome != model.OutcomeNotRun.String() {
 			continue
 		}
 		for _, r := range records[c.Key] {
 			if r.ran() {
-				found("%s was answered as not run, but ran at %s", c.Key, r.backend)
+				report("%s was answered as not run, but ran at %s", c.Key, r.backend)
 			}
 		}
 	}
@@ -80,16 +80,16 @@
 
 // atMostOnce finds requests that ran twice: at all, unless the method is
 // idempotent, or at the same time.
-func atMostOnce(h *History, found report) {
-	for key, list := range h.byKey() {
+func atMostOnce(h *History, report reportFunc) {
+	for key, list := range h.recordsByKey() {
 		for i, r := range list {
 			for _, o := range list[:i] {
 				switch {
 				case !r.ran() || !o.ran():
 				case r.Method == http.MethodPost || r.Method == http.MethodPatch:
-					found("%s %s ran at %s and at %s", r.Method, key, o.backend, r.backend)
+					report("%s %s ran at %s and at %s", r.Method, key, o.backend, r.backend)
 				case overlap(r.RequestRecord, o.RequestRecord):
-					found("%s %s ran at %s and at %s at the same time", r.Method, key, o.backend, r.backend)
+					report("%s %s ran at %s and at %s at the same time", r.Method, key, o.backend, r.backend)
 				}
 			}
 		}
@@ -102,18 +102,18 @@
 	}
 	ended := a.Finished
 	if ended != 0 && a.End == "cancelled" {
-		ended -= int64(cancelNotice)
+		ended -= int64(cancelDetectionTime)
 	}
 	return a.Finished == 0 || ended > b.Started
 }
 
 // drain finds requests that started at a backend server later than the bound
 // after its drain.
-func drain(h *History, found report) {
+func drain(h *History, report reportFunc) {
 	for _, b := range h.Backends {
 		for _, r := range b.Records {
 			if b.Drained != 0 && r.Started > b.Drained+int64(drainBound) {
-				found("%s started at %s %v after the drain", r.Key, b.ID, time.Duration(r.Started-b.Drained))
+				report("%s started at %s %v after the drain", r.Key, b.ID, time.Duration(r.Started-b.Drained))
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 
 // gracefulShutdown finds requests in flight that a graceful shutdown cut:
 // those that an entry had received, and those that ran behind an agent.
-func gracefulShutdown(h *History, found report) {
+func gracefulShutdown(h *History, report reportFunc) {
 	calls := map[string]Call{}
 	for _, c := range h.Calls {
 		calls[c.Key] = c
@@ -129,22 +129,22 @@
 	for _, s := range h.Shutdowns {
 		for _, c := range h.Calls {
 			if c.Entry == s.Process && c.Sent+int64(sentMargin) < s.At && c.Ended > s.At {
-				h.answered(c, s, found)
+				h.checkUninterrupted(c, s, report)
 			}
 		}
 		for _, b := range h.Backends {
 			for _, r := range b.Records {
 				if b.Agent == s.Process && r.Started < s.At && (r.Finished == 0 || r.Finished > s.At) {
-					h.answered(calls[r.Key], s, found)
+					h.checkUninterrupted(calls[r.Key], s, report)
 				}
 			}
 		}
 	}
 }
 
-func (h *History) answered(c Call, s Shutdown, found report) {
-	if c.Error == "" && c.Status == http.StatusOK || h.excused(c.Sent, min(c.Ended, s.Ended), 0) {
+func (h *History) checkUninterrupted(c Call, s Shutdown, report reportFunc) {
+	if c.Error == "" && c.Status == http.StatusOK || h.overlapsFault(c.Sent, min(c.Ended, s.Ended), 0) {
 		return
 	}
-	found("%s was in flight when %s was shut down and ended with status %d, error %q", c.Key, s.Process, c.Status, c.Error)
+	report("%s was in flight when %s was shut down and ended with status %d, error %q", c.Key, s.Process, c.Status, c.Error)
 }
