--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -12,9 +12,9 @@
 
 // announcer posts announcements to an agent.
 type announcer struct {
-	base   string
-	body   []byte
-	client *http.Client
+	baseURL string
+	body    []byte
+	client  *http.Client
 }
 
 func newAnnouncer(c BackendConfig) announcer {
@@ -29,13 +29,13 @@
 
 // post sends an announcement in a goroutine of its own. If the agent accepts
 // it, then is sent to the backend server's actor.
-func (s *backendState) post(path string, then message[*backendState]) {
+func (s *backendState) post(path string, onAccepted message[*backendState]) {
 	if s.Agent == "" {
 		return
 	}
-	a, self := s.announce, s.self
+	a, self := s.announcer, s.self
 	actor.Go(s.group, "announcement", func(ctx context.Context) error {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.base+path, bytes.NewReader(a.body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.baseURL+path, bytes.NewReader(a.body))
 		if err != nil {
 			return err
 		}
@@ -45,8 +45,8 @@
 			return nil // repeated after the interval
 		}
 		_ = resp.Body.Close()
-		if resp.StatusCode/100 == 2 && then != nil {
-			_ = self.Send(ctx, then)
+		if resp.StatusCode/100 == 2 && onAccepted != nil {
+			_ = self.Send(ctx, onAccepted)
 		}
 		return nil
 	})
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -139,23 +139,23 @@
 // backendState is owned by the backend server's actor.
 type backendState struct {
 	BackendConfig
-	group    *actor.Group
-	self     actor.Address[message[*backendState]]
-	later    *later
-	clock    clock
-	announce announcer
-	state    chart.State
-	timer    uint64
-	control  BackendControl
-	counts   BackendState
-	values   map[string]int64 // of /count
-	records  []RequestRecord
-	running  map[uint64]*admission
-	waiting  []*admission // above the slots, for at most cancelGrace
-	lastID   uint64
-
-	overflow      *backendReply[bool] // connection above the limit that waits for another to close
-	overflowTimer uint64
+	group     *actor.Group
+	self      actor.Address[message[*backendState]]
+	timers    *callTimers
+	clock     clock
+	announcer announcer
+	state     chart.State
+	timer     uint64
+	control   BackendControl
+	counts    BackendState
+	values    map[string]int64 // of /count
+	records   []RequestRecord
+	running   map[uint64]*slotRequest
+	waiting   []*slotRequest // above the slots, for at most cancelGrace
+	lastID    uint64
+
+	pendingConn      *backendReply[bool] // connection above the limit that waits for another to close
+	pendingConnTimer uint64
 }
 
 // NewBackend starts a backend server in g. It begins to announce itself at
@@ -167,9 +167,9 @@
 	if c.Connections == 0 {
 		c.Connections = DefaultConnections
 	}
-	s := &backendState{BackendConfig: c, group: g, later: newLater(), clock: newClock(), announce: newAnnouncer(c),
-		state: backendChart.Initial(), values: map[string]int64{}, running: map[uint64]*admission{}}
-	to := spawn(g, "backend server "+c.Address, s.later, s)
+	s := &backendState{BackendConfig: c, group: g, timers: newCallTimers(), clock: newClock(), announcer: newAnnouncer(c),
+		state: backendChart.Initial(), values: map[string]int64{}, running: map[uint64]*slotRequest{}}
+	to := spawn(g, "backend server "+c.Address, s.timers, s)
 	_ = to.Send(g.Context(), backendSelfMsg{to})
 	return &Backend{to}
 }
@@ -192,9 +192,9 @@
 	if !backendChart.Step(s, &s.state, e) {
 		return
 	}
-	s.later.cancel(s.timer)
+	s.timers.cancel(s.timer)
 	if d, event, ok := backendChart.Timeout(s.state); ok {
-		s.timer = s.later.after(d, func() { s.step(event) })
+		s.timer = s.timers.afterFunc(d, func() { s.step(event) })
 	}
 }
 
--- a/internal/standin/backend_http.go
+++ b/internal/standin/backend_http.go
@@ -64,15 +64,15 @@
 func (b *Backend) Handler() http.Handler {
 	control := http.NewServeMux()
 	b.handleControl(control)
-	serve := map[string]http.HandlerFunc{
-		"echo": b.exchange(serveEcho), "sleep": b.exchange(serveSleep),
-		"count": b.exchange(b.serveCount), "bytes": b.exchange(serveBytes),
+	handlers := map[string]http.HandlerFunc{
+		"echo": b.inSlot(serveEcho), "sleep": b.inSlot(serveSleep),
+		"count": b.inSlot(b.serveCount), "bytes": b.inSlot(serveBytes),
 	}
 	// A ServeMux would redirect paths such as /echo//a, which are to be
 	// echoed as they are.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-		if h, ok := serve[name]; ok {
+		if h, ok := handlers[name]; ok {
 			h(w, r)
 			return
 		}
@@ -87,26 +87,26 @@
 
 // exchange runs a request in a slot. The response's last byte is held back
 // until the slot is free again.
-func (b *Backend) exchange(serve func(*heldWriter, *http.Request) error) http.HandlerFunc {
+func (b *Backend) inSlot(serve func(*responseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		record := RequestRecord{Key: r.Header.Get(KeyHeader), Method: r.Method, URI: r.RequestURI}
-		v, err := ask(context.WithoutCancel(r.Context()), b.to, func(reply backendReply[verdict]) message[*backendState] {
+		adm, err := ask(context.WithoutCancel(r.Context()), b.to, func(reply backendReply[admission]) message[*backendState] {
 			return beginMsg{record, Fault(r.URL.Query().Get("fault")), reply}
 		})
-		if err != nil || v.refused {
+		if err != nil || adm.refused {
 			http.Error(w, "no slot is free", http.StatusServiceUnavailable)
 			return
 		}
-		held := &heldWriter{w: w, status: http.StatusOK, fault: v.fault}
-		how := held.run(r, v, serve)
+		response := &responseWriter{w: w, status: http.StatusOK, fault: adm.fault}
+		end := response.run(r, adm, serve)
 		_, _ = ask(context.Background(), b.to, func(reply backendReply[struct{}]) message[*backendState] {
-			return endMsg{v.id, how, reply}
+			return endMsg{adm.id, end, reply}
 		})
-		held.finish(how)
+		response.finish(end)
 	}
 }
 
-func serveEcho(w *heldWriter, r *http.Request) error {
+func serveEcho(w *responseWriter, r *http.Request) error {
 	if err := http.NewResponseController(w.w).EnableFullDuplex(); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	if t := r.Header.Get("Content-Type"); t != "" {
 		h.Set("Content-Type", t)
 	}
-	w.declare(r.ContentLength)
+	w.setContentLength(r.ContentLength)
 	_, err := io.CopyBuffer(struct{ io.Writer }{w}, r.Body, make([]byte, chunkSize))
 	return err
 }
@@ -128,7 +128,7 @@
 	return err
 }
 
-func serveSleep(w *heldWriter, r *http.Request) error {
+func serveSleep(w *responseWriter, r *http.Request) error {
 	ms, err := strconv.ParseInt(r.URL.Query().Get("ms"), 10, 64)
 	if err != nil || ms < 0 || time.Duration(ms) > maxSleep/time.Millisecond {
 		return w.fail(http.StatusBadRequest, "ms: not a duration in milliseconds")
@@ -139,10 +139,10 @@
 	if !actor.Sleep(r.Context(), time.Duration(ms)*time.Millisecond) {
 		return r.Context().Err()
 	}
-	return w.text("slept " + strconv.FormatInt(ms, 10) + " ms\n")
+	return w.writeText("slept " + strconv.FormatInt(ms, 10) + " ms\n")
 }
 
-func (b *Backend) serveCount(w *heldWriter, r *http.Request) error {
+func (b *Backend) serveCount(w *responseWriter, r *http.Request) error {
 	m := countMsg{key: r.URL.Query().Get("key")}
 	switch r.Method {
 	case http.MethodPost:
@@ -161,23 +161,23 @@
 	if err != nil {
 		return err
 	}
-	return w.text(strconv.FormatInt(n, 10) + "\n")
+	return w.writeText(strconv.FormatInt(n, 10) + "\n")
 }
 
-func serveBytes(w *heldWriter, r *http.Request) error {
+func serveBytes(w *responseWriter, r *http.Request) error {
 	n, err := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64)
 	if err != nil || n < 0 {
 		return w.fail(http.StatusBadRequest, "n: not a number of bytes")
 	}
-	w.declare(n)
+	w.setContentLength(n)
 	chunk := make([]byte, chunkSize)
 	for i := range chunk {
 		chunk[i] = 'a' + byte(i%26)
 	}
 	for n > 0 && err == nil {
-		k := min(n, chunkSize)
-		_, err = w.Write(chunk[:k])
-		n -= k
+		size := min(n, chunkSize)
+		_, err = w.Write(chunk[:size])
+		n -= size
 	}
 	return err
 }
--- a/internal/standin/backend_messages.go
+++ b/internal/standin/backend_messages.go
@@ -10,7 +10,7 @@
 type backendReply[T any] = actor.Reply[answer[T]]
 
 // verdict tells a request's handler how to treat the request.
-type verdict struct {
+type admission struct {
 	id      uint64
 	refused bool // no slot is free
 	fault   Fault
@@ -18,18 +18,18 @@
 }
 
 // admission is a request that runs or waits for a slot.
-type admission struct {
-	verdict
+type slotRequest struct {
+	admission
 	record int // index in the log, or -1
 	timer  uint64
-	reply  backendReply[verdict]
+	reply  backendReply[admission]
 }
 
 // beginMsg asks for a slot.
 type beginMsg struct {
 	record RequestRecord
 	fault  Fault // that the request asks for
-	reply  backendReply[verdict]
+	reply  backendReply[admission]
 }
 
 func (m beginMsg) handle(s *backendState) {
@@ -38,24 +38,24 @@
 		s.counts.AfterDrain++
 	}
 	s.lastID++
-	a := &admission{verdict: verdict{id: s.lastID, fault: s.fault(m.fault), delayMs: s.control.DelayMs}, record: -1, reply: m.reply}
+	req := &slotRequest{admission: admission{id: s.lastID, fault: s.fault(m.fault), delayMs: s.control.DelayMs}, record: -1, reply: m.reply}
 	if len(s.records) < maxRecords {
-		a.record = len(s.records)
+		req.record = len(s.records)
 		m.record.Started = s.clock.now()
 		s.records = append(s.records, m.record)
 	}
 	if len(s.running) < s.Slots {
-		s.start(a)
+		s.start(req)
 		return
 	}
-	s.waiting = append(s.waiting, a)
-	a.timer = s.later.after(cancelGrace, func() { s.refuse(a) })
+	s.waiting = append(s.waiting, req)
+	req.timer = s.timers.afterFunc(cancelGrace, func() { s.refuse(req) })
 }
 
 // fault is what the request asks for, else what the control set.
-func (s *backendState) fault(asked Fault) Fault {
-	if asked != "" || s.control.Fault == "" || s.control.Count == 0 {
-		return asked
+func (s *backendState) fault(requested Fault) Fault {
+	if requested != "" || s.control.Fault == "" || s.control.Count == 0 {
+		return requested
 	}
 	if s.control.Count > 0 {
 		s.control.Count--
@@ -63,26 +63,26 @@
 	return s.control.Fault
 }
 
-func (s *backendState) start(a *admission) {
-	if a.record >= 0 {
-		s.records[a.record].Started = s.clock.now()
+func (s *backendState) start(req *slotRequest) {
+	if req.record >= 0 {
+		s.records[req.record].Started = s.clock.now()
 	}
-	s.running[a.id] = a
+	s.running[req.id] = req
 	s.counts.MaxRunning = max(s.counts.MaxRunning, len(s.running))
-	a.reply.Put(answer[verdict]{value: a.verdict})
+	req.reply.Put(answer[admission]{value: req.admission})
 }
 
-func (s *backendState) refuse(a *admission) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(o *admission) bool { return o == a })
+func (s *backendState) refuse(req *slotRequest) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(o *slotRequest) bool { return o == req })
 	s.counts.SlotViolations++
-	a.refused = true
-	s.end(a, "refused")
-	a.reply.Put(answer[verdict]{value: a.verdict})
+	req.refused = true
+	s.recordEnd(req, "refused")
+	req.reply.Put(answer[admission]{value: req.admission})
 }
 
-func (s *backendState) end(a *admission, how string) {
-	if a.record >= 0 {
-		s.records[a.record].Finished, s.records[a.record].End = s.clock.now(), how
+func (s *backendState) recordEnd(req *slotRequest, end string) {
+	if req.record >= 0 {
+		s.records[req.record].Finished, s.records[req.record].End = s.clock.now(), end
 	}
 }
 
@@ -90,7 +90,7 @@
 // sent, so that no client can see the response before the slot is free.
 type endMsg struct {
 	id    uint64
-	how   string
+	end   string
 	reply backendReply[struct{}]
 }
 
@@ -102,15 +102,15 @@
 )
 
 func (m endMsg) handle(s *backendState) {
-	if a, ok := s.running[m.id]; ok {
+	if req, ok := s.running[m.id]; ok {
 		delete(s.running, m.id)
-		s.end(a, m.how)
+		s.recordEnd(req, m.end)
 		// A request that found all slots in use may take this one only if
 		// its client could not know that the cancelled request still ran.
-		if m.how != endComplete && len(s.waiting) > 0 {
+		if m.end != endComplete && len(s.waiting) > 0 {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
-			s.later.cancel(next.timer)
+			s.timers.cancel(next.timer)
 			s.counts.CancelOverlaps++
 			s.start(next)
 		}
@@ -128,20 +128,20 @@
 
 func (m connMsg) handle(s *backendState) {
 	switch {
-	case !m.open && s.overflow != nil:
+	case !m.open && s.pendingConn != nil:
 		s.counts.ConnectionOverlaps++
-		s.later.cancel(s.overflowTimer)
-		s.overflow.Put(answer[bool]{value: true})
-		s.overflow = nil
+		s.timers.cancel(s.pendingConnTimer)
+		s.pendingConn.Put(answer[bool]{value: true})
+		s.pendingConn = nil
 	case !m.open:
 		s.counts.Connections--
 	case s.counts.Connections < s.Connections:
 		s.counts.Connections++
 		s.counts.MaxConns = max(s.counts.MaxConns, s.counts.Connections)
 	default: // one at a time, because the listener waits for the answer
-		s.overflow = &m.reply
-		s.overflowTimer = s.later.after(cancelGrace, func() {
-			s.overflow = nil
+		s.pendingConn = &m.reply
+		s.pendingConnTimer = s.timers.afterFunc(cancelGrace, func() {
+			s.pendingConn = nil
 			s.counts.ConnectionViolations++
 			m.reply.Put(answer[bool]{})
 		})
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -14,20 +14,20 @@
 
 // heldWriter writes a response except for its last byte, and applies the
 // request's fault.
-type heldWriter struct {
-	w        http.ResponseWriter
-	status   int
-	fault    Fault
-	declared int64 // length of the body; 0 if it is empty or unknown
-	written  int64
-	last     []byte // the byte that is held back
-	started  bool
+type responseWriter struct {
+	w             http.ResponseWriter
+	status        int
+	fault         Fault
+	contentLength int64 // length of the body; 0 if it is empty or unknown
+	written       int64
+	withheld      []byte // the byte that is held back
+	headerSent    bool
 }
 
 // run serves the request and says how it ended.
-func (h *heldWriter) run(r *http.Request, v verdict, serve func(*heldWriter, *http.Request) error) string {
+func (h *responseWriter) run(r *http.Request, adm admission, serve func(*responseWriter, *http.Request) error) string {
 	ctx := r.Context()
-	if v.delayMs > 0 && !actor.Sleep(ctx, time.Duration(v.delayMs)*time.Millisecond) {
+	if adm.delayMs > 0 && !actor.Sleep(ctx, time.Duration(adm.delayMs)*time.Millisecond) {
 		return endCancelled
 	}
 	err := serve(h, r)
@@ -44,54 +44,54 @@
 }
 
 // declare announces the length of the body, if it is known.
-func (h *heldWriter) declare(n int64) {
+func (h *responseWriter) setContentLength(n int64) {
 	if n >= 0 && h.fault != FaultError {
 		h.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
-		h.declared = n
+		h.contentLength = n
 	}
 }
 
 // text writes a short body.
-func (h *heldWriter) text(s string) error {
-	h.declare(int64(len(s)))
+func (h *responseWriter) writeText(s string) error {
+	h.setContentLength(int64(len(s)))
 	_, err := h.Write([]byte(s))
 	return err
 }
 
 // fail answers with an error status.
-func (h *heldWriter) fail(status int, s string) error {
+func (h *responseWriter) fail(status int, s string) error {
 	h.status = status
-	return h.text(s + "\n")
+	return h.writeText(s + "\n")
 }
 
 // Write implements io.Writer.
-func (h *heldWriter) Write(p []byte) (int, error) {
-	if len(p) == 0 || h.silent() {
+func (h *responseWriter) Write(p []byte) (int, error) {
+	if len(p) == 0 || h.suppressed() {
 		return len(p), nil
 	}
-	rest := append(h.last, p[:len(p)-1]...)
+	rest := append(h.withheld, p[:len(p)-1]...)
 	if err := h.send(rest); err != nil {
 		return 0, err
 	}
-	h.last = append(h.last[:0], p[len(p)-1])
+	h.withheld = append(h.withheld[:0], p[len(p)-1])
 	return len(p), nil
 }
 
 // silent reports whether the fault suppresses the rest of the body: all of it,
 // or its second half.
-func (h *heldWriter) silent() bool {
+func (h *responseWriter) suppressed() bool {
 	switch h.fault {
 	case FaultHang, FaultError:
 		return true
 	case FaultReset, FaultTruncate:
-		return h.written > 0 && h.written >= h.declared/2
+		return h.written > 0 && h.written >= h.contentLength/2
 	}
 	return false
 }
 
-func (h *heldWriter) send(p []byte) error {
-	if !h.started {
-		h.started = true
+func (h *responseWriter) send(p []byte) error {
+	if !h.headerSent {
+		h.headerSent = true
 		h.w.WriteHeader(h.status)
 	}
 	n, err := h.w.Write(p)
@@ -104,13 +104,13 @@
 
 // finish sends the last byte, or what the fault demands. A response that is
 // not complete ends with its connection.
-func (h *heldWriter) finish(how string) {
+func (h *responseWriter) finish(end string) {
 	switch {
-	case how == endComplete && len(h.last) > 0:
-		if h.send(h.last) != nil {
+	case end == endComplete && len(h.withheld) > 0:
+		if h.send(h.withheld) != nil {
 			panic(http.ErrAbortHandler)
 		}
-	case how == endComplete:
+	case end == endComplete:
 	case h.fault == FaultError:
 		http.Error(h.w, "simulated error", http.StatusInternalServerError)
 	case h.fault == FaultReset:
@@ -122,7 +122,7 @@
 }
 
 // reset sends what was written and then resets the connection.
-func (h *heldWriter) reset() {
+func (h *responseWriter) reset() {
 	control := http.NewResponseController(h.w)
 	_ = control.Flush()
 	conn, _, err := control.Hijack()
@@ -138,11 +138,11 @@
 // countingListener counts connections and closes those above the limit.
 type countingListener struct {
 	net.Listener
-	b *Backend
+	backend *Backend
 }
 
 func (l *countingListener) count(open bool) bool {
-	ok, err := ask(context.Background(), l.b.to, func(r backendReply[bool]) message[*backendState] { return connMsg{open, r} })
+	ok, err := ask(context.Background(), l.backend.to, func(r backendReply[bool]) message[*backendState] { return connMsg{open, r} })
 	return ok && err == nil
 }
 
@@ -166,8 +166,8 @@
 // any goroutine; open holds one token until the first Close.
 type countedConn struct {
 	net.Conn
-	l    *countingListener
-	open chan struct{}
+	listener *countingListener
+	open     chan struct{}
 }
 
 // Close implements net.Conn.
@@ -175,7 +175,7 @@
 	err := c.Conn.Close()
 	select {
 	case <-c.open:
-		c.l.count(false)
+		c.listener.count(false)
 	default:
 	}
 	return err
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -17,13 +17,13 @@
 )
 
 func startBackend(t *testing.T, c BackendConfig) (b *Backend, address string) {
-	g := group(t)
+	g := newGroup(t)
 	b = NewBackend(g, c)
-	return b, listen(t, g, b.Serve)
+	return b, serveOnLoopback(t, g, b.Serve)
 }
 
 // eventually polls a condition that another goroutine or process fulfils.
-func eventually(t *testing.T, condition func() bool) {
+func requireEventually(t *testing.T, condition func() bool) {
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond)
 }
 
@@ -35,7 +35,7 @@
 
 // Guards against a ninth request that goes unnoticed, and against responses
 // that a client sees before their slot is free.
-func TestSlotsAreCounted(t *testing.T) {
+func TestSlotLimitIsEnforcedAndCounted(t *testing.T) {
 	b, address := startBackend(t, BackendConfig{Slots: 2})
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -55,7 +55,7 @@
 			}
 		}()
 	}
-	eventually(t, func() bool { return b.mustState(t).Running == 2 })
+	requireEventually(t, func() bool { return b.mustState(t).Running == 2 })
 	resp, err := client.Get("http://" + address + "/echo")
 	require.NoError(t, err)
 	_ = resp.Body.Close()
@@ -68,7 +68,7 @@
 
 // Guards against connections above the limit that go unnoticed, and against
 // closed ones that stay counted.
-func TestConnectionsAreCounted(t *testing.T) {
+func TestConnectionLimitIsEnforcedAndCounted(t *testing.T) {
 	b, address := startBackend(t, BackendConfig{Connections: 2})
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", address)
@@ -82,7 +82,7 @@
 	require.Error(t, err)
 	require.Equal(t, 1, b.mustState(t).ConnectionViolations)
 	require.NoError(t, first.Close())
-	eventually(t, func() bool { return b.mustState(t).Connections == 1 })
+	requireEventually(t, func() bool { return b.mustState(t).Connections == 1 })
 }
 
 // Guards against responses that are altered, and faults that look like a
@@ -131,9 +131,9 @@
 // Guards against a backend server that does not announce itself, or goes on
 // after it was told to drain.
 func TestBackendAnnouncesAndDrains(t *testing.T) {
-	g := group(t)
+	g := newGroup(t)
 	paths := make(chan string, 100)
-	agent := listen(t, g, (&recorder{paths}).serve)
+	agent := serveOnLoopback(t, g, (&announceRecorder{paths}).serve)
 	b, _ := startBackend(t, BackendConfig{Service: "permit-desk", Address: "127.0.0.1:1", Agent: "http://" + agent})
 	announced, ok := strings.CutPrefix(<-paths, "/v1/announce ")
 	require.True(t, ok)
@@ -144,25 +144,25 @@
 	_, err := b.Control(t.Context(), BackendControl{Drain: true})
 	require.NoError(t, err)
 	require.Equal(t, "/v1/drain "+announced, <-paths)
-	eventually(t, func() bool { return b.mustState(t).State == "drained" })
+	requireEventually(t, func() bool { return b.mustState(t).State == "drained" })
 }
 
 // recorder is an agent that records what is posted to it.
-type recorder struct{ paths chan string }
+type announceRecorder struct{ posts chan string }
 
-func (r *recorder) serve(ctx context.Context, l net.Listener) error {
+func (r *announceRecorder) serve(ctx context.Context, l net.Listener) error {
 	return serve(ctx, l, &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		raw, _ := io.ReadAll(req.Body)
-		r.paths <- req.URL.Path + " " + string(raw)
+		r.posts <- req.URL.Path + " " + string(raw)
 	})})
 }
 
 // Guards against a violation that is counted when a client cancels a request
 // and sends another before the server has noticed, and against a backend
 // server that cannot be used in virtual time.
-func TestCancelledRequestIsNoViolation(t *testing.T) {
+func TestOverlapWithCancelledRequestIsNoViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		b := NewBackend(g, BackendConfig{Slots: 1})
 		l := NewMemoryListener()
 		actor.Go(g, "server", func(ctx context.Context) error { return b.Serve(ctx, l) })
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -14,11 +14,11 @@
 	DefaultWritesPerSecond = 400
 	DefaultReadsPerSecond  = 2000
 	// A client may use a quarter of a second's operations at once.
-	burstShare = 4
+	burstDivisor = 4
 )
 
 // errLost leaves the outcome unknown to the client.
-var errLost = storage.ErrOutcomeUnknown
+var errOutcomeUnknown = storage.ErrOutcomeUnknown
 
 // StoreFaults are the faults of a table service or an object store. The zero
 // value simulates a healthy service with the default limits.
@@ -52,36 +52,36 @@
 }
 
 // gate applies faults and limits to the operations of a store.
-type gate struct {
+type faultInjector struct {
 	StoreState
 	writes, reads *rate.Limiter
-	later         *later
+	timers        *callTimers
 }
 
-func newGate(f StoreFaults) *gate {
-	g := &gate{later: newLater()}
+func newFaultInjector(f StoreFaults) *faultInjector {
+	g := &faultInjector{timers: newCallTimers()}
 	g.set(f)
 	return g
 }
 
-func (g *gate) set(f StoreFaults) {
+func (g *faultInjector) set(f StoreFaults) {
 	g.Faults = f
-	g.writes = limiter(f.WritesPerSecond, DefaultWritesPerSecond)
-	g.reads = limiter(f.ReadsPerSecond, DefaultReadsPerSecond)
+	g.writes = newLimiter(f.WritesPerSecond, DefaultWritesPerSecond)
+	g.reads = newLimiter(f.ReadsPerSecond, DefaultReadsPerSecond)
 }
 
-func limiter(n, normal int) *rate.Limiter {
+func newLimiter(perSecond, defaultRate int) *rate.Limiter {
 	switch {
-	case n < 0:
+	case perSecond < 0:
 		return rate.NewLimiter(rate.Inf, 0)
-	case n == 0:
-		n = normal
+	case perSecond == 0:
+		perSecond = defaultRate
 	}
-	return rate.NewLimiter(rate.Limit(n), max(1, n/burstShare))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/burstDivisor))
 }
 
 // admit refuses an operation in an outage or above the limit.
-func (g *gate) admit(l *rate.Limiter) error {
+func (g *faultInjector) admit(l *rate.Limiter) error {
 	switch {
 	case g.Faults.Outage:
 		g.Counters.Refused++
@@ -94,7 +94,7 @@
 }
 
 // take counts down a fault that applies to the next n operations.
-func (g *gate) take(n *int) bool {
+func (g *faultInjector) consume(n *int) bool {
 	if *n == 0 {
 		return false
 	}
@@ -106,32 +106,32 @@
 }
 
 // write runs a write under the faults and passes its outcome to reply.
-func (g *gate) write(effect func() error, reply func(error)) {
+func (g *faultInjector) write(effect func() error, reply func(error)) {
 	g.Counters.Writes++
 	if err := g.admit(g.writes); err != nil {
 		reply(err)
 		return
 	}
 	half := time.Duration(g.Faults.DelayMs) * time.Millisecond / 2
-	g.later.after(half, func() {
-		if g.take(&g.Faults.LoseRequests) {
-			reply(errLost)
+	g.timers.afterFunc(half, func() {
+		if g.consume(&g.Faults.LoseRequests) {
+			reply(errOutcomeUnknown)
 			return
 		}
 		err := effect()
-		if err == nil && g.take(&g.Faults.LoseAnswers) {
-			err = errLost
+		if err == nil && g.consume(&g.Faults.LoseAnswers) {
+			err = errOutcomeUnknown
 		}
-		g.later.after(half, func() { reply(err) })
+		g.timers.afterFunc(half, func() { reply(err) })
 	})
 }
 
 // read runs a read under the faults; the function passes on the outcome.
-func (g *gate) read(answer func(error)) {
+func (g *faultInjector) read(reply func(error)) {
 	g.Counters.Reads++
 	if err := g.admit(g.reads); err != nil {
-		answer(err)
+		reply(err)
 		return
 	}
-	g.later.after(time.Duration(g.Faults.DelayMs)*time.Millisecond, func() { answer(nil) })
+	g.timers.afterFunc(time.Duration(g.Faults.DelayMs)*time.Millisecond, func() { reply(nil) })
 }
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -20,14 +20,14 @@
 
 // objectState is owned by the object store's actor.
 type objectState struct {
-	*gate
+	*faultInjector
 	data map[string][]byte
 }
 
 // NewObjects starts an object store in g.
 func NewObjects(g *actor.Group, f StoreFaults) *Objects {
-	s := &objectState{newGate(f), map[string][]byte{}}
-	return &Objects{spawn(g, "object store", s.later, s)}
+	s := &objectState{newFaultInjector(f), map[string][]byte{}}
+	return &Objects{spawn(g, "object store", s.timers, s)}
 }
 
 type objectReply[T any] = actor.Reply[answer[T]]
@@ -72,7 +72,7 @@
 
 func (m objectControlMsg) handle(s *objectState) {
 	if m.faults != nil {
-		s.gate.set(*m.faults)
+		s.faultInjector.set(*m.faults)
 	}
 	m.reply.Put(answer[StoreState]{value: s.StoreState})
 }
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -48,7 +48,7 @@
 			return p, errors.Newf("program %q: statement %q is given twice", text, word)
 		}
 		seen[word] = true
-		if err := p.statement(word, strings.TrimSpace(rest)); err != nil {
+		if err := p.parseStatement(word, strings.TrimSpace(rest)); err != nil {
 			return p, errors.Wrapf(err, "program %q: statement %q", text, word)
 		}
 	}
@@ -61,7 +61,7 @@
 	return p, nil
 }
 
-func (p *Program) statement(word, rest string) (err error) {
+func (p *Program) parseStatement(word, rest string) (err error) {
 	switch word {
 	case "sleep":
 		if p.Sleep, err = time.ParseDuration(rest); err == nil && p.Sleep < 0 {
@@ -79,7 +79,7 @@
 			p.FailStep, err = strconv.Atoi(rest)
 		}
 	case "usage":
-		err = p.usage(rest)
+		err = p.parseUsage(rest)
 	case "result":
 		p.Result = rest
 	default:
@@ -88,7 +88,7 @@
 	return err
 }
 
-func (p *Program) usage(text string) error {
+func (p *Program) parseUsage(text string) error {
 	for _, field := range strings.Fields(text) {
 		name, value, _ := strings.Cut(field, "=")
 		n, err := strconv.ParseInt(value, 10, 64)
@@ -110,7 +110,7 @@
 }
 
 // actual is the consumption at full speed of a task of the declared size.
-func (p *Program) actual(declared model.Resources) model.Resources {
+func (p *Program) fullSpeedUsage(declared model.Resources) model.Resources {
 	r := declared
 	if p.usageGiven[0] {
 		r.CPU = p.Usage.CPU
@@ -125,12 +125,12 @@
 }
 
 // until is the run time from the start to the end of a step.
-func (p *Program) until(step int) time.Duration {
+func (p *Program) runTimeTo(step int) time.Duration {
 	return time.Duration(int64(p.Sleep) / int64(p.Steps) * int64(step))
 }
 
 // stepAt is the number of complete steps after a run time.
-func (p *Program) stepAt(ran time.Duration) int {
+func (p *Program) completedSteps(ran time.Duration) int {
 	length := int64(p.Sleep) / int64(p.Steps)
 	if length == 0 {
 		return p.Steps
@@ -139,9 +139,9 @@
 }
 
 // end is the run time after which the program succeeds or fails.
-func (p *Program) end() time.Duration {
+func (p *Program) totalRunTime() time.Duration {
 	if p.Fails {
-		return p.until(p.FailStep)
+		return p.runTimeTo(p.FailStep)
 	}
-	return p.until(p.Steps)
+	return p.runTimeTo(p.Steps)
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -99,39 +99,39 @@
 }
 
 // later runs functions of an actor after a delay.
-type later struct {
-	timers *actor.Timers[uint64]
-	todo   map[uint64]func()
-	next   uint64
+type callTimers struct {
+	deadlines *actor.Timers[uint64]
+	callbacks map[uint64]func()
+	lastID    uint64
 }
 
-func newLater() *later {
-	return &later{timers: actor.NewTimers[uint64](), todo: map[uint64]func(){}}
+func newCallTimers() *callTimers {
+	return &callTimers{deadlines: actor.NewTimers[uint64](), callbacks: map[uint64]func(){}}
 }
 
 // after runs f once d has passed, or at once if d is not positive. The id
 // cancels it.
-func (l *later) after(d time.Duration, f func()) (id uint64) {
+func (l *callTimers) afterFunc(d time.Duration, f func()) (id uint64) {
 	if d <= 0 {
 		f()
 		return 0
 	}
-	l.next++
-	l.todo[l.next] = f
-	l.timers.Set(l.next, time.Now().Add(d))
-	return l.next
+	l.lastID++
+	l.callbacks[l.lastID] = f
+	l.deadlines.Set(l.lastID, time.Now().Add(d))
+	return l.lastID
 }
 
-func (l *later) cancel(id uint64) {
-	l.timers.Clear(id)
-	delete(l.todo, id)
+func (l *callTimers) cancel(id uint64) {
+	l.deadlines.Clear(id)
+	delete(l.callbacks, id)
 }
 
 // due runs every function whose time has come.
-func (l *later) due() {
-	for id, ok := l.timers.Pop(time.Now()); ok; id, ok = l.timers.Pop(time.Now()) {
-		f := l.todo[id]
-		delete(l.todo, id)
+func (l *callTimers) runDue() {
+	for id, ok := l.deadlines.Pop(time.Now()); ok; id, ok = l.deadlines.Pop(time.Now()) {
+		f := l.callbacks[id]
+		delete(l.callbacks, id)
 		f()
 	}
 }
@@ -140,16 +140,16 @@
 type message[S any] interface{ handle(S) }
 
 // spawn starts an actor that handles messages and delayed functions.
-func spawn[S any](g *actor.Group, name string, l *later, state S) actor.Address[message[S]] {
+func spawn[S any](g *actor.Group, name string, timers *callTimers, state S) actor.Address[message[S]] {
 	return actor.Spawn(g, actor.Spec[message[S]]{Name: name, Mailbox: 256,
 		Run: func(ctx context.Context, in <-chan message[S]) error {
-			defer l.timers.Stop()
+			defer timers.deadlines.Stop()
 			for {
 				select {
 				case m := <-in:
 					m.handle(state)
-				case <-l.timers.C():
-					l.due()
+				case <-timers.deadlines.C():
+					timers.runDue()
 				case <-ctx.Done():
 					return nil
 				}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -43,12 +43,12 @@
 }
 
 // commit applies a transaction; keep adds it to the history.
-func (s *store) commit(t storage.Txn, keep bool) (storage.Revision, error) {
-	if err := checkShape(t); err != nil {
+func (s *store) commit(txn storage.Txn, keep bool) (storage.Revision, error) {
+	if err := validateTxn(txn); err != nil {
 		return 0, err
 	}
 	var failed []string
-	for _, c := range t.Checks {
+	for _, c := range txn.Checks {
 		if s.version(c.Key) != c.Version && !slices.Contains(failed, c.Key) {
 			failed = append(failed, c.Key)
 		}
@@ -57,18 +57,18 @@
 		return 0, &storage.ConflictError{Keys: failed}
 	}
 	s.revision++
-	t.Puts = slices.Clone(t.Puts)
-	for i, p := range t.Puts {
-		t.Puts[i].Value = slices.Clone(p.Value)
-		s.set(storage.Row{Key: p.Key, Value: t.Puts[i].Value, Version: s.revision})
+	txn.Puts = slices.Clone(txn.Puts)
+	for i, p := range txn.Puts {
+		txn.Puts[i].Value = slices.Clone(p.Value)
+		s.put(storage.Row{Key: p.Key, Value: txn.Puts[i].Value, Version: s.revision})
 	}
-	for _, key := range t.Deletes {
+	for _, key := range txn.Deletes {
 		if s.version(key) != 0 {
-			s.set(storage.Row{Key: key, Version: s.revision, Deleted: true})
+			s.put(storage.Row{Key: key, Version: s.revision, Deleted: true})
 		}
 	}
 	if keep {
-		s.history = append(s.history, Committed{s.revision, t})
+		s.history = append(s.history, Committed{s.revision, txn})
 	}
 	s.compact()
 	return s.revision, nil
@@ -81,15 +81,15 @@
 }
 
 // checkShape refuses a transaction that is too large or writes a row twice.
-func checkShape(t storage.Txn) error {
+func validateTxn(txn storage.Txn) error {
 	written := map[string]bool{}
-	for _, p := range t.Puts {
+	for _, p := range txn.Puts {
 		written[p.Key] = true
 	}
-	for _, key := range t.Deletes {
+	for _, key := range txn.Deletes {
 		written[key] = true
 	}
-	switch n := len(t.Puts) + len(t.Deletes); {
+	switch n := len(txn.Puts) + len(txn.Deletes); {
 	case n > maxTxnRows:
 		return errors.Wrapf(storage.ErrRefused, "%d rows, at most %d", n, maxTxnRows)
 	case n != len(written):
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (s *store) set(r storage.Row) {
+func (s *store) put(r storage.Row) {
 	s.rows[r.Key] = r
 	s.changes = append(s.changes, change{r.Version, r.Key})
 }
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -15,14 +15,14 @@
 
 // tableState is owned by the table's actor.
 type tableState struct {
-	*gate
+	*faultInjector
 	*store
 }
 
 // NewTable starts a table service in g.
 func NewTable(g *actor.Group, f StoreFaults) *Table {
-	s := &tableState{newGate(f), newStore()}
-	return &Table{spawn(g, "table service", s.later, s)}
+	s := &tableState{newFaultInjector(f), newStore()}
+	return &Table{spawn(g, "table service", s.timers, s)}
 }
 
 type tableReply[T any] = actor.Reply[answer[T]]
@@ -42,13 +42,13 @@
 	})
 }
 
-type rowMsg struct {
+type readMsg struct {
 	key   string
 	reply tableReply[storage.Row]
 }
 
-func (m rowMsg) handle(s *tableState) {
-	s.gate.read(func(err error) {
+func (m readMsg) handle(s *tableState) {
+	s.faultInjector.read(func(err error) {
 		var row storage.Row
 		if err == nil {
 			row, err = s.store.read(m.key)
@@ -58,7 +58,7 @@
 }
 
 // scanned is the answer of GET /v1/rows.
-type scanned struct {
+type scanResult struct {
 	Rows     []storage.Row    `json:"rows"`
 	Revision storage.Revision `json:"revision"`
 }
@@ -66,16 +66,16 @@
 type scanMsg struct {
 	prefix string
 	after  storage.Revision
-	reply  tableReply[scanned]
+	reply  tableReply[scanResult]
 }
 
 func (m scanMsg) handle(s *tableState) {
-	s.gate.read(func(err error) {
-		var result scanned
+	s.faultInjector.read(func(err error) {
+		var result scanResult
 		if err == nil {
-			result = scanned{s.scan(m.prefix, m.after), s.revision}
+			result = scanResult{s.scan(m.prefix, m.after), s.revision}
 		}
-		m.reply.Put(answer[scanned]{result, err})
+		m.reply.Put(answer[scanResult]{result, err})
 	})
 }
 
@@ -87,7 +87,7 @@
 
 func (m tableControlMsg) handle(s *tableState) {
 	if m.faults != nil {
-		s.gate.set(*m.faults)
+		s.faultInjector.set(*m.faults)
 	}
 	m.reply.Put(answer[StoreState]{value: s.StoreState})
 }
@@ -108,13 +108,13 @@
 
 // Read implements storage.Table.
 func (t *Table) Read(ctx context.Context, key string) (storage.Row, error) {
-	row, err := ask(ctx, t.to, func(r tableReply[storage.Row]) message[*tableState] { return rowMsg{key, r} })
+	row, err := ask(ctx, t.to, func(r tableReply[storage.Row]) message[*tableState] { return readMsg{key, r} })
 	return row, readError(err)
 }
 
 // Scan implements storage.Table.
 func (t *Table) Scan(ctx context.Context, prefix string, after storage.Revision) ([]storage.Row, storage.Revision, error) {
-	s, err := ask(ctx, t.to, func(r tableReply[scanned]) message[*tableState] { return scanMsg{prefix, after, r} })
+	s, err := ask(ctx, t.to, func(r tableReply[scanResult]) message[*tableState] { return scanMsg{prefix, after, r} })
 	return s.Rows, s.Revision, readError(err)
 }
 
--- a/internal/standin/table_http.go
+++ b/internal/standin/table_http.go
@@ -50,7 +50,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, scanned{rows, rev})
+	writeJSON(w, http.StatusOK, scanResult{rows, rev})
 }
 
 func (t *Table) serveRow(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/table_test.go
+++ b/internal/standin/table_test.go
@@ -15,39 +15,39 @@
 
 // listen serves on a free loopback port until the test ends and returns the
 // address.
-func listen(t *testing.T, g *actor.Group, serve func(context.Context, net.Listener) error) string {
+func serveOnLoopback(t *testing.T, g *actor.Group, serve func(context.Context, net.Listener) error) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	actor.Go(g, "server", func(ctx context.Context) error { return serve(ctx, l) })
 	return l.Addr().String()
 }
 
-func group(t *testing.T) *actor.Group {
+func newGroup(t *testing.T) *actor.Group {
 	g := actor.NewGroup(t.Context(), func(e actor.Exit) { t.Errorf("%s: %v", e.Actor, e.Err) })
 	t.Cleanup(g.Stop)
 	return g
 }
 
-func put(key, value string, checks ...storage.Check) storage.Txn {
+func putTxn(key, value string, checks ...storage.Check) storage.Txn {
 	return storage.Txn{Operation: key, Checks: checks, Puts: []storage.Put{{Key: key, Value: []byte(value)}}}
 }
 
 // Guards against a client and a service that disagree on transactions,
 // preconditions, tombstones, escaped keys or the meaning of an error.
 func TestTableOverHTTP(t *testing.T) {
-	g := group(t)
+	g := newGroup(t)
 	service := NewTable(g, StoreFaults{})
-	table := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + listen(t, g, service.Serve)})
+	table := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + serveOnLoopback(t, g, service.Serve)})
 	defer table.Close()
 	ctx := t.Context()
 
-	rev, err := table.Commit(ctx, put("job/a b/1%2F", "x"))
+	rev, err := table.Commit(ctx, putTxn("job/a b/1%2F", "x"))
 	require.NoError(t, err)
 	row, err := table.Read(ctx, "job/a b/1%2F")
 	require.NoError(t, err)
 	require.Equal(t, storage.Row{Key: "job/a b/1%2F", Value: []byte("x"), Version: rev}, row)
 
-	_, err = table.Commit(ctx, put("z", "z", storage.Check{Key: "job/a b/1%2F"}, storage.Check{Key: "other"}))
+	_, err = table.Commit(ctx, putTxn("z", "z", storage.Check{Key: "job/a b/1%2F"}, storage.Check{Key: "other"}))
 	var conflict *storage.ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.Equal(t, []string{"job/a b/1%2F"}, conflict.Keys)
@@ -65,13 +65,13 @@
 	require.ErrorIs(t, err, storage.ErrRefused)
 
 	require.NoError(t, service.SetFaults(ctx, StoreFaults{LoseAnswers: 1}))
-	_, err = table.Commit(ctx, put("lost", "1"))
+	_, err = table.Commit(ctx, putTxn("lost", "1"))
 	require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 	_, err = table.Read(ctx, "lost")
 	require.NoError(t, err, "the write took effect")
 
 	require.NoError(t, service.SetFaults(ctx, StoreFaults{Outage: true}))
-	_, err = table.Commit(ctx, put("out", "1"))
+	_, err = table.Commit(ctx, putTxn("out", "1"))
 	require.ErrorIs(t, err, storage.ErrUnavailable)
 
 	history, err := service.History(ctx, 0)
@@ -82,18 +82,18 @@
 
 // Guards against a client that takes a refused connection for an unknown
 // outcome, or a timeout for a known one.
-func TestClientSaysWhatWasSent(t *testing.T) {
-	g := group(t)
+func TestClientReportsWhetherOutcomeIsKnown(t *testing.T) {
+	g := newGroup(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + l.Addr().String()})
 	require.NoError(t, l.Close())
-	_, err = closed.Commit(t.Context(), put("a", "a"))
+	_, err = closed.Commit(t.Context(), putTxn("a", "a"))
 	require.ErrorIs(t, err, storage.ErrUnavailable)
 
 	service := NewTable(g, StoreFaults{DelayMs: time.Hour.Milliseconds()})
-	slow := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + listen(t, g, service.Serve), Timeout: 50 * time.Millisecond})
-	_, err = slow.Commit(t.Context(), put("a", "a"))
+	slow := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + serveOnLoopback(t, g, service.Serve), Timeout: 50 * time.Millisecond})
+	_, err = slow.Commit(t.Context(), putTxn("a", "a"))
 	require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 	_, err = slow.Read(t.Context(), "a")
 	require.ErrorIs(t, err, storage.ErrUnavailable)
@@ -102,9 +102,9 @@
 // Guards against a client whose errors keep the writer from reading back a
 // lost answer, or from repeating a refused call.
 func TestWriterOverHTTP(t *testing.T) {
-	g := group(t)
+	g := newGroup(t)
 	service := NewTable(g, StoreFaults{WritesPerSecond: 4, LoseAnswers: 2})
-	table := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + listen(t, g, service.Serve)})
+	table := storage.NewHTTPTable(storage.HTTPConfig{URL: "http://" + serveOnLoopback(t, g, service.Serve)})
 	defer table.Close()
 	w := storage.SpawnWriter(g, storage.WriterConfig{Table: table, Key: "writer/w"})
 	for _, key := range []string{"a", "b", "c"} {
@@ -120,13 +120,13 @@
 }
 
 // Guards against stand-ins that accept more than the platform does.
-func TestTableLimits(t *testing.T) {
+func TestTableEnforcesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		table := NewTable(g, StoreFaults{})
 		counts := func() (writes, reads int) {
 			for range 1000 {
-				if _, err := table.Commit(t.Context(), put("a", "a")); err == nil {
+				if _, err := table.Commit(t.Context(), putTxn("a", "a")); err == nil {
 					writes++
 				}
 				for range 5 {
@@ -138,7 +138,7 @@
 			return writes, reads
 		}
 		writes, reads := counts()
-		require.Equal(t, []int{DefaultWritesPerSecond / burstShare, DefaultReadsPerSecond / burstShare}, []int{writes, reads})
+		require.Equal(t, []int{DefaultWritesPerSecond / burstDivisor, DefaultReadsPerSecond / burstDivisor}, []int{writes, reads})
 		actor.Sleep(t.Context(), 100*time.Millisecond)
 		writes, reads = counts()
 		require.Equal(t, []int{DefaultWritesPerSecond / 10, DefaultReadsPerSecond / 10}, []int{writes, reads})
@@ -147,9 +147,9 @@
 
 // Guards against objects that are lost, altered or not deleted.
 func TestObjectsOverHTTP(t *testing.T) {
-	g := group(t)
+	g := newGroup(t)
 	service := NewObjects(g, StoreFaults{})
-	objects := storage.NewHTTPObjects(storage.HTTPConfig{URL: "http://" + listen(t, g, service.Serve)})
+	objects := storage.NewHTTPObjects(storage.HTTPConfig{URL: "http://" + serveOnLoopback(t, g, service.Serve)})
 	defer objects.Close()
 	ctx := t.Context()
 	require.NoError(t, objects.Put(ctx, "result/a/1", []byte("data")))
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,15 +18,15 @@
 	DefaultUsageLag = 10 * time.Second
 	// An ended task is remembered this long, so that a repeated start has no
 	// effect and an agent that was away learns the outcome.
-	keepEnded         = 10 * time.Minute
+	endedRetention    = 10 * time.Minute
 	objectRetryDelay  = 200 * time.Millisecond
 	objectCallTimeout = 5 * time.Second
 )
 
 // Errors of a worker's tasks.
 var (
-	ErrNoTask     = errors.New("the worker knows no such task")
-	ErrNotRunning = errors.New("the task does not run: it has ended, or is loading its checkpoint or writing its result")
+	ErrUnknownTask = errors.New("the worker knows no such task")
+	ErrNotRunning  = errors.New("the task does not run: it has ended, or is loading its checkpoint or writing its result")
 )
 
 // WorkerConfig describes a simulated worker.
@@ -118,12 +118,12 @@
 	group   *actor.Group
 	self    actor.Address[message[*workerState]]
 	objects storage.Objects
-	later   *later
+	timers  *callTimers
 	clock   clock
 	faults  WorkerFaults
 	counts  WorkerState
 	tasks   map[string]*task
-	spans   []TaskRun
+	runs    []TaskRun
 }
 
 // NewWorker starts a worker in g.
@@ -131,8 +131,8 @@
 	if c.UsageLag == 0 {
 		c.UsageLag = DefaultUsageLag
 	}
-	s := &workerState{WorkerConfig: c, group: g, objects: c.Objects, later: newLater(), clock: newClock(), tasks: map[string]*task{}}
-	to := spawn(g, "worker "+string(c.ID), s.later, s)
+	s := &workerState{WorkerConfig: c, group: g, objects: c.Objects, timers: newCallTimers(), clock: newClock(), tasks: map[string]*task{}}
+	to := spawn(g, "worker "+string(c.ID), s.timers, s)
 	_ = to.Send(g.Context(), workerSelfMsg{to})
 	return &Worker{to}
 }
@@ -147,12 +147,12 @@
 // retry runs an operation of the object store in a goroutine of its own until
 // it succeeds, finds that the object does not exist, or ctx ends; then it
 // sends the message to the worker.
-func (s *workerState) retry(ctx context.Context, op func(context.Context) (message[*workerState], error)) {
+func (s *workerState) retryObjectCall(ctx context.Context, op func(context.Context) (message[*workerState], error)) {
 	self := s.self
 	actor.Go(s.group, "worker's object access", func(context.Context) error {
 		for {
-			limited, cancel := context.WithTimeout(ctx, objectCallTimeout)
-			m, err := op(limited)
+			callCtx, cancel := context.WithTimeout(ctx, objectCallTimeout)
+			m, err := op(callCtx)
 			cancel()
 			if err == nil || errors.Is(err, storage.ErrNotFound) {
 				_ = self.Send(ctx, m)
@@ -166,7 +166,7 @@
 }
 
 // lag is the delay of usage reports.
-func (s *workerState) lag() time.Duration {
+func (s *workerState) usageLag() time.Duration {
 	if ms := s.faults.UsageLagMs; ms != nil {
 		return time.Duration(*ms) * time.Millisecond
 	}
@@ -174,33 +174,33 @@
 }
 
 // openSpan records the start of a task and whether it fits.
-func (s *workerState) openSpan(t *task, fromStep int) {
+func (s *workerState) recordStart(t *task, fromStep int) {
 	total := t.spec.Resources
 	for _, o := range s.tasks {
-		if o != t && o.live() {
+		if o != t && o.active() {
 			total = total.Add(o.spec.Resources)
 		}
 	}
-	over := !total.Fits(s.Capacity)
-	if over {
+	overcommit := !total.Fits(s.Capacity)
+	if overcommit {
 		s.counts.Overcommits++
 	}
-	t.span = len(s.spans)
-	s.spans = append(s.spans, TaskRun{Task: t.spec.ID, Started: s.clock.now(), State: model.TaskRunning,
-		FromStep: fromStep, Declared: t.spec.Resources, Overcommit: over})
+	t.runIndex = len(s.runs)
+	s.runs = append(s.runs, TaskRun{Task: t.spec.ID, Started: s.clock.now(), State: model.TaskRunning,
+		FromStep: fromStep, Declared: t.spec.Resources, Overcommit: overcommit})
 }
 
-func (s *workerState) closeSpan(t *task) {
-	if t.span < 0 {
+func (s *workerState) recordEnd(t *task) {
+	if t.runIndex < 0 {
 		return // it never started
 	}
-	span := &s.spans[t.span]
-	span.Ended, span.State, span.Reason = s.clock.now(), t.reported(), t.reason
-	span.ToStep = t.program.stepAt(t.ran)
+	run := &s.runs[t.runIndex]
+	run.Ended, run.State, run.Reason = s.clock.now(), t.reportedState(), t.reason
+	run.ToStep = t.program.completedSteps(t.runTime)
 }
 
 // reported is the state as the interface has it.
-func (t *task) reported() model.TaskState {
+func (t *task) reportedState() model.TaskState {
 	switch t.state {
 	case taskDone:
 		return model.TaskDone
@@ -213,19 +213,19 @@
 }
 
 func (t *task) view() TaskView {
-	t.progress()
-	v := TaskView{ID: t.spec.ID, State: t.reported(), Reason: t.reason, Checkpoint: t.checkpoint,
-		Step: t.program.stepAt(t.ran), Steps: t.program.Steps, Percent: t.percent, RanMs: time.Since(t.began).Milliseconds()}
+	t.updateRunTime()
+	v := TaskView{ID: t.spec.ID, State: t.reportedState(), Reason: t.reason, Checkpoint: t.checkpoint,
+		Step: t.program.completedSteps(t.runTime), Steps: t.program.Steps, Percent: t.percent, RanMs: time.Since(t.startedAt).Milliseconds()}
 	if v.State == model.TaskDone {
 		v.Result = t.spec.ResultName
 	}
-	if t.live() {
-		v.LeaseMs = time.Until(t.leased).Milliseconds()
+	if t.active() {
+		v.LeaseMs = time.Until(t.leaseExpiresAt).Milliseconds()
 	} else {
-		v.RanMs = t.ended.Sub(t.began).Milliseconds()
+		v.RanMs = t.endedAt.Sub(t.startedAt).Milliseconds()
 	}
-	if r, ok := t.usageAt(time.Now().Add(-t.w.lag())); ok {
-		v.Usage = &UsageView{r, t.w.lag().Milliseconds()}
+	if r, ok := t.usageAt(time.Now().Add(-t.worker.usageLag())); ok {
+		v.Usage = &UsageView{r, t.worker.usageLag().Milliseconds()}
 	}
 	return v
 }
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -66,7 +66,7 @@
 
 // Log returns every run of a task, in the order of their starts.
 func (w *Worker) Log(ctx context.Context) ([]TaskRun, error) {
-	return ask(ctx, w.to, func(r workerReply[[]TaskRun]) message[*workerState] { return spansMsg{r} })
+	return ask(ctx, w.to, func(r workerReply[[]TaskRun]) message[*workerState] { return runsMsg{r} })
 }
 
 // SetFaults replaces the faults.
@@ -147,7 +147,7 @@
 		writeJSON(rw, http.StatusOK, view)
 	case errors.Is(err, ErrNotRunning):
 		writeJSON(rw, http.StatusConflict, view)
-	case errors.Is(err, ErrNoTask):
+	case errors.Is(err, ErrUnknownTask):
 		http.Error(rw, err.Error(), http.StatusNotFound)
 	default:
 		writeError(rw, err)
--- a/internal/standin/worker_messages.go
+++ b/internal/standin/worker_messages.go
@@ -22,7 +22,7 @@
 		s.counts.RepeatStarts++
 	} else {
 		t = s.newTask(m.spec, m.program)
-		s.openSpan(t, 0)
+		s.recordStart(t, 0)
 		t.renew(m.spec.LeaseMs)
 		t.step(taskStart)
 	}
@@ -30,7 +30,7 @@
 }
 
 func (s *workerState) newTask(spec TaskSpec, p Program) *task {
-	t := &task{w: s, spec: spec, program: p, state: taskChart.Initial(), percent: 100, began: time.Now(), span: -1}
+	t := &task{worker: s, spec: spec, program: p, state: taskChart.Initial(), percent: 100, startedAt: time.Now(), runIndex: -1}
 	t.ctx, t.cancel = context.WithCancel(s.group.Context())
 	s.tasks[spec.ID] = t
 	return t
@@ -39,11 +39,11 @@
 // renew lets the lease end the given time from now, on the worker's clock.
 func (t *task) renew(ms int64) {
 	d := time.Duration(ms) * time.Millisecond
-	t.w.later.cancel(t.lease)
-	t.leased = time.Now().Add(d)
-	t.lease = t.w.later.after(max(d, time.Nanosecond), func() {
+	t.worker.timers.cancel(t.leaseTimer)
+	t.leaseExpiresAt = time.Now().Add(d)
+	t.leaseTimer = t.worker.timers.afterFunc(max(d, time.Nanosecond), func() {
 		if t.step(taskExpire) {
-			t.w.counts.Expired++
+			t.worker.counts.Expired++
 		}
 	})
 }
@@ -64,7 +64,7 @@
 	case !known && m.event == taskStop && m.renewMs == 0:
 		t = s.newTask(TaskSpec{ID: m.id}, Program{Steps: 1}) // recorded, so that a start that arrives later has no effect
 	case !known:
-		m.reply.Put(answer[TaskView]{err: ErrNoTask})
+		m.reply.Put(answer[TaskView]{err: ErrUnknownTask})
 		return
 	}
 	m.reply.Put(t.command(m))
@@ -72,15 +72,15 @@
 
 func (t *task) command(m commandMsg) answer[TaskView] {
 	switch {
-	case m.renewMs > 0 && t.live():
+	case m.renewMs > 0 && t.active():
 		t.renew(m.renewMs)
 	case m.renewMs > 0:
 		return answer[TaskView]{t.view(), ErrNotRunning}
 	case m.event == taskThrottle && t.state == taskRunning:
-		t.progress()
+		t.updateRunTime()
 		t.percent = m.percent
 		t.step(taskThrottle)
-	case m.event == taskThrottle && t.live():
+	case m.event == taskThrottle && t.active():
 		t.percent = m.percent // applies when it runs
 	case !t.step(m.event) && m.event != taskStop:
 		return answer[TaskView]{t.view(), ErrNotRunning}
@@ -97,14 +97,14 @@
 func (m checkpointMsg) handle(s *workerState) {
 	t, known := s.tasks[m.id]
 	if !known {
-		m.reply.Put(answer[TaskView]{err: ErrNoTask})
+		m.reply.Put(answer[TaskView]{err: ErrUnknownTask})
 		return
 	}
 	if !t.step(taskCheckpoint) {
 		m.reply.Put(answer[TaskView]{t.view(), ErrNotRunning})
 		return
 	}
-	t.waiting = append(t.waiting, m.reply)
+	t.checkpointReplies = append(t.checkpointReplies, m.reply)
 }
 
 type loadedMsg struct {
@@ -120,8 +120,8 @@
 	case !m.ok:
 		t.step(taskMissing)
 	default:
-		t.ran = t.program.until(m.step)
-		s.spans[t.span].FromStep = m.step
+		t.runTime = t.program.runTimeTo(m.step)
+		s.runs[t.runIndex].FromStep = m.step
 		t.step(taskLoaded)
 	}
 }
@@ -133,12 +133,12 @@
 
 func (m savedMsg) handle(s *workerState) {
 	t, known := s.tasks[m.id]
-	if !known || !t.live() {
+	if !known || !t.active() {
 		return
 	}
 	t.checkpoint = m.name
-	if m.number == t.saves {
-		t.answerWaiting(nil)
+	if m.number == t.checkpointsStarted {
+		t.answerCheckpoints(nil)
 	}
 }
 
@@ -157,12 +157,12 @@
 type infoMsg struct{ reply workerReply[WorkerView] }
 
 func (m infoMsg) handle(s *workerState) {
-	v := WorkerView{ID: s.ID, Capacity: s.Capacity, Usage: UsageView{AgeMs: s.lag().Milliseconds()}}
+	v := WorkerView{ID: s.ID, Capacity: s.Capacity, Usage: UsageView{AgeMs: s.usageLag().Milliseconds()}}
 	for _, t := range s.tasks {
-		if r, ok := t.usageAt(time.Now().Add(-s.lag())); ok {
+		if r, ok := t.usageAt(time.Now().Add(-s.usageLag())); ok {
 			v.Usage.Resources = v.Usage.Add(r)
 		}
-		if t.live() {
+		if t.active() {
 			v.Tasks++
 		}
 	}
@@ -183,8 +183,8 @@
 	m.reply.Put(answer[WorkerState]{value: state})
 }
 
-type spansMsg struct{ reply workerReply[[]TaskRun] }
+type runsMsg struct{ reply workerReply[[]TaskRun] }
 
-func (m spansMsg) handle(s *workerState) {
-	m.reply.Put(answer[[]TaskRun]{value: append([]TaskRun{}, s.spans...)})
+func (m runsMsg) handle(s *workerState) {
+	m.reply.Put(answer[[]TaskRun]{value: append([]TaskRun{}, s.runs...)})
 }
--- a/internal/standin/worker_task.go
+++ b/internal/standin/worker_task.go
@@ -50,13 +50,13 @@
 		States: []string{"new", "loading", "running", "writing", "done", "failed", "stopped"},
 		Events: []string{"start", "stop", "loaded", "missing", "expire", "due", "checkpoint", "throttle", "written"},
 		Guards: map[string]func(*task) bool{
-			"doomed":  func(t *task) bool { return t.w.faults.FailAll },
+			"doomed":  func(t *task) bool { return t.worker.faults.FailAll },
 			"resumes": func(t *task) bool { return t.spec.Checkpoint != "" },
 			"fails":   func(t *task) bool { return t.program.Fails },
 		},
 		Actions: map[string]func(*task){
-			"loadCheckpoint": (*task).load, "run": (*task).run, "schedule": (*task).schedule,
-			"saveCheckpoint": (*task).save, "writeResult": (*task).writeResult,
+			"loadCheckpoint": (*task).loadCheckpoint, "run": (*task).run, "schedule": (*task).schedule,
+			"saveCheckpoint": (*task).saveCheckpoint, "writeResult": (*task).writeResult,
 			"endDoomed": end("the worker fails every task"), "endMissing": end("the checkpoint does not exist"),
 			"endFailed": end("the program failed"), "endStopped": end("stopped on request"),
 			"endExpired": end("the lease expired"), "endDone": end(""),
@@ -66,29 +66,29 @@
 
 // task is one task of a worker. It belongs to the worker's actor.
 type task struct {
-	w       *workerState
+	worker  *workerState
 	spec    TaskSpec
 	program Program
 	state   chart.State
 
-	ctx    context.Context // of its reads and writes of objects
-	cancel context.CancelFunc
-	lease  uint64 // timer
-	due    uint64 // timer of the next step or the end
-	leased time.Time
+	ctx            context.Context // of its reads and writes of objects
+	cancel         context.CancelFunc
+	leaseTimer     uint64 // timer
+	dueTimer       uint64 // timer of the next step or the end
+	leaseExpiresAt time.Time
 
-	began   time.Time
-	ended   time.Time
-	ran     time.Duration // progress in run time at full speed, up to since
-	since   time.Time     // zero while the program does not run
-	percent int
+	startedAt time.Time
+	endedAt   time.Time
+	runTime   time.Duration // progress in run time at full speed, up to since
+	runTimeAt time.Time     // zero while the program does not run
+	percent   int
 
-	saves      int // checkpoints begun
-	checkpoint string
-	waiting    []actor.Reply[answer[TaskView]] // for the checkpoint that is being written
-	reason     string
-	span       int // index in the worker's log, or -1
-	usage      []usagePoint
+	checkpointsStarted int // checkpoints begun
+	checkpoint         string
+	checkpointReplies  []actor.Reply[answer[TaskView]] // for the checkpoint that is being written
+	reason             string
+	runIndex           int // index in the worker's log, or -1
+	usage              []usagePoint
 }
 
 // usagePoint is the consumption from a time on.
@@ -99,44 +99,44 @@
 
 func (t *task) step(e chart.Event) bool { return taskChart.Step(t, &t.state, e) }
 
-func (t *task) live() bool { return !taskChart.Final(t.state) }
+func (t *task) active() bool { return !taskChart.Final(t.state) }
 
 // progress brings ran up to date.
-func (t *task) progress() {
-	if t.since.IsZero() {
+func (t *task) updateRunTime() {
+	if t.runTimeAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	t.ran += now.Sub(t.since) * time.Duration(t.percent) / 100
-	t.since = now
+	t.runTime += now.Sub(t.runTimeAt) * time.Duration(t.percent) / 100
+	t.runTimeAt = now
 }
 
 func (t *task) run() {
-	t.since = time.Now()
+	t.runTimeAt = time.Now()
 	t.schedule()
 }
 
 // schedule arms the timer for the next step or the end and records the usage.
 func (t *task) schedule() {
-	t.w.later.cancel(t.due)
-	actual := t.program.actual(t.spec.Resources)
+	t.worker.timers.cancel(t.dueTimer)
+	actual := t.program.fullSpeedUsage(t.spec.Resources)
 	actual.CPU = actual.CPU * model.MilliCPU(t.percent) / 100
-	t.record(actual)
+	t.recordUsage(actual)
 	if t.percent <= 0 {
 		return
 	}
-	next := t.program.end()
+	next := t.program.totalRunTime()
 	if t.program.Autosave {
-		next = min(next, t.program.until(t.program.stepAt(t.ran)+1))
+		next = min(next, t.program.runTimeTo(t.program.completedSteps(t.runTime)+1))
 	}
-	wait := (next - t.ran) * 100 / time.Duration(t.percent)
-	t.due = t.w.later.after(max(wait, time.Nanosecond), t.reached)
+	wait := (next - t.runTime) * 100 / time.Duration(t.percent)
+	t.dueTimer = t.worker.timers.afterFunc(max(wait, time.Nanosecond), t.stepDue)
 }
 
 // reached handles the timer that schedule armed.
-func (t *task) reached() {
-	t.progress()
-	if t.ran >= t.program.end() {
+func (t *task) stepDue() {
+	t.updateRunTime()
+	if t.runTime >= t.program.totalRunTime() {
 		t.step(taskDue)
 		return
 	}
@@ -144,7 +144,7 @@
 	t.step(taskThrottle) // arms the timer for the next step
 }
 
-func (t *task) record(r model.Resources) {
+func (t *task) recordUsage(r model.Resources) {
 	t.usage = append(t.usage, usagePoint{time.Now(), r})
 }
 
@@ -165,10 +165,10 @@
 	Step int    `json:"step"`
 }
 
-func (t *task) load() {
+func (t *task) loadCheckpoint() {
 	name := t.spec.Checkpoint
-	t.w.retry(t.ctx, func(ctx context.Context) (message[*workerState], error) {
-		raw, err := t.w.objects.Get(ctx, name)
+	t.worker.retryObjectCall(t.ctx, func(ctx context.Context) (message[*workerState], error) {
+		raw, err := t.worker.objects.Get(ctx, name)
 		if err != nil {
 			return loadedMsg{id: t.spec.ID}, err
 		}
@@ -178,55 +178,55 @@
 	})
 }
 
-func (t *task) save() {
-	t.progress()
-	t.saves++
-	name := t.spec.CheckpointPrefix + strconv.Itoa(t.saves)
-	t.put(name, checkpointData{t.spec.ID, t.program.stepAt(t.ran)}, savedMsg{t.spec.ID, name, t.saves})
+func (t *task) saveCheckpoint() {
+	t.updateRunTime()
+	t.checkpointsStarted++
+	name := t.spec.CheckpointPrefix + strconv.Itoa(t.checkpointsStarted)
+	t.putObject(name, checkpointData{t.spec.ID, t.program.completedSteps(t.runTime)}, savedMsg{t.spec.ID, name, t.checkpointsStarted})
 }
 
 func (t *task) writeResult() {
-	t.progress()
-	t.since = time.Time{}
+	t.updateRunTime()
+	t.runTimeAt = time.Time{}
 	text := t.program.Result
 	if text == "" {
 		text = t.spec.ID
 	}
-	t.put(t.spec.ResultName, map[string]any{"task": t.spec.ID, "result": text}, writtenMsg{t.spec.ID})
+	t.putObject(t.spec.ResultName, map[string]any{"task": t.spec.ID, "result": text}, writtenMsg{t.spec.ID})
 }
 
 // put stores an object, repeating while the store is unavailable, then sends
 // then to the worker. Without a name nothing is stored.
-func (t *task) put(name string, content any, then message[*workerState]) {
+func (t *task) putObject(name string, content any, onStored message[*workerState]) {
 	raw, err := json.Marshal(content)
 	if err != nil {
 		panic(err) // the types above can always be encoded
 	}
-	t.w.retry(t.ctx, func(ctx context.Context) (message[*workerState], error) {
+	t.worker.retryObjectCall(t.ctx, func(ctx context.Context) (message[*workerState], error) {
 		if name == "" {
-			return then, nil
+			return onStored, nil
 		}
-		return then, t.w.objects.Put(ctx, name, raw)
+		return onStored, t.worker.objects.Put(ctx, name, raw)
 	})
 }
 
 // finish ends the task in the state that the chart has set.
 func (t *task) finish(reason string) {
-	t.progress()
-	t.since = time.Time{}
-	t.ended, t.reason = time.Now(), reason
+	t.updateRunTime()
+	t.runTimeAt = time.Time{}
+	t.endedAt, t.reason = time.Now(), reason
 	t.cancel()
-	t.w.later.cancel(t.due)
-	t.w.later.cancel(t.lease)
-	t.record(model.Resources{})
-	t.answerWaiting(ErrNotRunning)
-	t.w.closeSpan(t)
-	t.w.later.after(keepEnded, func() { delete(t.w.tasks, t.spec.ID) })
+	t.worker.timers.cancel(t.dueTimer)
+	t.worker.timers.cancel(t.leaseTimer)
+	t.recordUsage(model.Resources{})
+	t.answerCheckpoints(ErrNotRunning)
+	t.worker.recordEnd(t)
+	t.worker.timers.afterFunc(endedRetention, func() { delete(t.worker.tasks, t.spec.ID) })
 }
 
-func (t *task) answerWaiting(err error) {
-	for _, r := range t.waiting {
+func (t *task) answerCheckpoints(err error) {
+	for _, r := range t.checkpointReplies {
 		r.Put(answer[TaskView]{t.view(), err})
 	}
-	t.waiting = nil
+	t.checkpointReplies = nil
 }
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -15,9 +15,9 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-var capacity = model.Resources{CPU: 16000, Memory: 60 << 30}
+var workerCapacity = model.Resources{CPU: 16000, Memory: 60 << 30}
 
-func spec(id, program string) TaskSpec {
+func taskSpec(id, program string) TaskSpec {
 	return TaskSpec{ID: id, Program: program, LeaseMs: 15000, Resources: model.Resources{CPU: 10000, Memory: 1 << 30},
 		ResultName: "result/" + id, CheckpointPrefix: "checkpoint/" + id + "/"}
 }
@@ -25,13 +25,13 @@
 // withWorker runs f in virtual time with a worker and its object store.
 func withWorker(t *testing.T, f func(t *testing.T, w *Worker, o *Objects)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := group(t)
+		g := newGroup(t)
 		o := NewObjects(g, StoreFaults{})
-		f(t, NewWorker(g, WorkerConfig{ID: "w1", Capacity: capacity, Objects: o}), o)
+		f(t, NewWorker(g, WorkerConfig{ID: "w1", Capacity: workerCapacity, Objects: o}), o)
 	})
 }
 
-func only(t *testing.T, w *Worker) TaskView {
+func onlyTask(t *testing.T, w *Worker) TaskView {
 	list, err := w.Tasks(t.Context())
 	require.NoError(t, err)
 	require.Len(t, list, 1)
@@ -42,16 +42,16 @@
 // that is stopped although the lease was renewed.
 func TestTaskStopsWhenItsLeaseExpires(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, _ *Objects) {
-		_, err := w.Start(t.Context(), spec("job/1", "sleep 1h"))
+		_, err := w.Start(t.Context(), taskSpec("job/1", "sleep 1h"))
 		require.NoError(t, err)
 		actor.Sleep(t.Context(), 10*time.Second)
 		_, err = w.Renew(t.Context(), "job/1", 15000)
 		require.NoError(t, err)
 		actor.Sleep(t.Context(), 15*time.Second-time.Millisecond)
-		require.Equal(t, model.TaskRunning, only(t, w).State)
+		require.Equal(t, model.TaskRunning, onlyTask(t, w).State)
 		actor.Sleep(t.Context(), time.Millisecond)
 		synctest.Wait()
-		require.Equal(t, model.TaskStopped, only(t, w).State)
+		require.Equal(t, model.TaskStopped, onlyTask(t, w).State)
 		_, err = w.Renew(t.Context(), "job/1", 15000)
 		require.ErrorIs(t, err, ErrNotRunning)
 		log, err := w.Log(t.Context())
@@ -64,7 +64,7 @@
 // its checkpoint on another worker.
 func TestTaskResumesFromCheckpoint(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, o *Objects) {
-		first := spec("job/1", "sleep 10s; steps 10")
+		first := taskSpec("job/1", "sleep 10s; steps 10")
 		_, err := w.Start(t.Context(), first)
 		require.NoError(t, err)
 		actor.Sleep(t.Context(), 7500*time.Millisecond)
@@ -75,14 +75,14 @@
 		_, err = w.Stop(t.Context(), "job/1")
 		require.NoError(t, err)
 
-		other := NewWorker(group(t), WorkerConfig{ID: "w2", Capacity: capacity, Objects: o})
-		second := spec("job/2", first.Program)
+		other := NewWorker(newGroup(t), WorkerConfig{ID: "w2", Capacity: workerCapacity, Objects: o})
+		second := taskSpec("job/2", first.Program)
 		second.Checkpoint = view.Checkpoint
 		_, err = other.Start(t.Context(), second)
 		require.NoError(t, err)
 		actor.Sleep(t.Context(), 3*time.Second)
 		synctest.Wait()
-		require.Equal(t, model.TaskDone, only(t, other).State)
+		require.Equal(t, model.TaskDone, onlyTask(t, other).State)
 		data, err := o.Get(t.Context(), "result/job/2")
 		require.NoError(t, err)
 		require.JSONEq(t, `{"task":"job/2","result":"job/2"}`, string(data))
@@ -97,12 +97,12 @@
 func TestStartIsIdempotent(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, _ *Objects) {
 		for range 2 {
-			_, err := w.Start(t.Context(), spec("job/1", "sleep 1s"))
+			_, err := w.Start(t.Context(), taskSpec("job/1", "sleep 1s"))
 			require.NoError(t, err)
 		}
 		_, err := w.Stop(t.Context(), "job/2")
 		require.NoError(t, err)
-		view, err := w.Start(t.Context(), spec("job/2", "sleep 1s"))
+		view, err := w.Start(t.Context(), taskSpec("job/2", "sleep 1s"))
 		require.NoError(t, err)
 		require.Equal(t, model.TaskStopped, view.State)
 		log, err := w.Log(t.Context())
@@ -116,7 +116,7 @@
 func TestUsageLagsAndOvercommitIsLogged(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, _ *Objects) {
 		for _, id := range []string{"a/1", "b/1"} {
-			_, err := w.Start(t.Context(), spec(id, "sleep 12s; fail; usage cpu=2000"))
+			_, err := w.Start(t.Context(), taskSpec(id, "sleep 12s; fail; usage cpu=2000"))
 			require.NoError(t, err)
 		}
 		used := func() model.MilliCPU {
@@ -142,9 +142,9 @@
 // Guards against task ids with slashes that do not survive the URL, and
 // against a failed task that is reported as an error of the service.
 func TestWorkerOverHTTP(t *testing.T) {
-	g := group(t)
+	g := newGroup(t)
 	w := NewWorker(g, WorkerConfig{ID: "w1", Objects: NewObjects(g, StoreFaults{})})
-	base := "http://" + listen(t, g, w.Serve)
+	base := "http://" + serveOnLoopback(t, g, w.Serve)
 	post := func(path string, body any) (status int, view TaskView) {
 		raw, err := json.Marshal(body)
 		require.NoError(t, err)
@@ -154,7 +154,7 @@
 		_ = json.NewDecoder(resp.Body).Decode(&view)
 		return resp.StatusCode, view
 	}
-	status, _ := post("/v1/tasks", spec("job/1", "sleep 1h"))
+	status, _ := post("/v1/tasks", taskSpec("job/1", "sleep 1h"))
 	require.Equal(t, http.StatusOK, status)
 	status, view := post("/v1/tasks/job%2F1/stop", nil)
 	require.Equal(t, http.StatusOK, status)
@@ -163,11 +163,11 @@
 	require.Equal(t, http.StatusConflict, status)
 	status, _ = post("/v1/tasks/job%2F9/renew", map[string]int{"leaseMs": 1000})
 	require.Equal(t, http.StatusNotFound, status)
-	status, _ = post("/v1/tasks", spec("job/2", "dance"))
+	status, _ = post("/v1/tasks", taskSpec("job/2", "dance"))
 	require.Equal(t, http.StatusBadRequest, status)
 	status, _ = post("/control", WorkerFaults{Outage: true})
 	require.Equal(t, http.StatusOK, status)
-	status, _ = post("/v1/tasks", spec("job/3", ""))
+	status, _ = post("/v1/tasks", taskSpec("job/3", ""))
 	require.Equal(t, http.StatusServiceUnavailable, status)
 }
 
@@ -175,8 +175,8 @@
 func TestParseProgram(t *testing.T) {
 	p, err := ParseProgram("sleep 300ms; steps 10; fail 3; usage cpu=2000; autosave")
 	require.NoError(t, err)
-	require.Equal(t, 90*time.Millisecond, p.end())
-	require.Equal(t, model.Resources{CPU: 2000, Memory: 7}, p.actual(model.Resources{CPU: 1, Memory: 7}))
+	require.Equal(t, 90*time.Millisecond, p.totalRunTime())
+	require.Equal(t, model.Resources{CPU: 2000, Memory: 7}, p.fullSpeedUsage(model.Resources{CPU: 1, Memory: 7}))
 	for _, bad := range []string{"sleep", "sleep -1s", "steps 0", "fail 2", "usage gpu=1", "sleep 1s; sleep 2s", "jump"} {
 		_, err := ParseProgram(bad)
 		require.Error(t, err, bad)
