--- a/internal/standin/worker_task.go
+++ b/internal/standin/worker_task.go
@@ -50,14 +50,14 @@
 		States: []string{"new", "loading", "running", "writing", "done", "failed", "stopped"},
 		Events: []string{"start", "stop", "loaded", "missing", "expire", "due", "checkpoint", "throttle", "written"},
 		Guards: map[string]func(*task) bool{
-			"doomed":  func(t *task) bool { return t.worker.faults.FailAll },
+			"failAll": func(t *task) bool { return t.worker.faults.FailAll },
 			"resumes": func(t *task) bool { return t.spec.Checkpoint != "" },
 			"fails":   func(t *task) bool { return t.program.Fails },
 		},
 		Actions: map[string]func(*task){
 			"loadCheckpoint": (*task).loadCheckpoint, "run": (*task).run, "schedule": (*task).schedule,
 			"saveCheckpoint": (*task).saveCheckpoint, "writeResult": (*task).writeResult,
-			"endDoomed": end("the worker fails every task"), "endMissing": end("the checkpoint does not exist"),
+			"endFailAll": end("the worker fails every task"), "endMissing": end("the checkpoint does not exist"),
 			"endFailed": end("the program failed"), "endStopped": end("stopped on request"),
 			"endExpired": end("the lease expired"), "endDone": end(""),
 		},
