--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// announcer posts announcements to an agent.
+// announcer holds what a backend server needs to post its announcements.
 type announcer struct {
 	baseURL string
 	body    []byte
@@ -20,15 +20,16 @@
 func newAnnouncer(c BackendConfig) announcer {
 	body, err := json.Marshal(Announcement{c.Service, c.Address, c.Slots, c.Connections, c.Class, rand.Text()})
 	if err != nil {
-		panic(err) // the type can always be encoded
+		panic(err) // unreachable: the type contains only strings and integers
 	}
-	// An agent that is slow must not delay the next announcement.
+	// The timeout ends a call to a slow agent before the next announcement is due.
 	client := &http.Client{Timeout: announceInterval, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	return announcer{c.Agent, body, client}
 }
 
-// post sends an announcement in a goroutine of its own. If the agent accepts
-// it, then is sent to the backend server's actor.
+// post sends an announcement to path at the agent from a goroutine of its own.
+// If the agent answers with a 2xx status, onAccepted is sent to the backend
+// server's actor, unless it is nil.
 func (s *backendState) post(path string, onAccepted message[*backendState]) {
 	if s.Agent == "" {
 		return
@@ -42,7 +43,7 @@
 		req.Header.Set("Content-Type", "application/json")
 		resp, err := a.client.Do(req)
 		if err != nil {
-			return nil // repeated after the interval
+			return nil // the chart repeats it after announceInterval
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode/100 == 2 && onAccepted != nil {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -14,11 +14,11 @@
 	DefaultConnections = 64
 
 	announceInterval = 2 * time.Second
-	// A request above the slots waits this long for a cancelled one to end: a
-	// backend server notices a closed connection later than the client that
-	// closed it. Only such an overlap is not counted as a violation.
+	// cancelGrace is how long a request that finds all slots in use waits for a
+	// cancelled one to end: a backend server notices a closed connection later
+	// than the client that closed it. Such an overlap is not a violation.
 	cancelGrace = 50 * time.Millisecond
-	// maxRecords bounds the log; later requests are only counted.
+	// maxRecords bounds the request log; later requests are only counted.
 	maxRecords = 1 << 20
 )
 
@@ -26,7 +26,7 @@
 type BackendConfig struct {
 	Service     string
 	Class       string
-	Address     string // where the agent reaches it
+	Address     string // host:port at which the agent reaches it
 	Agent       string // base URL to announce to; empty: no announcements
 	Slots       int    // 0: DefaultSlots
 	Connections int    // 0: DefaultConnections
@@ -39,31 +39,32 @@
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
 	Class       string `json:"class,omitempty"`
-	Instance    string `json:"instance"` // another one after each restart
+	Instance    string `json:"instance"` // random, differs after each restart
 }
 
-// Fault is what a backend server does wrong with a request. A request asks
-// for it with the query parameter fault, or BackendControl sets it.
+// Fault is a failure that a backend server simulates for a request. The
+// request selects it with the query parameter fault, or else BackendControl
+// does.
 type Fault string
 
 // Faults of a backend server.
 const (
 	FaultReset    Fault = "reset"    // the connection is reset in the middle of the response
-	FaultTruncate Fault = "truncate" // the connection is closed in order before the declared length
-	FaultHang     Fault = "hang"     // the request runs, but is never answered
+	FaultTruncate Fault = "truncate" // the connection is closed without a reset before the declared length
+	FaultHang     Fault = "hang"     // the request takes effect but is never answered
 	FaultError    Fault = "error"    // status 500 after the request took effect
 )
 
 // BackendControl is the body of POST /control.
 type BackendControl struct {
-	Announce *bool `json:"announce,omitempty"` // start or stop the announcements
-	Drain    bool  `json:"drain,omitempty"`
-	Fault    Fault `json:"fault"` // of the next Count requests
-	Count    int   `json:"count"` // -1: all
-	DelayMs  int64 `json:"delayMs"`
+	Announce *bool `json:"announce,omitempty"` // start or stop the announcements; absent: no change
+	Drain    bool  `json:"drain,omitempty"`    // ask the agent to drain this backend server
+	Fault    Fault `json:"fault"`              // of the next Count requests
+	Count    int   `json:"count"`              // -1: all
+	DelayMs  int64 `json:"delayMs"`            // before each request runs
 }
 
-// BackendState answers GET /control.
+// BackendState is the answer to GET and POST /control.
 type BackendState struct {
 	State       string `json:"state"` // state name of charts/standin-backend.scxml
 	Running     int    `json:"running"`
@@ -71,26 +72,29 @@
 	MaxRunning  int    `json:"maxRunning"`
 	MaxConns    int    `json:"maxConnections"`
 	Requests    int    `json:"requests"`
-	// Violations of the limits, each answered with 503 or a closed connection.
-	SlotViolations       int `json:"slotViolations"`
+	// Requests above the slot limit, answered with status 503.
+	SlotViolations int `json:"slotViolations"`
+	// Connections above the limit, closed at once.
 	ConnectionViolations int `json:"connectionViolations"`
-	// Overlaps with a cancelled request that the server had not yet noticed.
+	// Requests that started because one that did not complete ended within
+	// cancelGrace.
 	CancelOverlaps int `json:"cancelOverlaps"`
-	// Connections accepted while another one was just being closed.
+	// Connections above the limit that were accepted because another one
+	// closed within cancelGrace.
 	ConnectionOverlaps int `json:"connectionOverlaps"`
-	// Requests that arrived after the drain was accepted.
+	// Requests that arrived after the agent accepted the drain.
 	AfterDrain int `json:"afterDrain"`
 }
 
-// RequestRecord is one request, for a history checker. Times are in nanoseconds
-// since the Unix epoch.
+// RequestRecord is a request as the backend server saw it, for a history
+// checker. Times are in nanoseconds since the Unix epoch.
 type RequestRecord struct {
 	Key      string `json:"key"` // the request's header X-Request-Key
 	Method   string `json:"method"`
 	URI      string `json:"uri"`
-	Started  int64  `json:"started"`
+	Started  int64  `json:"started"`       // when it took its slot, or arrived if it has none
 	Finished int64  `json:"finished"`      // 0 while it runs
-	End      string `json:"end,omitempty"` // complete, cancelled, failed or refused
+	End      string `json:"end,omitempty"` // complete, cancelled, failed or refused; empty while it runs
 }
 
 // States of charts/standin-backend.scxml.
@@ -110,7 +114,8 @@
 	backendAccepted
 )
 
-// backendChart is set in init because its actions step the chart themselves.
+// backendChart is set in init because its actions refer to it: a package-level
+// initializer would be an initialization cycle.
 var backendChart *chart.Machine[backendState]
 
 func init() { backendChart = chart.MustCompile(charts.Files, BackendBinding()) }
@@ -148,18 +153,18 @@
 	timer     uint64
 	control   BackendControl
 	counts    BackendState
-	values    map[string]int64 // of /count
+	values    map[string]int64 // counters of /count, by key
 	records   []RequestRecord
 	running   map[uint64]*slotRequest
-	waiting   []*slotRequest // above the slots, for at most cancelGrace
+	waiting   []*slotRequest // found all slots in use; each waits at most cancelGrace
 	lastID    uint64
 
-	pendingConn      *backendReply[bool] // connection above the limit that waits for another to close
+	pendingConn      *backendReply[bool] // reply to a connection above the limit that waits for another to close; nil: none
 	pendingConnTimer uint64
 }
 
-// NewBackend starts a backend server in g. It begins to announce itself at
-// once if the configuration names an agent.
+// NewBackend starts a backend server in g. If the configuration names an agent,
+// the backend server announces itself to it at once.
 func NewBackend(g *actor.Group, c BackendConfig) *Backend {
 	if c.Slots == 0 {
 		c.Slots = DefaultSlots
@@ -186,8 +191,8 @@
 	}
 }
 
-// step feeds an event to the chart and arms the timeout of the state that it
-// enters.
+// step applies an event to the chart and replaces the timer by the timeout of
+// the state that the chart enters. An event without a transition has no effect.
 func (s *backendState) step(e chart.Event) {
 	if !backendChart.Step(s, &s.state, e) {
 		return
@@ -198,6 +203,7 @@
 	}
 }
 
+// drainAcceptedMsg reports that the agent accepted the drain.
 type drainAcceptedMsg struct{}
 
 func (drainAcceptedMsg) handle(s *backendState) { s.step(backendAccepted) }
--- a/internal/standin/backend_http.go
+++ b/internal/standin/backend_http.go
@@ -12,7 +12,7 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// KeyHeader carries the key under which a request appears in the log.
+// KeyHeader is the request header whose value becomes RequestRecord.Key.
 const KeyHeader = "X-Request-Key"
 
 const (
@@ -25,7 +25,8 @@
 	return ask(ctx, b.to, func(r backendReply[[]RequestRecord]) message[*backendState] { return recordsMsg{r} })
 }
 
-// Control sets faults, starts or stops announcements, or drains.
+// Control sets the fault and the delay, starts or stops announcements if c asks
+// for it, or starts the drain. It returns the state after the change.
 func (b *Backend) Control(ctx context.Context, c BackendControl) (BackendState, error) {
 	return b.control(ctx, &c)
 }
@@ -37,14 +38,14 @@
 	return ask(ctx, b.to, func(r backendReply[BackendState]) message[*backendState] { return backendControlMsg{c, r} })
 }
 
-// Serve serves requests on l until ctx ends. It counts the connections, which
-// Handler alone does not. Connections for /control count as well; ServeControl
-// serves it on a listener of its own.
+// Serve serves requests on l until ctx ends. It counts and limits the
+// connections, which Handler alone does not. Connections for /control count as
+// well; use ServeControl to serve /control on a separate listener.
 func (b *Backend) Serve(ctx context.Context, l net.Listener) error {
 	return serve(ctx, &countingListener{l, b}, &http.Server{Handler: b.Handler()})
 }
 
-// ServeControl serves only /control on l until ctx ends.
+// ServeControl serves only /control and /control/log on l until ctx ends.
 func (b *Backend) ServeControl(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	b.handleControl(mux)
@@ -53,14 +54,14 @@
 
 // Handler returns the backend server's HTTP interface:
 //
-//	/echo            the request's body; method, path and query are in the
-//	                 headers X-Echo-Method and X-Echo-Uri
+//	/echo            returns the request's body; the response headers
+//	                 X-Echo-Method and X-Echo-Uri hold method and request URI
 //	/sleep?ms=N      answers after N ms
-//	/count?key=K     POST adds 1 and returns the count, GET returns it
-//	/bytes?n=N       N bytes
+//	/count?key=K     POST adds 1 to the counter K and returns it, GET returns it
+//	/bytes?n=N       returns N bytes
 //
-// Every path takes the parameter fault (see Fault). GET /control/log returns
-// the log.
+// Each of these paths accepts the query parameter fault (see Fault).
+// GET /control/log returns the request log.
 func (b *Backend) Handler() http.Handler {
 	control := http.NewServeMux()
 	b.handleControl(control)
@@ -68,8 +69,8 @@
 		"echo": b.inSlot(serveEcho), "sleep": b.inSlot(serveSleep),
 		"count": b.inSlot(b.serveCount), "bytes": b.inSlot(serveBytes),
 	}
-	// A ServeMux would redirect paths such as /echo//a, which are to be
-	// echoed as they are.
+	// A ServeMux would redirect paths such as /echo//a, which must be echoed
+	// unchanged.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 		if h, ok := handlers[name]; ok {
@@ -85,8 +86,9 @@
 	mux.HandleFunc("GET /control/log", serveValue(b.Log))
 }
 
-// exchange runs a request in a slot. The response's last byte is held back
-// until the slot is free again.
+// inSlot returns a handler that runs serve in a slot, or answers 503 if none is
+// free. The last byte of the response is withheld until the slot is free
+// again.
 func (b *Backend) inSlot(serve func(*responseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		record := RequestRecord{Key: r.Header.Get(KeyHeader), Method: r.Method, URI: r.RequestURI}
@@ -121,8 +123,8 @@
 	return err
 }
 
-// discard reads the request's body to its end: net/http notices a client that
-// has left only after that.
+// discard reads the request's body to its end: only then does net/http cancel
+// the request's context when the client disconnects.
 func discard(r *http.Request) error {
 	_, err := io.Copy(io.Discard, r.Body)
 	return err
@@ -131,7 +133,7 @@
 func serveSleep(w *responseWriter, r *http.Request) error {
 	ms, err := strconv.ParseInt(r.URL.Query().Get("ms"), 10, 64)
 	if err != nil || ms < 0 || time.Duration(ms) > maxSleep/time.Millisecond {
-		return w.fail(http.StatusBadRequest, "ms: not a duration in milliseconds")
+		return w.fail(http.StatusBadRequest, "ms: must be a number of milliseconds from 0 to 24 hours")
 	}
 	if err := discard(r); err != nil {
 		return err
@@ -167,7 +169,7 @@
 func serveBytes(w *responseWriter, r *http.Request) error {
 	n, err := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64)
 	if err != nil || n < 0 {
-		return w.fail(http.StatusBadRequest, "n: not a number of bytes")
+		return w.fail(http.StatusBadRequest, "n: must be a number of bytes, at least 0")
 	}
 	w.setContentLength(n)
 	chunk := make([]byte, chunkSize)
--- a/internal/standin/backend_messages.go
+++ b/internal/standin/backend_messages.go
@@ -9,7 +9,8 @@
 
 type backendReply[T any] = actor.Reply[answer[T]]
 
-// verdict tells a request's handler how to treat the request.
+// admission tells a request's handler whether the request has a slot, and
+// which fault and delay to apply to it.
 type admission struct {
 	id      uint64
 	refused bool // no slot is free
@@ -17,18 +18,18 @@
 	delayMs int64
 }
 
-// admission is a request that runs or waits for a slot.
+// slotRequest is a request that runs or waits for a slot.
 type slotRequest struct {
 	admission
-	record int // index in the log, or -1
+	record int // index in the request log, or -1 if the log is full
 	timer  uint64
 	reply  backendReply[admission]
 }
 
-// beginMsg asks for a slot.
+// beginMsg requests a slot.
 type beginMsg struct {
 	record RequestRecord
-	fault  Fault // that the request asks for
+	fault  Fault // selected by the request; empty: none
 	reply  backendReply[admission]
 }
 
@@ -52,7 +53,8 @@
 	req.timer = s.timers.afterFunc(cancelGrace, func() { s.refuse(req) })
 }
 
-// fault is what the request asks for, else what the control set.
+// fault returns the fault that the request selected, or else the one that the
+// control set, whose count it reduces.
 func (s *backendState) fault(requested Fault) Fault {
 	if requested != "" || s.control.Fault == "" || s.control.Count == 0 {
 		return requested
@@ -86,15 +88,16 @@
 	}
 }
 
-// endMsg frees a slot. The reply comes before the last byte of the response is
-// sent, so that no client can see the response before the slot is free.
+// endMsg frees a slot. The handler awaits the reply before it sends the last
+// byte of the response, so that no client has the whole response before the
+// slot is free.
 type endMsg struct {
 	id    uint64
 	end   string
 	reply backendReply[struct{}]
 }
 
-// Values of Record.End.
+// Values of RequestRecord.End. A request that got no slot has "refused".
 const (
 	endComplete  = "complete"
 	endCancelled = "cancelled"
@@ -105,8 +108,8 @@
 	if req, ok := s.running[m.id]; ok {
 		delete(s.running, m.id)
 		s.recordEnd(req, m.end)
-		// A request that found all slots in use may take this one only if
-		// its client could not know that the cancelled request still ran.
+		// A waiting request gets this slot only if the earlier request did not
+		// complete: then its client could not know that it still ran.
 		if m.end != endComplete && len(s.waiting) > 0 {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
@@ -118,9 +121,9 @@
 	m.reply.Put(answer[struct{}]{})
 }
 
-// connMsg opens or closes a connection. An opening above the limit is
-// answered with false, unless another connection closes within cancelGrace:
-// the client may have closed that one before the server noticed.
+// connMsg counts a connection that was opened or closed. The reply to a
+// connection above the limit is false, unless another connection closes within
+// cancelGrace: the client may have closed that one before the server noticed.
 type connMsg struct {
 	open  bool
 	reply backendReply[bool]
@@ -138,7 +141,7 @@
 	case s.counts.Connections < s.Connections:
 		s.counts.Connections++
 		s.counts.MaxConns = max(s.counts.MaxConns, s.counts.Connections)
-	default: // one at a time, because the listener waits for the answer
+	default: // at most one is pending, because Accept waits for the reply
 		s.pendingConn = &m.reply
 		s.pendingConnTimer = s.timers.afterFunc(cancelGrace, func() {
 			s.pendingConn = nil
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -12,19 +12,20 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// heldWriter writes a response except for its last byte, and applies the
-// request's fault.
+// responseWriter writes a response except for its last byte, which finish
+// sends, and applies the request's fault.
 type responseWriter struct {
 	w             http.ResponseWriter
 	status        int
 	fault         Fault
-	contentLength int64 // length of the body; 0 if it is empty or unknown
+	contentLength int64 // declared length of the body; 0 if it is empty or unknown
 	written       int64
-	withheld      []byte // the byte that is held back
+	withheld      []byte // last byte of the body so far, or empty
 	headerSent    bool
 }
 
-// run serves the request and says how it ended.
+// run serves the request and returns how it ended, a value of
+// RequestRecord.End.
 func (h *responseWriter) run(r *http.Request, adm admission, serve func(*responseWriter, *http.Request) error) string {
 	ctx := r.Context()
 	if adm.delayMs > 0 && !actor.Sleep(ctx, time.Duration(adm.delayMs)*time.Millisecond) {
@@ -43,7 +44,8 @@
 	return endComplete
 }
 
-// declare announces the length of the body, if it is known.
+// setContentLength declares the length of the body; n is negative if it is
+// unknown.
 func (h *responseWriter) setContentLength(n int64) {
 	if n >= 0 && h.fault != FaultError {
 		h.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
@@ -51,14 +53,14 @@
 	}
 }
 
-// text writes a short body.
+// writeText writes a short body of known length.
 func (h *responseWriter) writeText(s string) error {
 	h.setContentLength(int64(len(s)))
 	_, err := h.Write([]byte(s))
 	return err
 }
 
-// fail answers with an error status.
+// fail answers with an error status and a line of text.
 func (h *responseWriter) fail(status int, s string) error {
 	h.status = status
 	return h.writeText(s + "\n")
@@ -77,8 +79,9 @@
 	return len(p), nil
 }
 
-// silent reports whether the fault suppresses the rest of the body: all of it,
-// or its second half.
+// suppressed reports whether the fault suppresses the rest of the body:
+// FaultHang and FaultError all of it, FaultReset and FaultTruncate the second
+// half.
 func (h *responseWriter) suppressed() bool {
 	switch h.fault {
 	case FaultHang, FaultError:
@@ -102,8 +105,8 @@
 	return err
 }
 
-// finish sends the last byte, or what the fault demands. A response that is
-// not complete ends with its connection.
+// finish sends the last byte, or ends the response as the fault requires. It
+// closes the connection of a response that is not complete.
 func (h *responseWriter) finish(end string) {
 	switch {
 	case end == endComplete && len(h.withheld) > 0:
@@ -121,7 +124,7 @@
 	}
 }
 
-// reset sends what was written and then resets the connection.
+// reset flushes the written part and then resets the connection.
 func (h *responseWriter) reset() {
 	control := http.NewResponseController(h.w)
 	_ = control.Flush()
@@ -162,8 +165,9 @@
 	}
 }
 
-// countedConn is a counted connection. It may be closed more than once and by
-// any goroutine; open holds one token until the first Close.
+// countedConn is a counted connection. Close may be called more than once and
+// by any goroutine; open contains one token until the first Close, so that the
+// connection is counted down only once.
 type countedConn struct {
 	net.Conn
 	listener *countingListener
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -22,7 +22,7 @@
 	return b, serveOnLoopback(t, g, b.Serve)
 }
 
-// eventually polls a condition that another goroutine or process fulfils.
+// requireEventually polls a condition that another goroutine fulfils.
 func requireEventually(t *testing.T, condition func() bool) {
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond)
 }
@@ -33,8 +33,10 @@
 	return s
 }
 
-// Guards against a ninth request that goes unnoticed, and against responses
-// that a client sees before their slot is free.
+// Guards against a request above the slot limit that is served instead of being
+// refused and counted as a violation, and against a response that ends at the
+// client before its slot is free: the client's next request would then be
+// counted as a violation.
 func TestSlotLimitIsEnforcedAndCounted(t *testing.T) {
 	b, address := startBackend(t, BackendConfig{Slots: 2})
 	client := &http.Client{Transport: &http.Transport{}}
@@ -66,8 +68,8 @@
 	require.Equal(t, "refused", log[202].End)
 }
 
-// Guards against connections above the limit that go unnoticed, and against
-// closed ones that stay counted.
+// Guards against connections above the limit that are neither closed nor counted
+// as violations, and against closed connections that stay counted.
 func TestConnectionLimitIsEnforcedAndCounted(t *testing.T) {
 	b, address := startBackend(t, BackendConfig{Connections: 2})
 	dial := func() net.Conn {
@@ -85,8 +87,8 @@
 	requireEventually(t, func() bool { return b.mustState(t).Connections == 1 })
 }
 
-// Guards against responses that are altered, and faults that look like a
-// complete response.
+// Guards against altered response bodies, and against a simulated reset or
+// truncation that the client cannot tell from a complete response.
 func TestBackendResponses(t *testing.T) {
 	b, address := startBackend(t, BackendConfig{})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -128,8 +130,8 @@
 	require.Equal(t, "failed", log[len(log)-1].End)
 }
 
-// Guards against a backend server that does not announce itself, or goes on
-// after it was told to drain.
+// Guards against a backend server that does not announce itself, or that does
+// not send the request to drain until the agent accepts it.
 func TestBackendAnnouncesAndDrains(t *testing.T) {
 	g := newGroup(t)
 	paths := make(chan string, 100)
@@ -147,7 +149,8 @@
 	requireEventually(t, func() bool { return b.mustState(t).State == "drained" })
 }
 
-// recorder is an agent that records what is posted to it.
+// announceRecorder is an agent that sends the path and the body of each request
+// to posts.
 type announceRecorder struct{ posts chan string }
 
 func (r *announceRecorder) serve(ctx context.Context, l net.Listener) error {
@@ -157,9 +160,9 @@
 	})})
 }
 
-// Guards against a violation that is counted when a client cancels a request
-// and sends another before the server has noticed, and against a backend
-// server that cannot be used in virtual time.
+// Guards against counting a violation when a client cancels a request and sends
+// another before the server has noticed the cancellation. Guards also against a
+// backend server that cannot be used in the virtual time of testing/synctest.
 func TestOverlapWithCancelledRequestIsNoViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -13,11 +13,11 @@
 const (
 	DefaultWritesPerSecond = 400
 	DefaultReadsPerSecond  = 2000
-	// A client may use a quarter of a second's operations at once.
+	// burstDivisor sets the burst to a quarter of a second's operations.
 	burstDivisor = 4
 )
 
-// errLost leaves the outcome unknown to the client.
+// errOutcomeUnknown is the error of a call whose request or answer is lost.
 var errOutcomeUnknown = storage.ErrOutcomeUnknown
 
 // StoreFaults are the faults of a table service or an object store. The zero
@@ -25,33 +25,34 @@
 type StoreFaults struct {
 	Outage  bool  `json:"outage"`  // every operation is refused and has no effect
 	DelayMs int64 `json:"delayMs"` // half of it passes before an operation takes effect, half after
-	// The next so many writes take effect but their answers are lost; -1: all.
+	// Number of coming writes that take effect but whose answers are lost; -1: all.
 	LoseAnswers int `json:"loseAnswers"`
-	// The next so many writes are lost before they take effect; -1: all.
+	// Number of coming writes that are lost before they take effect; -1: all.
 	LoseRequests    int `json:"loseRequests"`
 	WritesPerSecond int `json:"writesPerSecond"` // 0: the default, -1: no limit
 	ReadsPerSecond  int `json:"readsPerSecond"`  // 0: the default, -1: no limit
-	// Committed transactions are not kept for History. A long run needs it:
-	// 100 transactions a second of 50 rows are over 1 GB in 10 minutes.
+	// Don't keep committed transactions for History. Long runs need this: 100
+	// transactions a second of 50 rows each use over 1 GB in 10 minutes.
 	DropHistory bool `json:"dropHistory"`
 }
 
 // Counters count the operations of a table service or an object store.
 type Counters struct {
-	Writes  int `json:"writes"` // that arrived
-	Reads   int `json:"reads"`  // that arrived
-	Refused int `json:"refused"`
-	Limited int `json:"limited"`
-	Lost    int `json:"lost"`
+	Writes  int `json:"writes"`  // that arrived
+	Reads   int `json:"reads"`   // that arrived
+	Refused int `json:"refused"` // in an outage
+	Limited int `json:"limited"` // above the rate limit
+	Lost    int `json:"lost"`    // whose request or answer was lost
 }
 
-// StoreState answers GET /control.
+// StoreState is the answer to GET and POST /control.
 type StoreState struct {
 	Faults   StoreFaults `json:"faults"`
 	Counters Counters    `json:"counters"`
 }
 
-// gate applies faults and limits to the operations of a store.
+// faultInjector applies faults and rate limits to the operations of a store. It
+// belongs to the store's actor.
 type faultInjector struct {
 	StoreState
 	writes, reads *rate.Limiter
@@ -80,7 +81,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/burstDivisor))
 }
 
-// admit refuses an operation in an outage or above the limit.
+// admit returns an error for an operation in an outage or above the rate limit.
 func (g *faultInjector) admit(l *rate.Limiter) error {
 	switch {
 	case g.Faults.Outage:
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// take counts down a fault that applies to the next n operations.
+// consume reports whether a fault that applies to the next n operations applies
+// to this one, and counts n down unless it is -1 (all).
 func (g *faultInjector) consume(n *int) bool {
 	if *n == 0 {
 		return false
@@ -105,7 +107,8 @@
 	return true
 }
 
-// write runs a write under the faults and passes its outcome to reply.
+// write applies the faults to a write, runs effect unless they prevent it, and
+// passes the outcome to reply.
 func (g *faultInjector) write(effect func() error, reply func(error)) {
 	g.Counters.Writes++
 	if err := g.admit(g.writes); err != nil {
@@ -126,7 +129,8 @@
 	})
 }
 
-// read runs a read under the faults; the function passes on the outcome.
+// read applies the faults to a read and calls reply with the error, or with nil
+// once the read may look up its answer.
 func (g *faultInjector) read(reply func(error)) {
 	g.Counters.Reads++
 	if err := g.admit(g.reads); err != nil {
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -6,22 +6,22 @@
 )
 
 // MemoryListener connects clients and servers inside one process without
-// sockets, so that a simulator's HTTP interface works in testing/synctest.
+// sockets, so that a simulator's HTTP interface can be used in testing/synctest.
 type MemoryListener struct {
 	conns chan net.Conn
 	done  chan struct{}
-	open  chan struct{} // holds one token until Close
+	open  chan struct{} // contains one token until the first Close
 }
 
-// NewMemoryListener returns a listener that only Dial reaches.
+// NewMemoryListener returns a listener that accepts the connections of Dial.
 func NewMemoryListener() *MemoryListener {
 	l := &MemoryListener{make(chan net.Conn), make(chan struct{}), make(chan struct{}, 1)}
 	l.open <- struct{}{}
 	return l
 }
 
-// Dial opens a connection. It has the form that http.Transport and
-// storage.HTTPConfig need, and ignores the network and the address.
+// Dial opens a connection. It has the signature of DialContext in
+// http.Transport, and ignores the network and the address.
 func (l *MemoryListener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections stay open.
+// Close implements net.Listener. Accepted connections stay open.
 func (l *MemoryListener) Close() error {
 	select {
 	case <-l.open:
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -13,7 +13,7 @@
 )
 
 // Objects simulates the object store. It implements storage.Objects for use
-// inside the process. Data that it returns must not be modified.
+// inside the process. Callers must not modify the data that Get returns.
 type Objects struct {
 	to actor.Address[message[*objectState]]
 }
@@ -113,7 +113,7 @@
 	return err
 }
 
-// State returns the faults in force and the counters.
+// State returns the current faults and the counters.
 func (o *Objects) State(ctx context.Context) (StoreState, error) { return o.control(ctx, nil) }
 
 func (o *Objects) control(ctx context.Context, f *StoreFaults) (StoreState, error) {
@@ -149,7 +149,7 @@
 
 func (o *Objects) serveObject(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	// A write that has arrived is applied although its client leaves.
+	// A write that has arrived is applied even if its client disconnects.
 	ctx := context.WithoutCancel(r.Context())
 	var data []byte
 	var err error
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -14,15 +14,17 @@
 // statements separated by semicolons, in any order, each at most once:
 //
 //	sleep DURATION    run time at full speed, such as 300ms; default 0
-//	steps N           progress is kept in N steps of equal length; default 1
+//	steps N           a checkpoint holds the number of complete steps out of N
+//	                  of equal length; default 1
 //	autosave          write a checkpoint after each step, not only on request
 //	fail              fail after the run time
 //	fail N            fail when step N is complete
 //	usage cpu=MILLI memory=BYTES accelerators=N
-//	                  actual consumption where it differs from the declared size
+//	                  actual consumption where it differs from the declared
+//	                  resources
 //	result TEXT       content of the result; default is the task's id
 //
-// An empty text is a task that ends at once.
+// A task with an empty program ends at once.
 type Program struct {
 	Sleep    time.Duration
 	Steps    int
@@ -32,7 +34,7 @@
 	Usage    model.Resources
 	Result   string
 
-	usageGiven [3]bool // cpu, memory, accelerators
+	usageGiven [3]bool // whether Usage holds CPU, memory, accelerators
 }
 
 // ParseProgram parses the text form of a program.
@@ -109,7 +111,8 @@
 	return nil
 }
 
-// actual is the consumption at full speed of a task of the declared size.
+// fullSpeedUsage returns the consumption of a task that runs at full speed and
+// declares the given resources.
 func (p *Program) fullSpeedUsage(declared model.Resources) model.Resources {
 	r := declared
 	if p.usageGiven[0] {
@@ -124,12 +127,14 @@
 	return r
 }
 
-// until is the run time from the start to the end of a step.
+// runTimeTo returns the run time at full speed from the start of the program to
+// the end of a step.
 func (p *Program) runTimeTo(step int) time.Duration {
 	return time.Duration(int64(p.Sleep) / int64(p.Steps) * int64(step))
 }
 
-// stepAt is the number of complete steps after a run time.
+// completedSteps returns the number of steps that are complete after a run time
+// at full speed.
 func (p *Program) completedSteps(ran time.Duration) int {
 	length := int64(p.Sleep) / int64(p.Steps)
 	if length == 0 {
@@ -138,7 +143,8 @@
 	return min(int(int64(ran)/length), p.Steps)
 }
 
-// end is the run time after which the program succeeds or fails.
+// totalRunTime returns the run time at full speed after which the program
+// succeeds or fails.
 func (p *Program) totalRunTime() time.Duration {
 	if p.Fails {
 		return p.runTimeTo(p.FailStep)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -19,10 +19,11 @@
 	maxBodyBytes      = 64 << 20
 )
 
-// errLimit is returned above the rate limits; nothing took effect.
-var errLimit = errors.Wrap(storage.ErrUnavailable, "over the rate limit")
+// errLimit is the error of an operation above the rate limit, which had no
+// effect.
+var errLimit = errors.Wrap(storage.ErrUnavailable, "rate limit exceeded")
 
-// serve answers on l until ctx ends, which closes all connections.
+// serve serves on l until ctx ends, and then closes all connections.
 func serve(ctx context.Context, l net.Listener, s *http.Server) error {
 	s.ReadHeaderTimeout = readHeaderTimeout
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// readJSON decodes the request's body into v; on failure it answers 400 and
-// returns false.
+// readJSON decodes the request's body into v, which an empty body leaves
+// unchanged. On failure it answers 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil && len(raw) > 0 {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// writeJSON answers with v.
+// writeJSON answers with a status and with v encoded as JSON.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -58,9 +59,9 @@
 	_, _ = w.Write(raw)
 }
 
-// writeError maps an error of a simulated operation to its HTTP form. An
-// operation whose outcome is to be unknown gets no answer: its connection is
-// closed.
+// writeError answers with the HTTP status for an error of a simulated
+// operation. For any other error, such as storage.ErrOutcomeUnknown, it closes
+// the connection without an answer.
 func writeError(w http.ResponseWriter, err error) {
 	var conflict *storage.ConflictError
 	switch {
@@ -79,14 +80,14 @@
 	}
 }
 
-// answer is the value of a reply that may be an error.
+// answer is the content of a reply: a value or an error.
 type answer[T any] struct {
 	value T
 	err   error
 }
 
-// ask sends a message and waits for its answer. A simulator that has ended
-// leaves the outcome unknown.
+// ask sends a message and waits for its answer. If the simulator's actor has
+// ended, the error is storage.ErrOutcomeUnknown.
 func ask[M, T any](ctx context.Context, to actor.Address[M], build func(actor.Reply[answer[T]]) M) (T, error) {
 	a, err := actor.Ask(ctx, to, build)
 	if errors.Is(err, actor.ErrStopped) {
@@ -98,7 +99,7 @@
 	return a.value, a.err
 }
 
-// later runs functions of an actor after a delay.
+// callTimers calls functions in an actor after a delay. It belongs to the actor.
 type callTimers struct {
 	deadlines *actor.Timers[uint64]
 	callbacks map[uint64]func()
@@ -109,8 +110,8 @@
 	return &callTimers{deadlines: actor.NewTimers[uint64](), callbacks: map[uint64]func(){}}
 }
 
-// after runs f once d has passed, or at once if d is not positive. The id
-// cancels it.
+// afterFunc calls f once d has passed, or at once if d is not positive. The id
+// is for cancel.
 func (l *callTimers) afterFunc(d time.Duration, f func()) (id uint64) {
 	if d <= 0 {
 		f()
@@ -127,7 +128,7 @@
 	delete(l.callbacks, id)
 }
 
-// due runs every function whose time has come.
+// runDue calls every function whose delay has passed.
 func (l *callTimers) runDue() {
 	for id, ok := l.deadlines.Pop(time.Now()); ok; id, ok = l.deadlines.Pop(time.Now()) {
 		f := l.callbacks[id]
@@ -139,7 +140,8 @@
 // message is handled by the actor that owns a state of type S.
 type message[S any] interface{ handle(S) }
 
-// spawn starts an actor that handles messages and delayed functions.
+// spawn starts an actor that handles messages and calls the functions of its
+// timers, one at a time.
 func spawn[S any](g *actor.Group, name string, timers *callTimers, state S) actor.Address[message[S]] {
 	return actor.Spawn(g, actor.Spec[message[S]]{Name: name, Mailbox: 256,
 		Run: func(ctx context.Context, in <-chan message[S]) error {
@@ -157,8 +159,9 @@
 		}})
 }
 
-// clock gives times that are comparable between the simulators of one machine
-// and do not jump: the wall clock is read once.
+// clock returns times that can be compared between the simulators of one
+// machine. It reads the wall clock only once, so that steps of that clock do not
+// affect them.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,7 +10,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// maxTxnRows is the largest number of rows that a transaction may write.
+// maxTxnRows is the largest number of rows that a transaction may write or
+// delete.
 const maxTxnRows = 128
 
 // Committed is a transaction that took effect.
@@ -22,8 +23,8 @@
 // store holds the rows of a table.
 type store struct {
 	revision storage.Revision
-	rows     map[string]storage.Row // deleted rows stay as tombstones
-	changes  []change               // in revision order; superseded entries are skipped
+	rows     map[string]storage.Row // deleted rows are kept as tombstones
+	changes  []change               // in revision order; scan skips superseded entries
 	history  []Committed
 }
 
@@ -34,7 +35,8 @@
 
 func newStore() *store { return &store{rows: map[string]storage.Row{}} }
 
-// version returns 0 for an absent or deleted row.
+// version returns the revision that last wrote a row, or 0 if the row is absent
+// or deleted.
 func (s *store) version(key string) storage.Revision {
 	if r := s.rows[key]; !r.Deleted {
 		return r.Version
@@ -42,7 +44,9 @@
 	return 0
 }
 
-// commit applies a transaction; keep adds it to the history.
+// commit applies a transaction and returns its revision. If keep is set, it adds
+// the transaction to the history. The error is a storage.ConflictError or
+// storage.ErrRefused.
 func (s *store) commit(txn storage.Txn, keep bool) (storage.Revision, error) {
 	if err := validateTxn(txn); err != nil {
 		return 0, err
@@ -74,13 +78,14 @@
 	return s.revision, nil
 }
 
-// committedAfter returns the kept transactions after a revision.
+// committedAfter returns the transactions of the history after a revision.
 func (s *store) committedAfter(after storage.Revision) []Committed {
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > after })
 	return slices.Clone(s.history[first:])
 }
 
-// checkShape refuses a transaction that is too large or writes a row twice.
+// validateTxn returns storage.ErrRefused for a transaction that is too large or
+// writes a row twice.
 func validateTxn(txn storage.Txn) error {
 	written := map[string]bool{}
 	for _, p := range txn.Puts {
@@ -91,9 +96,9 @@
 	}
 	switch n := len(txn.Puts) + len(txn.Deletes); {
 	case n > maxTxnRows:
-		return errors.Wrapf(storage.ErrRefused, "%d rows, at most %d", n, maxTxnRows)
+		return errors.Wrapf(storage.ErrRefused, "transaction writes %d rows, limit is %d", n, maxTxnRows)
 	case n != len(written):
-		return errors.Wrap(storage.ErrRefused, "a row is written twice")
+		return errors.Wrap(storage.ErrRefused, "transaction writes a row twice")
 	}
 	return nil
 }
@@ -103,7 +108,8 @@
 	s.changes = append(s.changes, change{r.Version, r.Key})
 }
 
-// compact drops superseded changes once they are the majority.
+// compact drops superseded changes once they are about half of all. The constant
+// avoids frequent compaction of a small table.
 func (s *store) compact() {
 	if len(s.changes) < 2*len(s.rows)+1024 {
 		return
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -8,7 +8,7 @@
 )
 
 // Table simulates the table service. It implements storage.Table for use
-// inside the process. Values of rows that it returns must not be modified.
+// inside the process. Callers must not modify the values of returned rows.
 type Table struct {
 	to actor.Address[message[*tableState]]
 }
@@ -57,7 +57,7 @@
 	})
 }
 
-// scanned is the answer of GET /v1/rows.
+// scanResult is the answer to GET /v1/rows.
 type scanResult struct {
 	Rows     []storage.Row    `json:"rows"`
 	Revision storage.Revision `json:"revision"`
@@ -79,7 +79,7 @@
 	})
 }
 
-// tableControlMsg sets the faults, if given, and returns the state.
+// tableControlMsg sets the faults unless they are nil, and requests the state.
 type tableControlMsg struct {
 	faults *StoreFaults
 	reply  tableReply[StoreState]
@@ -124,7 +124,7 @@
 	return err
 }
 
-// State returns the faults in force and the counters.
+// State returns the current faults and the counters.
 func (t *Table) State(ctx context.Context) (StoreState, error) { return t.control(ctx, nil) }
 
 func (t *Table) control(ctx context.Context, f *StoreFaults) (StoreState, error) {
@@ -137,8 +137,9 @@
 	return ask(ctx, t.to, func(r tableReply[[]Committed]) message[*tableState] { return historyMsg{after, r} })
 }
 
-// readError reports a simulator that has ended as an unavailable service: a
-// read has no outcome that could be unknown.
+// readError replaces storage.ErrOutcomeUnknown, the error of an ended
+// simulator, by storage.ErrUnavailable: a read has no effect whose outcome could
+// be unknown.
 func readError(err error) error {
 	if err == storage.ErrOutcomeUnknown {
 		return storage.ErrUnavailable
--- a/internal/standin/table_http.go
+++ b/internal/standin/table_http.go
@@ -14,8 +14,8 @@
 	return serve(ctx, l, &http.Server{Handler: t.Handler()})
 }
 
-// Handler returns the table's HTTP interface. GET /control/history?after=
-// returns the committed transactions.
+// Handler returns the table's HTTP interface. GET /control/history?after=N
+// returns the transactions committed after revision N.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/txn", t.serveCommit)
@@ -31,7 +31,7 @@
 	if !readJSON(w, r, &txn) {
 		return
 	}
-	// A transaction that has arrived is applied although its client leaves.
+	// A transaction that has arrived is applied even if its client disconnects.
 	rev, err := t.Commit(context.WithoutCancel(r.Context()), txn)
 	if err != nil {
 		writeError(w, err)
@@ -87,8 +87,8 @@
 	return storage.Revision(n), err == nil
 }
 
-// serveControl serves GET and POST of /control for a function that sets the
-// faults, if given, and returns the state.
+// serveControl returns the handler of /control. control sets the faults unless
+// they are nil, and returns the state.
 func serveControl[F, S any](control func(context.Context, *F) (S, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var faults *F
--- a/internal/standin/table_test.go
+++ b/internal/standin/table_test.go
@@ -13,8 +13,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// listen serves on a free loopback port until the test ends and returns the
-// address.
+// serveOnLoopback serves on a free loopback port until the test ends and returns
+// the address.
 func serveOnLoopback(t *testing.T, g *actor.Group, serve func(context.Context, net.Listener) error) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -32,8 +32,8 @@
 	return storage.Txn{Operation: key, Checks: checks, Puts: []storage.Put{{Key: key, Value: []byte(value)}}}
 }
 
-// Guards against a client and a service that disagree on transactions,
-// preconditions, tombstones, escaped keys or the meaning of an error.
+// Guards against an HTTP client and a table service that encode transactions,
+// preconditions, tombstones, escaped keys or errors differently.
 func TestTableOverHTTP(t *testing.T) {
 	g := newGroup(t)
 	service := NewTable(g, StoreFaults{})
@@ -68,7 +68,7 @@
 	_, err = table.Commit(ctx, putTxn("lost", "1"))
 	require.ErrorIs(t, err, storage.ErrOutcomeUnknown)
 	_, err = table.Read(ctx, "lost")
-	require.NoError(t, err, "the write took effect")
+	require.NoError(t, err, "a write whose answer was lost must take effect")
 
 	require.NoError(t, service.SetFaults(ctx, StoreFaults{Outage: true}))
 	_, err = table.Commit(ctx, putTxn("out", "1"))
@@ -80,8 +80,8 @@
 	require.Equal(t, "lost", history[2].Operation)
 }
 
-// Guards against a client that takes a refused connection for an unknown
-// outcome, or a timeout for a known one.
+// Guards against a client that reports an unknown outcome when the connection is
+// refused and nothing was sent, or a known outcome when a write times out.
 func TestClientReportsWhetherOutcomeIsKnown(t *testing.T) {
 	g := newGroup(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,8 +99,9 @@
 	require.ErrorIs(t, err, storage.ErrUnavailable)
 }
 
-// Guards against a client whose errors keep the writer from reading back a
-// lost answer, or from repeating a refused call.
+// Guards against client errors that the writer cannot tell apart: after a lost
+// answer it must read back the outcome, and after a call above the rate limit it
+// must repeat the call.
 func TestWriterOverHTTP(t *testing.T) {
 	g := newGroup(t)
 	service := NewTable(g, StoreFaults{WritesPerSecond: 4, LoseAnswers: 2})
@@ -119,7 +120,8 @@
 	require.Equal(t, 2, state.Counters.Lost)
 }
 
-// Guards against stand-ins that accept more than the platform does.
+// Guards against a simulated table service that accepts more operations per
+// second, or a larger burst, than the real one: overload would go unnoticed.
 func TestTableEnforcesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
@@ -145,7 +147,8 @@
 	})
 }
 
-// Guards against objects that are lost, altered or not deleted.
+// Guards against an HTTP client and an object store that lose or alter objects,
+// or do not delete them.
 func TestObjectsOverHTTP(t *testing.T) {
 	g := newGroup(t)
 	service := NewObjects(g, StoreFaults{})
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,25 +16,26 @@
 	// DefaultUsageLag is the smallest delay of usage reports in
 	// docs/design.md section 1.3.
 	DefaultUsageLag = 10 * time.Second
-	// An ended task is remembered this long, so that a repeated start has no
-	// effect and an agent that was away learns the outcome.
+	// endedRetention is how long the record of an ended task is kept, so that a
+	// repeated start has no effect and an agent that was unavailable learns the
+	// outcome.
 	endedRetention    = 10 * time.Minute
 	objectRetryDelay  = 200 * time.Millisecond
 	objectCallTimeout = 5 * time.Second
 )
 
-// Errors of a worker's tasks.
+// Errors of commands to a worker's tasks.
 var (
-	ErrUnknownTask = errors.New("the worker knows no such task")
-	ErrNotRunning  = errors.New("the task does not run: it has ended, or is loading its checkpoint or writing its result")
+	ErrUnknownTask = errors.New("the worker has no task with this id")
+	ErrNotRunning  = errors.New("the task is not running: it has ended, or is loading its checkpoint or writing its result")
 )
 
 // WorkerConfig describes a simulated worker.
 type WorkerConfig struct {
 	ID       model.WorkerID
 	Capacity model.Resources
-	UsageLag time.Duration // 0: DefaultUsageLag
-	Objects  storage.Objects
+	UsageLag time.Duration   // 0: DefaultUsageLag
+	Objects  storage.Objects // for checkpoints and results
 }
 
 // TaskSpec is the body of POST /v1/tasks.
@@ -42,34 +43,34 @@
 	ID string `json:"id"`
 	model.Resources
 	LeaseMs          int64  `json:"leaseMs"`
-	Program          string `json:"program"`
-	Checkpoint       string `json:"checkpoint,omitempty"` // object to resume from
-	ResultName       string `json:"resultName,omitempty"`
-	CheckpointPrefix string `json:"checkpointPrefix,omitempty"`
+	Program          string `json:"program"`                    // text form of Program
+	Checkpoint       string `json:"checkpoint,omitempty"`       // object to resume from
+	ResultName       string `json:"resultName,omitempty"`       // object to write; empty: none
+	CheckpointPrefix string `json:"checkpointPrefix,omitempty"` // of the names of checkpoint objects
 }
 
-// TaskView is a task as GET /v1/tasks reports it.
+// TaskView is a task as GET /v1/tasks and the answers to commands report it.
 type TaskView struct {
 	ID         string          `json:"id"`
 	State      model.TaskState `json:"state"`
 	Reason     string          `json:"reason,omitempty"`
-	Checkpoint string          `json:"checkpoint,omitempty"` // newest that this task wrote
+	Checkpoint string          `json:"checkpoint,omitempty"` // newest that this task stored
 	Result     string          `json:"result,omitempty"`     // object name, once it is done
-	Step       int             `json:"step"`
+	Step       int             `json:"step"`                 // complete steps
 	Steps      int             `json:"steps"`
-	Percent    int             `json:"percent"`
-	LeaseMs    int64           `json:"leaseMs"`         // remaining
-	RanMs      int64           `json:"ranMs"`           // since its start, whatever its speed
-	Usage      *UsageView      `json:"usage,omitempty"` // absent until the first measurement is old enough
+	Percent    int             `json:"percent"`         // speed, 0 to 100
+	LeaseMs    int64           `json:"leaseMs"`         // remaining; 0 once the task has ended
+	RanMs      int64           `json:"ranMs"`           // time from its start to now or its end, independent of its speed
+	Usage      *UsageView      `json:"usage,omitempty"` // absent until the first measurement is as old as the usage lag
 }
 
-// UsageView is a measured consumption of some time ago.
+// UsageView is the consumption that was measured AgeMs ago.
 type UsageView struct {
 	model.Resources
 	AgeMs int64 `json:"ageMs"`
 }
 
-// WorkerView answers GET /v1/worker.
+// WorkerView is the answer to GET /v1/worker.
 type WorkerView struct {
 	ID       model.WorkerID  `json:"id"`
 	Capacity model.Resources `json:"capacity"`
@@ -79,17 +80,17 @@
 
 // WorkerFaults are the faults of a worker.
 type WorkerFaults struct {
-	Outage     bool   `json:"outage"`     // the HTTP interface answers 503; tasks and leases go on
+	Outage     bool   `json:"outage"`     // /v1/ answers 503; tasks and leases continue
 	FailAll    bool   `json:"failAll"`    // every task fails when it starts
-	UsageLagMs *int64 `json:"usageLagMs"` // absent: as configured
+	UsageLagMs *int64 `json:"usageLagMs"` // absent: WorkerConfig.UsageLag
 }
 
-// WorkerState answers GET /control.
+// WorkerState is the answer to GET and POST /control.
 type WorkerState struct {
 	Faults       WorkerFaults `json:"faults"`
 	Overcommits  int          `json:"overcommits"`  // starts that exceeded the declared capacity
 	RepeatStarts int          `json:"repeatStarts"` // starts of a known task, which had no effect
-	Expired      int          `json:"expired"`
+	Expired      int          `json:"expired"`      // tasks stopped because their lease expired
 }
 
 // TaskRun is one run of a task, for a history checker. Times are in nanoseconds
@@ -100,14 +101,14 @@
 	Ended      int64           `json:"ended"` // 0 while it runs
 	State      model.TaskState `json:"state"`
 	Reason     string          `json:"reason,omitempty"`
-	FromStep   int             `json:"fromStep"`
-	ToStep     int             `json:"toStep"`
+	FromStep   int             `json:"fromStep"` // complete steps at the start
+	ToStep     int             `json:"toStep"`   // complete steps at the end
 	Declared   model.Resources `json:"declared"`
-	Overcommit bool            `json:"overcommit,omitempty"`
+	Overcommit bool            `json:"overcommit,omitempty"` // its start exceeded the worker's capacity
 }
 
-// Worker simulates a host that runs tasks under leases. It starts whatever it
-// is given, whether it fits or not.
+// Worker simulates a host that runs tasks under leases. It starts every task,
+// even if its capacity does not suffice, and records the overcommit.
 type Worker struct {
 	to actor.Address[message[*workerState]]
 }
@@ -144,9 +145,10 @@
 
 func (m workerSelfMsg) handle(s *workerState) { s.self = m.to }
 
-// retry runs an operation of the object store in a goroutine of its own until
-// it succeeds, finds that the object does not exist, or ctx ends; then it
-// sends the message to the worker.
+// retryObjectCall repeats an operation of the object store in a goroutine of
+// its own until it succeeds, finds that the object does not exist, or ctx ends.
+// In the first two cases it sends the message that op returned to the worker's
+// actor.
 func (s *workerState) retryObjectCall(ctx context.Context, op func(context.Context) (message[*workerState], error)) {
 	self := s.self
 	actor.Go(s.group, "worker's object access", func(context.Context) error {
@@ -165,7 +167,7 @@
 	})
 }
 
-// lag is the delay of usage reports.
+// usageLag returns the delay of usage reports.
 func (s *workerState) usageLag() time.Duration {
 	if ms := s.faults.UsageLagMs; ms != nil {
 		return time.Duration(*ms) * time.Millisecond
@@ -173,7 +175,8 @@
 	return s.UsageLag
 }
 
-// openSpan records the start of a task and whether it fits.
+// recordStart records the start of a task and whether it exceeds the worker's
+// capacity.
 func (s *workerState) recordStart(t *task, fromStep int) {
 	total := t.spec.Resources
 	for _, o := range s.tasks {
@@ -190,16 +193,17 @@
 		FromStep: fromStep, Declared: t.spec.Resources, Overcommit: overcommit})
 }
 
+// recordEnd completes the record of a task's run.
 func (s *workerState) recordEnd(t *task) {
 	if t.runIndex < 0 {
-		return // it never started
+		return // stopped before its start arrived
 	}
 	run := &s.runs[t.runIndex]
 	run.Ended, run.State, run.Reason = s.clock.now(), t.reportedState(), t.reason
 	run.ToStep = t.program.completedSteps(t.runTime)
 }
 
-// reported is the state as the interface has it.
+// reportedState maps the state of the chart to that of the HTTP interface.
 func (t *task) reportedState() model.TaskState {
 	switch t.state {
 	case taskDone:
@@ -230,6 +234,7 @@
 	return v
 }
 
+// views returns the tasks in the order of their ids.
 func (s *workerState) views() []TaskView {
 	list := make([]TaskView, 0, len(s.tasks))
 	for _, t := range s.tasks {
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -10,12 +10,13 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// Start starts a task, unless one with this id is known; it returns the
-// task's state. The error is ErrRefused for a malformed program.
+// Start starts a task, unless the worker has one with this id, and returns the
+// task's state. The error is storage.ErrRefused if the program is malformed or
+// the id is empty.
 func (w *Worker) Start(ctx context.Context, spec TaskSpec) (TaskView, error) {
 	p, err := ParseProgram(spec.Program)
 	if err == nil && spec.ID == "" {
-		err = errors.New("task without id")
+		err = errors.New("task has no id")
 	}
 	if err != nil {
 		return TaskView{}, errors.Wrapf(storage.ErrRefused, "%v", err)
@@ -23,7 +24,7 @@
 	return ask(ctx, w.to, func(r workerReply[TaskView]) message[*workerState] { return startMsg{spec, p, r} })
 }
 
-// Renew lets the task's lease end leaseMs from now.
+// Renew sets the task's lease to end leaseMs from now.
 func (w *Worker) Renew(ctx context.Context, id string, leaseMs int64) (TaskView, error) {
 	if leaseMs <= 0 {
 		return TaskView{}, errors.Wrap(storage.ErrRefused, "leaseMs must be positive")
@@ -34,13 +35,13 @@
 // Throttle limits the task to a percentage of its speed; 0 pauses it.
 func (w *Worker) Throttle(ctx context.Context, id string, percent int) (TaskView, error) {
 	if percent < 0 || percent > 100 {
-		return TaskView{}, errors.Wrap(storage.ErrRefused, "percent must be 0 to 100")
+		return TaskView{}, errors.Wrap(storage.ErrRefused, "percent must be from 0 to 100")
 	}
 	return w.command(ctx, commandMsg{id: id, event: taskThrottle, percent: percent})
 }
 
-// Stop stops the task. When it returns, the task does not run; an unknown
-// task is recorded as stopped, so that it can no longer start.
+// Stop stops the task. Once Stop has returned, the task does not run. An
+// unknown task is recorded as stopped, so that it can no longer start.
 func (w *Worker) Stop(ctx context.Context, id string) (TaskView, error) {
 	return w.command(ctx, commandMsg{id: id, event: taskStop})
 }
@@ -49,22 +50,23 @@
 	return ask(ctx, w.to, func(r workerReply[TaskView]) message[*workerState] { m.reply = r; return m })
 }
 
-// Checkpoint writes a checkpoint and waits until it is stored.
+// Checkpoint makes the task write a checkpoint and waits until it is stored.
 func (w *Worker) Checkpoint(ctx context.Context, id string) (TaskView, error) {
 	return ask(ctx, w.to, func(r workerReply[TaskView]) message[*workerState] { return checkpointMsg{id, r} })
 }
 
-// Tasks lists the tasks, ended ones included.
+// Tasks returns the tasks in the order of their ids. It includes ended tasks for
+// endedRetention.
 func (w *Worker) Tasks(ctx context.Context) ([]TaskView, error) {
 	return ask(ctx, w.to, func(r workerReply[[]TaskView]) message[*workerState] { return tasksMsg{r} })
 }
 
-// Info describes the worker.
+// Info returns the worker's capacity, usage and number of tasks.
 func (w *Worker) Info(ctx context.Context) (WorkerView, error) {
 	return ask(ctx, w.to, func(r workerReply[WorkerView]) message[*workerState] { return infoMsg{r} })
 }
 
-// Log returns every run of a task, in the order of their starts.
+// Log returns the runs of all tasks, in the order of their starts.
 func (w *Worker) Log(ctx context.Context) ([]TaskRun, error) {
 	return ask(ctx, w.to, func(r workerReply[[]TaskRun]) message[*workerState] { return runsMsg{r} })
 }
@@ -75,7 +77,7 @@
 	return err
 }
 
-// State returns the faults in force and the counters.
+// State returns the current faults and the counters.
 func (w *Worker) State(ctx context.Context) (WorkerState, error) { return w.control(ctx, nil) }
 
 func (w *Worker) control(ctx context.Context, f *WorkerFaults) (WorkerState, error) {
@@ -87,8 +89,8 @@
 	return serve(ctx, l, &http.Server{Handler: w.Handler()})
 }
 
-// Handler returns the worker's HTTP interface. A task's id is one path
-// segment, with its slashes escaped. GET /control/log returns the runs.
+// Handler returns the worker's HTTP interface. A task's id is one path segment,
+// with its slashes escaped. GET /control/log returns what Log returns.
 func (w *Worker) Handler() http.Handler {
 	tasks := http.NewServeMux()
 	tasks.HandleFunc("POST /v1/tasks", func(rw http.ResponseWriter, r *http.Request) {
@@ -140,7 +142,8 @@
 	writeTask(rw, view, err)
 }
 
-// writeTask answers with a task's state; 409 says that it does not run.
+// writeTask answers with a task's state, or with the status of the error: 409
+// with the task's state if it is not running, 404 if it is unknown.
 func writeTask(rw http.ResponseWriter, view TaskView, err error) {
 	switch {
 	case err == nil:
@@ -154,7 +157,7 @@
 	}
 }
 
-// serveValue answers with what get returns.
+// serveValue returns a handler that answers with the result of get as JSON.
 func serveValue[T any](get func(context.Context) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, err := get(r.Context())
--- a/internal/standin/worker_messages.go
+++ b/internal/standin/worker_messages.go
@@ -36,7 +36,7 @@
 	return t
 }
 
-// renew lets the lease end the given time from now, on the worker's clock.
+// renew sets the lease to end ms milliseconds from now, on the worker's clock.
 func (t *task) renew(ms int64) {
 	d := time.Duration(ms) * time.Millisecond
 	t.worker.timers.cancel(t.leaseTimer)
@@ -48,13 +48,13 @@
 	})
 }
 
-// commandMsg is a command to a task that was started: an event of its chart,
-// or a renewal of its lease.
+// commandMsg is a command to a task: an event of its chart, or a renewal of its
+// lease.
 type commandMsg struct {
 	id      string
 	event   chart.Event
-	renewMs int64 // if positive: renew, no event
-	percent int   // of taskThrottle
+	renewMs int64 // if positive: renew the lease and ignore event
+	percent int   // new speed; only with taskThrottle
 	reply   workerReply[TaskView]
 }
 
@@ -81,14 +81,14 @@
 		t.percent = m.percent
 		t.step(taskThrottle)
 	case m.event == taskThrottle && t.active():
-		t.percent = m.percent // applies when it runs
+		t.percent = m.percent // takes effect when the program starts
 	case !t.step(m.event) && m.event != taskStop:
 		return answer[TaskView]{t.view(), ErrNotRunning}
 	}
 	return answer[TaskView]{value: t.view()}
 }
 
-// checkpointMsg asks for a checkpoint; it is answered when it is stored.
+// checkpointMsg requests a checkpoint. The reply is sent when it is stored.
 type checkpointMsg struct {
 	id    string
 	reply workerReply[TaskView]
@@ -107,6 +107,8 @@
 	t.checkpointReplies = append(t.checkpointReplies, m.reply)
 }
 
+// loadedMsg reports the content of a checkpoint. ok is false if the object is
+// absent or malformed.
 type loadedMsg struct {
 	id   string
 	step int
@@ -126,6 +128,8 @@
 	}
 }
 
+// savedMsg reports that a checkpoint is stored. number counts the checkpoints of
+// the task from 1.
 type savedMsg struct {
 	id, name string
 	number   int
@@ -142,6 +146,7 @@
 	}
 }
 
+// writtenMsg reports that the result is stored.
 type writtenMsg struct{ id string }
 
 func (m writtenMsg) handle(s *workerState) {
--- a/internal/standin/worker_task.go
+++ b/internal/standin/worker_task.go
@@ -36,7 +36,8 @@
 	taskWritten
 )
 
-// taskChart is set in init because its actions step the chart themselves.
+// taskChart is set in init because its actions refer to it: a package-level
+// initializer would be an initialization cycle.
 var taskChart *chart.Machine[task]
 
 func init() { taskChart = chart.MustCompile(charts.Files, TaskBinding()) }
@@ -64,34 +65,34 @@
 	}
 }
 
-// task is one task of a worker. It belongs to the worker's actor.
+// task is a task of a worker. It is owned by the worker's actor.
 type task struct {
 	worker  *workerState
 	spec    TaskSpec
 	program Program
 	state   chart.State
 
-	ctx            context.Context // of its reads and writes of objects
+	ctx            context.Context // of its calls to the object store
 	cancel         context.CancelFunc
-	leaseTimer     uint64 // timer
-	dueTimer       uint64 // timer of the next step or the end
+	leaseTimer     uint64 // id in callTimers
+	dueTimer       uint64 // id in callTimers, of the end of the next step or of the program
 	leaseExpiresAt time.Time
 
 	startedAt time.Time
 	endedAt   time.Time
-	runTime   time.Duration // progress in run time at full speed, up to since
-	runTimeAt time.Time     // zero while the program does not run
-	percent   int
+	runTime   time.Duration // progress up to runTimeAt, as run time at full speed
+	runTimeAt time.Time     // time of the last update of runTime; zero while the program does not run
+	percent   int           // speed, 0 to 100
 
-	checkpointsStarted int // checkpoints begun
-	checkpoint         string
-	checkpointReplies  []actor.Reply[answer[TaskView]] // for the checkpoint that is being written
+	checkpointsStarted int                             // number of checkpoints whose write has started
+	checkpoint         string                          // name of the newest stored checkpoint
+	checkpointReplies  []actor.Reply[answer[TaskView]] // of requests that wait for the newest checkpoint
 	reason             string
-	runIndex           int // index in the worker's log, or -1
+	runIndex           int // index in the worker's log, or -1 if the task did not start
 	usage              []usagePoint
 }
 
-// usagePoint is the consumption from a time on.
+// usagePoint is the consumption from at until the next point.
 type usagePoint struct {
 	at time.Time
 	model.Resources
@@ -101,7 +102,7 @@
 
 func (t *task) active() bool { return !taskChart.Final(t.state) }
 
-// progress brings ran up to date.
+// updateRunTime adds the time since the last update to runTime.
 func (t *task) updateRunTime() {
 	if t.runTimeAt.IsZero() {
 		return
@@ -116,7 +117,8 @@
 	t.schedule()
 }
 
-// schedule arms the timer for the next step or the end and records the usage.
+// schedule records the usage and sets the timer for the end of the program, or
+// for that of the next step if the task writes a checkpoint after each.
 func (t *task) schedule() {
 	t.worker.timers.cancel(t.dueTimer)
 	actual := t.program.fullSpeedUsage(t.spec.Resources)
@@ -133,7 +135,7 @@
 	t.dueTimer = t.worker.timers.afterFunc(max(wait, time.Nanosecond), t.stepDue)
 }
 
-// reached handles the timer that schedule armed.
+// stepDue handles the timer that schedule set.
 func (t *task) stepDue() {
 	t.updateRunTime()
 	if t.runTime >= t.program.totalRunTime() {
@@ -141,18 +143,20 @@
 		return
 	}
 	t.step(taskCheckpoint)
-	t.step(taskThrottle) // arms the timer for the next step
+	t.step(taskThrottle) // sets the timer for the next step
 }
 
 func (t *task) recordUsage(r model.Resources) {
 	t.usage = append(t.usage, usagePoint{time.Now(), r})
 }
 
-// usageAt returns the consumption at a time; ok is false before the first.
+// usageAt returns the consumption at a time; ok is false before the first
+// measurement. Successive calls must not go back in time, because it drops older
+// points.
 func (t *task) usageAt(at time.Time) (r model.Resources, ok bool) {
 	for i := len(t.usage) - 1; i >= 0; i-- {
 		if !t.usage[i].at.After(at) {
-			t.usage = t.usage[i:] // older points are never asked for again
+			t.usage = t.usage[i:]
 			return t.usage[0].Resources, true
 		}
 	}
@@ -195,12 +199,12 @@
 	t.putObject(t.spec.ResultName, map[string]any{"task": t.spec.ID, "result": text}, writtenMsg{t.spec.ID})
 }
 
-// put stores an object, repeating while the store is unavailable, then sends
-// then to the worker. Without a name nothing is stored.
+// putObject stores content as JSON, repeating the call until it succeeds, and
+// then sends onStored to the worker's actor. If name is empty it stores nothing.
 func (t *task) putObject(name string, content any, onStored message[*workerState]) {
 	raw, err := json.Marshal(content)
 	if err != nil {
-		panic(err) // the types above can always be encoded
+		panic(err) // unreachable: the callers pass only types that can be encoded
 	}
 	t.worker.retryObjectCall(t.ctx, func(ctx context.Context) (message[*workerState], error) {
 		if name == "" {
@@ -210,7 +214,8 @@
 	})
 }
 
-// finish ends the task in the state that the chart has set.
+// finish ends the task in the final state that the chart has entered. The
+// record of the task is kept for endedRetention.
 func (t *task) finish(reason string) {
 	t.updateRunTime()
 	t.runTimeAt = time.Time{}
@@ -224,6 +229,7 @@
 	t.worker.timers.afterFunc(endedRetention, func() { delete(t.worker.tasks, t.spec.ID) })
 }
 
+// answerCheckpoints replies to the requests that wait for a checkpoint.
 func (t *task) answerCheckpoints(err error) {
 	for _, r := range t.checkpointReplies {
 		r.Put(answer[TaskView]{t.view(), err})
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -31,6 +31,7 @@
 	})
 }
 
+// onlyTask returns the only task of the worker.
 func onlyTask(t *testing.T, w *Worker) TaskView {
 	list, err := w.Tasks(t.Context())
 	require.NoError(t, err)
@@ -38,8 +39,9 @@
 	return list[0]
 }
 
-// Guards against a task that outlives its lease after its agent is gone, or
-// that is stopped although the lease was renewed.
+// Guards against a task that runs on after its lease has expired because its
+// agent no longer renews it, and against a task that is stopped although its
+// lease was renewed.
 func TestTaskStopsWhenItsLeaseExpires(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, _ *Objects) {
 		_, err := w.Start(t.Context(), taskSpec("job/1", "sleep 1h"))
@@ -60,8 +62,9 @@
 	})
 }
 
-// Guards against progress that is lost or invented when a task resumes from
-// its checkpoint on another worker.
+// Guards against a task that resumes at another step than that of its checkpoint
+// on another worker. The answer to the write of the checkpoint is lost, so that
+// the worker must repeat it.
 func TestTaskResumesFromCheckpoint(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, o *Objects) {
 		first := taskSpec("job/1", "sleep 10s; steps 10")
@@ -111,8 +114,8 @@
 	})
 }
 
-// Guards against usage that is visible at once, and against an excess of the
-// worker's capacity that the log does not show.
+// Guards against usage that is reported before the usage lag has passed, and
+// against starts beyond the worker's capacity that the log does not mark.
 func TestUsageLagsAndOvercommitIsLogged(t *testing.T) {
 	withWorker(t, func(t *testing.T, w *Worker, _ *Objects) {
 		for _, id := range []string{"a/1", "b/1"} {
@@ -139,8 +142,9 @@
 	})
 }
 
-// Guards against task ids with slashes that do not survive the URL, and
-// against a failed task that is reported as an error of the service.
+// Guards against task ids whose escaped slashes are not decoded from the URL, and
+// against wrong HTTP statuses: 409 for a task that has ended, 404 for an unknown
+// one, 400 for a malformed program and 503 in an outage.
 func TestWorkerOverHTTP(t *testing.T) {
 	g := newGroup(t)
 	w := NewWorker(g, WorkerConfig{ID: "w1", Objects: NewObjects(g, StoreFaults{})})
@@ -171,7 +175,8 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 }
 
-// Guards against programs that are misread.
+// Guards against valid programs that are parsed wrongly and malformed programs
+// that are accepted.
 func TestParseProgram(t *testing.T) {
 	p, err := ParseProgram("sleep 300ms; steps 10; fail 3; usage cpu=2000; autosave")
 	require.NoError(t, err)
