--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		panic(err) // unreachable: the type contains only strings and integers
 	}
-	// The timeout ends a call to a slow agent before the next announcement is due.
+	// The timeout ends a call to a slow agent by the time of the next one.
 	client := &http.Client{Timeout: announceInterval, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	return announcer{c.Agent, body, client}
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -144,20 +144,20 @@
 // backendState is owned by the backend server's actor.
 type backendState struct {
 	BackendConfig
-	group     *actor.Group
-	self      actor.Address[message[*backendState]]
-	timers    *callTimers
-	clock     clock
-	announcer announcer
-	state     chart.State
-	timer     uint64
-	control   BackendControl
-	counts    BackendState
-	values    map[string]int64 // counters of /count, by key
-	records   []RequestRecord
-	running   map[uint64]*slotRequest
-	waiting   []*slotRequest // found all slots in use; each waits at most cancelGrace
-	lastID    uint64
+	group      *actor.Group
+	self       actor.Address[message[*backendState]]
+	timers     *callTimers
+	clock      clock
+	announcer  announcer
+	state      chart.State
+	chartTimer uint64
+	control    BackendControl
+	counts     BackendState
+	values     map[string]int64 // counters of /count, by key
+	records    []RequestRecord
+	running    map[uint64]*slotRequest
+	waiting    []*slotRequest // found all slots in use; each waits at most cancelGrace
+	lastID     uint64
 
 	pendingConn      *backendReply[bool] // reply to a connection above the limit that waits for another to close; nil: none
 	pendingConnTimer uint64
@@ -197,9 +197,9 @@
 	if !backendChart.Step(s, &s.state, e) {
 		return
 	}
-	s.timers.cancel(s.timer)
+	s.timers.cancel(s.chartTimer)
 	if d, event, ok := backendChart.Timeout(s.state); ok {
-		s.timer = s.timers.afterFunc(d, func() { s.step(event) })
+		s.chartTimer = s.timers.afterFunc(d, func() { s.step(event) })
 	}
 }
 
--- a/internal/standin/backend_messages.go
+++ b/internal/standin/backend_messages.go
@@ -21,9 +21,9 @@
 // slotRequest is a request that runs or waits for a slot.
 type slotRequest struct {
 	admission
-	record int // index in the request log, or -1 if the log is full
-	timer  uint64
-	reply  backendReply[admission]
+	recordIndex int // index in the request log, or -1 if the log is full
+	graceTimer  uint64
+	reply       backendReply[admission]
 }
 
 // beginMsg requests a slot.
@@ -39,9 +39,9 @@
 		s.counts.AfterDrain++
 	}
 	s.lastID++
-	req := &slotRequest{admission: admission{id: s.lastID, fault: s.fault(m.fault), delayMs: s.control.DelayMs}, record: -1, reply: m.reply}
+	req := &slotRequest{admission: admission{id: s.lastID, fault: s.fault(m.fault), delayMs: s.control.DelayMs}, recordIndex: -1, reply: m.reply}
 	if len(s.records) < maxRecords {
-		req.record = len(s.records)
+		req.recordIndex = len(s.records)
 		m.record.Started = s.clock.now()
 		s.records = append(s.records, m.record)
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	s.waiting = append(s.waiting, req)
-	req.timer = s.timers.afterFunc(cancelGrace, func() { s.refuse(req) })
+	req.graceTimer = s.timers.afterFunc(cancelGrace, func() { s.refuse(req) })
 }
 
 // fault returns the fault that the request selected, or else the one that the
@@ -65,15 +65,17 @@
 	return s.control.Fault
 }
 
+// start gives the request a slot.
 func (s *backendState) start(req *slotRequest) {
-	if req.record >= 0 {
-		s.records[req.record].Started = s.clock.now()
+	if req.recordIndex >= 0 {
+		s.records[req.recordIndex].Started = s.clock.now()
 	}
 	s.running[req.id] = req
 	s.counts.MaxRunning = max(s.counts.MaxRunning, len(s.running))
 	req.reply.Put(answer[admission]{value: req.admission})
 }
 
+// refuse ends a request that got no slot within cancelGrace.
 func (s *backendState) refuse(req *slotRequest) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(o *slotRequest) bool { return o == req })
 	s.counts.SlotViolations++
@@ -82,9 +84,11 @@
 	req.reply.Put(answer[admission]{value: req.admission})
 }
 
+// recordEnd sets the end of the request in the log; end is a value of
+// RequestRecord.End.
 func (s *backendState) recordEnd(req *slotRequest, end string) {
-	if req.record >= 0 {
-		s.records[req.record].Finished, s.records[req.record].End = s.clock.now(), end
+	if req.recordIndex >= 0 {
+		s.records[req.recordIndex].Finished, s.records[req.recordIndex].End = s.clock.now(), end
 	}
 }
 
@@ -93,7 +97,7 @@
 // slot is free.
 type endMsg struct {
 	id    uint64
-	end   string
+	end   string // value of RequestRecord.End
 	reply backendReply[struct{}]
 }
 
@@ -113,7 +117,7 @@
 		if m.end != endComplete && len(s.waiting) > 0 {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
-			s.timers.cancel(next.timer)
+			s.timers.cancel(next.graceTimer)
 			s.counts.CancelOverlaps++
 			s.start(next)
 		}
@@ -121,15 +125,15 @@
 	m.reply.Put(answer[struct{}]{})
 }
 
-// connMsg counts a connection that was opened or closed. The reply to a
+// connectionMsg counts a connection that was opened or closed. The reply to a
 // connection above the limit is false, unless another connection closes within
 // cancelGrace: the client may have closed that one before the server noticed.
-type connMsg struct {
+type connectionMsg struct {
 	open  bool
 	reply backendReply[bool]
 }
 
-func (m connMsg) handle(s *backendState) {
+func (m connectionMsg) handle(s *backendState) {
 	switch {
 	case !m.open && s.pendingConn != nil:
 		s.counts.ConnectionOverlaps++
@@ -153,7 +157,7 @@
 	m.reply.Put(answer[bool]{value: true})
 }
 
-// countMsg serves /count: it adds to a value and returns it.
+// countMsg adds to the counter of a key of /count and returns it.
 type countMsg struct {
 	key   string
 	add   int64
--- a/internal/standin/backend_response.go
+++ b/internal/standin/backend_response.go
@@ -145,7 +145,7 @@
 }
 
 func (l *countingListener) count(open bool) bool {
-	ok, err := ask(context.Background(), l.backend.to, func(r backendReply[bool]) message[*backendState] { return connMsg{open, r} })
+	ok, err := ask(context.Background(), l.backend.to, func(r backendReply[bool]) message[*backendState] { return connectionMsg{open, r} })
 	return ok && err == nil
 }
 
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -60,15 +60,15 @@
 }
 
 func newFaultInjector(f StoreFaults) *faultInjector {
-	g := &faultInjector{timers: newCallTimers()}
-	g.set(f)
-	return g
+	i := &faultInjector{timers: newCallTimers()}
+	i.set(f)
+	return i
 }
 
-func (g *faultInjector) set(f StoreFaults) {
-	g.Faults = f
-	g.writes = newLimiter(f.WritesPerSecond, DefaultWritesPerSecond)
-	g.reads = newLimiter(f.ReadsPerSecond, DefaultReadsPerSecond)
+func (i *faultInjector) set(f StoreFaults) {
+	i.Faults = f
+	i.writes = newLimiter(f.WritesPerSecond, DefaultWritesPerSecond)
+	i.reads = newLimiter(f.ReadsPerSecond, DefaultReadsPerSecond)
 }
 
 func newLimiter(perSecond, defaultRate int) *rate.Limiter {
@@ -82,13 +82,13 @@
 }
 
 // admit returns an error for an operation in an outage or above the rate limit.
-func (g *faultInjector) admit(l *rate.Limiter) error {
+func (i *faultInjector) admit(l *rate.Limiter) error {
 	switch {
-	case g.Faults.Outage:
-		g.Counters.Refused++
+	case i.Faults.Outage:
+		i.Counters.Refused++
 		return storage.ErrUnavailable
 	case !l.AllowN(time.Now(), 1):
-		g.Counters.Limited++
+		i.Counters.Limited++
 		return errLimit
 	}
 	return nil
@@ -96,46 +96,46 @@
 
 // consume reports whether a fault that applies to the next n operations applies
 // to this one, and counts n down unless it is -1 (all).
-func (g *faultInjector) consume(n *int) bool {
+func (i *faultInjector) consume(n *int) bool {
 	if *n == 0 {
 		return false
 	}
 	if *n > 0 {
 		*n--
 	}
-	g.Counters.Lost++
+	i.Counters.Lost++
 	return true
 }
 
 // write applies the faults to a write, runs effect unless they prevent it, and
 // passes the outcome to reply.
-func (g *faultInjector) write(effect func() error, reply func(error)) {
-	g.Counters.Writes++
-	if err := g.admit(g.writes); err != nil {
+func (i *faultInjector) write(effect func() error, reply func(error)) {
+	i.Counters.Writes++
+	if err := i.admit(i.writes); err != nil {
 		reply(err)
 		return
 	}
-	half := time.Duration(g.Faults.DelayMs) * time.Millisecond / 2
-	g.timers.afterFunc(half, func() {
-		if g.consume(&g.Faults.LoseRequests) {
+	half := time.Duration(i.Faults.DelayMs) * time.Millisecond / 2
+	i.timers.afterFunc(half, func() {
+		if i.consume(&i.Faults.LoseRequests) {
 			reply(errOutcomeUnknown)
 			return
 		}
 		err := effect()
-		if err == nil && g.consume(&g.Faults.LoseAnswers) {
+		if err == nil && i.consume(&i.Faults.LoseAnswers) {
 			err = errOutcomeUnknown
 		}
-		g.timers.afterFunc(half, func() { reply(err) })
+		i.timers.afterFunc(half, func() { reply(err) })
 	})
 }
 
 // read applies the faults to a read and calls reply with the error, or with nil
 // once the read may look up its answer.
-func (g *faultInjector) read(reply func(error)) {
-	g.Counters.Reads++
-	if err := g.admit(g.reads); err != nil {
+func (i *faultInjector) read(reply func(error)) {
+	i.Counters.Reads++
+	if err := i.admit(i.reads); err != nil {
 		reply(err)
 		return
 	}
-	g.timers.afterFunc(time.Duration(g.Faults.DelayMs)*time.Millisecond, func() { reply(nil) })
+	i.timers.afterFunc(time.Duration(i.Faults.DelayMs)*time.Millisecond, func() { reply(nil) })
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -112,27 +112,27 @@
 
 // afterFunc calls f once d has passed, or at once if d is not positive. The id
 // is for cancel.
-func (l *callTimers) afterFunc(d time.Duration, f func()) (id uint64) {
+func (t *callTimers) afterFunc(d time.Duration, f func()) (id uint64) {
 	if d <= 0 {
 		f()
 		return 0
 	}
-	l.lastID++
-	l.callbacks[l.lastID] = f
-	l.deadlines.Set(l.lastID, time.Now().Add(d))
-	return l.lastID
+	t.lastID++
+	t.callbacks[t.lastID] = f
+	t.deadlines.Set(t.lastID, time.Now().Add(d))
+	return t.lastID
 }
 
-func (l *callTimers) cancel(id uint64) {
-	l.deadlines.Clear(id)
-	delete(l.callbacks, id)
+func (t *callTimers) cancel(id uint64) {
+	t.deadlines.Clear(id)
+	delete(t.callbacks, id)
 }
 
 // runDue calls every function whose delay has passed.
-func (l *callTimers) runDue() {
-	for id, ok := l.deadlines.Pop(time.Now()); ok; id, ok = l.deadlines.Pop(time.Now()) {
-		f := l.callbacks[id]
-		delete(l.callbacks, id)
+func (t *callTimers) runDue() {
+	for id, ok := t.deadlines.Pop(time.Now()); ok; id, ok = t.deadlines.Pop(time.Now()) {
+		f := t.callbacks[id]
+		delete(t.callbacks, id)
 		f()
 	}
 }
