--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// checks are the properties in the order in which they are reported.
+// checks are the guarantees in the order in which violations are reported.
 var checks = []struct {
 	property string
 	find     func(*History, reportFunc)
 }{
 	{"capacity", capacity},
-	{"one live attempt", oneLiveAttempt},
-	{"effect once", effectOnce},
+	{"one active attempt", oneActiveAttempt},
+	{"one result per job", oneResult},
 	{"committed checkpoint", committedCheckpoint},
-	{"whole answers", wholeAnswers},
-	{"not-run answers", notRun},
+	{"complete responses", completeResponses},
+	{"not-run responses", notRunResponses},
 	{"at most once", atMostOnce},
 	{"drain", drain},
 	{"graceful shutdown", gracefulShutdown},
-	{"configuration in force", configInForce},
+	{"configuration in use", configInUse},
 	{"configuration versions", configVersions},
 }
 
-// report adds a violation.
+// reportFunc adds a violation of the property that is being checked.
 type reportFunc func(format string, args ...any)
 
-// Check returns every violation that the history shows, each with the name of
-// the property.
+// Check returns all violations in the history, each preceded by the name of the
+// violated property. The result is empty if there are none.
 func Check(h History) []string {
 	var violations []string
 	for _, c := range checks {
@@ -38,8 +38,8 @@
 	return violations
 }
 
-// excused reports whether a fault was in force at some time between from and
-// until, or ended less than after before from.
+// overlapsFault reports whether a fault was active at some time between from and
+// until, or ended no longer than recovery before from.
 func (h *History) overlapsFault(from, until int64, recovery time.Duration) bool {
 	for _, f := range h.Faults {
 		if f.From <= until && (f.Until == 0 || f.Until+int64(recovery) >= from) {
--- a/internal/history/config.go
+++ b/internal/history/config.go
@@ -7,15 +7,16 @@
 	"github.com/bambooscale/bambooscale/internal/rows"
 )
 
-// configInForce finds processes that do not have an accepted edit in force
-// within the bound. A process counts as live at a moment if it is seen with
-// some version; while a fault is in force, the bound starts at its end.
-func configInForce(h *History, report reportFunc) {
+// configInUse finds processes that do not use the version of an accepted edit
+// within configBound. It judges a process only at the times at which a version
+// was reported for it. If a fault is active within the bound, the process has
+// recoveryTime and another configBound from the end of the fault.
+func configInUse(h *History, report reportFunc) {
 	for process, views := range h.viewsByProcess() {
 		for _, e := range h.Edits {
 			deadline := h.configDeadline(e.At)
 			if deadline == 0 {
-				continue // a fault lasts until the end
+				continue // a fault is active until the end of the run
 			}
 			for _, v := range views {
 				if v.At > deadline && v.Version < e.Version && !reportedElsewhere(views, v, e.Version) {
@@ -27,8 +28,8 @@
 	}
 }
 
-// due is the moment by which an edit accepted at a time is in force
-// everywhere; 0: never.
+// configDeadline returns the time by which all processes must use an edit that
+// was accepted at the given time, or 0 if a fault prevents any such bound.
 func (h *History) configDeadline(at int64) int64 {
 	deadline := at + int64(configBound)
 	faults := append([]FaultInterval{}, h.Faults...)
@@ -45,17 +46,19 @@
 	return deadline
 }
 
-// newerElsewhere reports whether another process had seen the version in force
-// before: a report can be late, as that of an entry without a link.
+// reportedElsewhere reports whether, no later than v, a process other than v.Via
+// reported version or a newer one. Then v is an outdated report, such as that of
+// an entry that has lost its link.
 func reportedElsewhere(views []ConfigView, v ConfigView, version uint64) bool {
-	for _, o := range views {
-		if o.Via != v.Via && o.At <= v.At && o.Version >= version {
+	for _, other := range views {
+		if other.Via != v.Via && other.At <= v.At && other.Version >= version {
 			return true
 		}
 	}
 	return false
 }
 
+// viewsByProcess groups the views by process, in the order of their times.
 func (h *History) viewsByProcess() map[string][]ConfigView {
 	m := map[string][]ConfigView{}
 	for _, v := range h.Views {
@@ -67,13 +70,13 @@
 	return m
 }
 
-// configVersions finds versions that went back, at a process or in the table,
-// and accepted edits that are not in the table's log or share a version.
+// configVersions finds versions that decreased, in a process or in the table, and
+// accepted edits that the table does not log under their version.
 func configVersions(h *History, report reportFunc) {
 	for process, views := range h.viewsByProcess() {
 		newest := map[string]uint64{}
 		for _, v := range views {
-			// Version 0 is a process that has started and holds none yet.
+			// Version 0: the process has started and has no configuration yet.
 			if v.Version != 0 && v.Version < newest[v.Via] {
 				report("%s went from version %d back to %d at %s", process, newest[v.Via], v.Version, v.Via)
 			}
@@ -91,7 +94,7 @@
 			}
 			row, err := rows.Decode[rows.ConfigHead](p.Value)
 			if err != nil || uint64(row.Version) < head {
-				report("the table's version went from %d to %d (%v)", head, row.Version, err)
+				report("the table's version went from %d to %d (decoding error: %v)", head, row.Version, err)
 			}
 			head = uint64(row.Version)
 		}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,9 +1,9 @@
-// Package history records what callers, backend servers, workers and the
-// table saw during a run with faults, and decides whether the guarantees of
-// docs/design.md section 1.1 held. It does not read what the system believes:
-// configuration versions are the only values that come from its processes,
-// because the version in force is itself the promise. It is used by tests
-// only.
+// Package history holds what callers, backend servers, workers and the table
+// service observed during a test run with faults, and checks whether the
+// guarantees of docs/design.md section 1.1 held. It does not rely on the state
+// that the system reports about itself. Configuration versions are the only
+// exception, because the guarantee is about the version that a process uses. Only
+// tests use this package.
 package history
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// History is everything that was observed. Times are nanoseconds since the
-// Unix epoch, from the clocks of one machine.
+// History is everything that was observed in one run. Times are nanoseconds
+// since the Unix epoch, from the clocks of one machine.
 type History struct {
 	Calls     []Call              `json:"calls"`
 	Backends  []Backend           `json:"backends"`
@@ -26,26 +26,26 @@
 	Views     []ConfigView        `json:"views"`
 	Shutdowns []Shutdown          `json:"shutdowns"`
 	Faults    []FaultInterval     `json:"faults"`
-	// Settled says that the run went on without faults until every accepted
-	// job had ended; then each of them must have had its effect.
+	// Settled reports that the run continued without faults until every accepted
+	// job had ended. Then each of them must have a result.
 	Settled bool `json:"settled"`
 }
 
-// Call is one request as its caller saw it.
+// Call is a request as its caller saw it.
 type Call struct {
-	Key     string `json:"key"`
+	Key     string `json:"key"` // standin.RequestRecord.Key
 	Method  string `json:"method"`
-	Entry   string `json:"entry"`
-	Want    string `json:"want"` // body of a whole answer of its own
+	Entry   string `json:"entry"` // process to which the caller sent it
+	Want    string `json:"want"`  // body of a complete response to this request
 	Sent    int64  `json:"sent"`
 	Ended   int64  `json:"ended"`
 	Status  int    `json:"status"`
 	Outcome string `json:"outcome"` // header Bambooscale-Outcome
 	Body    string `json:"body"`
-	Error   string `json:"error"` // the connection broke
+	Error   string `json:"error"` // error of the transport; empty if a response was read
 }
 
-// Backend is the log of a backend server.
+// Backend is the request log of a backend server.
 type Backend struct {
 	ID      string                  `json:"id"`
 	Agent   string                  `json:"agent"`
@@ -53,24 +53,24 @@
 	Drained int64                   `json:"drained"` // when its agent accepted the drain; 0: never
 }
 
-// Worker is the log of a worker.
+// Worker is the log of the runs of tasks on a worker.
 type Worker struct {
 	ID       string            `json:"id"`
 	Capacity model.Resources   `json:"capacity"`
 	Runs     []standin.TaskRun `json:"spans"`
 }
 
-// Edit is an accepted edit.
+// Edit is an accepted edit of the configuration.
 type Edit struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 	At      int64  `json:"at"`
 }
 
-// ConfigView is the configuration version in force at a process at a moment.
+// ConfigView is the configuration version that a process used at a time.
 type ConfigView struct {
 	Process string `json:"process"`
-	Via     string `json:"via"` // process that reported it
+	Via     string `json:"via"` // process that reported the version
 	At      int64  `json:"at"`
 	Version uint64 `json:"version"`
 }
@@ -78,22 +78,22 @@
 // Shutdown is a graceful shutdown of a process, from the signal to its end.
 type Shutdown struct {
 	Process string `json:"process"`
-	At      int64  `json:"at"`
+	At      int64  `json:"at"` // when the signal was sent
 	Ended   int64  `json:"ended"`
 }
 
-// FaultInterval is a time during which a fault was in force.
+// FaultInterval is a time during which a fault was active.
 type FaultInterval struct {
 	Fault string `json:"fault"`
 	From  int64  `json:"from"`
-	Until int64  `json:"until"` // 0: still in force
+	Until int64  `json:"until"` // 0: active until the end of the run
 }
 
-// Bounds of docs/design.md section 1.1.
+// Bounds from docs/design.md section 1.1.
 const (
 	drainBound  = 3 * time.Second
 	configBound = 5 * time.Second
-	// recovery is allowed after a fault before configBound counts: a lost
-	// link is noticed after 4 s and dialled again with a backoff.
+	// recoveryTime is the time after a fault before configBound starts: a lost
+	// link is detected after 4 s and dialled again with a backoff.
 	recoveryTime = 20 * time.Second
 )
--- a/internal/history/jobs.go
+++ b/internal/history/jobs.go
@@ -13,25 +13,27 @@
 // phaseDone is the phase of a job's row once its result is committed.
 const phaseDone model.Phase = "done"
 
-// placedSpan is a run of a task and the worker on which it was.
+// placedRun is a run of a task with the id of its worker.
 type placedRun struct {
 	standin.TaskRun
 	worker string
 }
 
-func (s placedRun) end() int64 {
-	if s.Ended == 0 {
+// end returns the end of the run, or the largest time if it has not ended.
+func (r placedRun) end() int64 {
+	if r.Ended == 0 {
 		return math.MaxInt64
 	}
-	return s.Ended
+	return r.Ended
 }
 
-// job and attempt are the parts of a task's id.
-func (s placedRun) job() string {
-	job, _ := splitTaskID(s.Task)
+// job returns the id of the task's job.
+func (r placedRun) job() string {
+	job, _ := splitTaskID(r.Task)
 	return job
 }
 
+// splitTaskID splits the id of a task, JOB/ATTEMPT.
 func splitTaskID(id string) (job, attempt string) {
 	i := strings.LastIndexByte(id, '/')
 	if i < 0 {
@@ -40,31 +42,31 @@
 	return id[:i], id[i+1:]
 }
 
-// capacity finds moments at which a worker runs more than it has.
+// capacity finds starts of tasks that exceed the worker's capacity.
 func capacity(h *History, report reportFunc) {
 	for _, w := range h.Workers {
 		runs := append([]standin.TaskRun{}, w.Runs...)
 		sort.SliceStable(runs, func(i, j int) bool { return runs[i].Started < runs[j].Started })
-		for i, s := range runs {
-			sum := s.Declared
-			for _, o := range runs[:i] {
-				if o.Ended == 0 || o.Ended > s.Started {
-					sum = sum.Add(o.Declared)
+		for i, run := range runs {
+			sum := run.Declared
+			for _, other := range runs[:i] {
+				if other.Ended == 0 || other.Ended > run.Started {
+					sum = sum.Add(other.Declared)
 				}
 			}
 			if !sum.Fits(w.Capacity) {
-				report("%s runs %+v of %+v when %s starts", w.ID, sum, w.Capacity, s.Task)
+				report("%s has tasks of %+v in total, above its capacity %+v, when %s starts", w.ID, sum, w.Capacity, run.Task)
 			}
 		}
 	}
 }
 
-// byJob groups the runs by job, in the order of their starts.
+// runsByJob groups the runs by job, in the order of their starts.
 func (h *History) runsByJob() map[string][]placedRun {
 	jobs := map[string][]placedRun{}
 	for _, w := range h.Workers {
-		for _, s := range w.Runs {
-			p := placedRun{s, w.ID}
+		for _, run := range w.Runs {
+			p := placedRun{run, w.ID}
 			jobs[p.job()] = append(jobs[p.job()], p)
 		}
 	}
@@ -74,26 +76,27 @@
 	return jobs
 }
 
-// oneLiveAttempt finds two runs of a job at the same time, and an attempt that
-// was run twice.
-func oneLiveAttempt(h *History, report reportFunc) {
+// oneActiveAttempt finds runs of a job that overlap in time, and attempts that ran
+// twice.
+func oneActiveAttempt(h *History, report reportFunc) {
 	for job, runs := range h.runsByJob() {
 		attempts := map[string]string{}
-		for i, s := range runs {
-			if worker, repeated := attempts[s.Task]; repeated {
-				report("attempt %s ran on %s and again on %s", s.Task, worker, s.worker)
+		for i, run := range runs {
+			if worker, repeated := attempts[run.Task]; repeated {
+				report("attempt %s ran on %s and then on %s", run.Task, worker, run.worker)
 			}
-			attempts[s.Task] = s.worker
-			for _, o := range runs[:i] {
-				if o.end() > s.Started {
-					report("job %s: %s started on %s while %s ran on %s", job, s.Task, s.worker, o.Task, o.worker)
+			attempts[run.Task] = run.worker
+			for _, other := range runs[:i] {
+				if other.end() > run.Started {
+					report("job %s: %s started on %s while %s ran on %s", job, run.Task, run.worker, other.Task, other.worker)
 				}
 			}
 		}
 	}
 }
 
-// jobVersions returns the committed values of each job's row, in order.
+// jobRows returns the committed values of each job's row, in the order of the
+// commits.
 func (h *History) jobRows() map[string][]model.JobRow {
 	jobs := map[string][]model.JobRow{}
 	for _, c := range h.Commits {
@@ -109,19 +112,20 @@
 	return jobs
 }
 
-// effectOnce finds results that changed, that no finished run wrote, and, in
-// a settled history, accepted jobs without a result.
-func effectOnce(h *History, report reportFunc) {
+// oneResult finds results that changed after their commit, results that no run
+// wrote, accepted jobs without a row, and in a settled history accepted jobs that
+// are not done.
+func oneResult(h *History, report reportFunc) {
 	rowsByJob := h.jobRows()
 	finished := map[string]bool{}
 	for _, w := range h.Workers {
-		for _, s := range w.Runs {
-			finished["result/"+s.Task] = finished["result/"+s.Task] || s.State == model.TaskDone
+		for _, run := range w.Runs {
+			finished["result/"+run.Task] = finished["result/"+run.Task] || run.State == model.TaskDone
 		}
 	}
-	for job, list := range rowsByJob {
+	for job, jobRows := range rowsByJob {
 		result := ""
-		for _, row := range list {
+		for _, row := range jobRows {
 			switch {
 			case result != "" && (row.Phase != phaseDone || row.Result != result):
 				report("job %s had result %s and then phase %s with result %q", job, result, row.Phase, row.Result)
@@ -133,19 +137,21 @@
 		}
 	}
 	for _, job := range h.Accepted {
-		list := rowsByJob[job]
-		if len(list) == 0 {
+		jobRows := rowsByJob[job]
+		if len(jobRows) == 0 {
 			report("job %s was accepted but has no row", job)
-		} else if last := list[len(list)-1]; h.Settled && last.Phase != phaseDone {
+		} else if last := jobRows[len(jobRows)-1]; h.Settled && last.Phase != phaseDone {
 			report("job %s was accepted but ended as %s: %s", job, last.Phase, last.Reason)
 		}
 	}
 }
 
-// committedCheckpoint finds runs that started elsewhere than at the
-// checkpoint that the job's row named when it committed the attempt.
+// committedCheckpoint finds runs of attempts that no row names, and runs that did
+// not start at the checkpoint that the row named when it committed the attempt.
+// A run at step 0 that is not done is allowed: it may not have loaded its
+// checkpoint.
 func committedCheckpoint(h *History, report reportFunc) {
-	committed := map[string]string{} // attempt to checkpoint
+	committed := map[string]string{} // task id to checkpoint name
 	for job, list := range h.jobRows() {
 		last := uint32(0)
 		for _, row := range list {
@@ -155,16 +161,16 @@
 		}
 	}
 	for _, runs := range h.runsByJob() {
-		for _, s := range runs {
-			name, named := committed[s.Task]
+		for _, run := range runs {
+			name, named := committed[run.Task]
 			step, stored := h.Steps[name]
 			switch {
 			case !named:
-				report("%s ran on %s, but no row names this attempt", s.Task, s.worker)
+				report("%s ran on %s, but no row names this attempt", run.Task, run.worker)
 			case name != "" && !stored:
-				report("%s resumes from %s, which is not stored", s.Task, name)
-			case s.FromStep != step && (s.FromStep > 0 || s.State == model.TaskDone):
-				report("%s started at step %d, its committed checkpoint %q is of step %d", s.Task, s.FromStep, name, step)
+				report("%s resumes from %s, which is not stored", run.Task, name)
+			case run.FromStep != step && (run.FromStep > 0 || run.State == model.TaskDone):
+				report("%s started at step %d, its committed checkpoint %q is of step %d", run.Task, run.FromStep, name, step)
 			}
 		}
 	}
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// A backend server notices later than its client that a request was
-	// cancelled; until then it may overlap with a retry.
+	// cancelDetectionTime is the time within which a backend server notices that
+	// its client cancelled a request. Until then the request may overlap a retry.
 	cancelDetectionTime = time.Second
-	// A request that was sent this long before the signal has reached the
-	// entry. A connection that is still in the kernel's queue has not.
+	// sentMargin is the time after which a request has reached the entry. A
+	// later one may be on a connection that is still in the kernel's accept queue.
 	sentMargin = time.Second
 )
 
 func taskID(job string, attempt uint32) string { return fmt.Sprintf("%s/%d", job, attempt) }
 
-// placedRecord is a request at a backend server.
+// placedRecord is a request with the id of its backend server.
 type placedRecord struct {
 	standin.RequestRecord
 	backend string
@@ -29,6 +29,7 @@
 // ran reports whether the request took a slot.
 func (r placedRecord) ran() bool { return r.End != "refused" }
 
+// recordsByKey groups the requests at backend servers by their key.
 func (h *History) recordsByKey() map[string][]placedRecord {
 	m := map[string][]placedRecord{}
 	for _, b := range h.Backends {
@@ -39,9 +40,9 @@
 	return m
 }
 
-// wholeAnswers finds successful answers that are cut, or another request's,
-// and answers without a run.
-func wholeAnswers(h *History, report reportFunc) {
+// completeResponses finds successful responses that are truncated or belong to
+// another request, and responses to requests that no backend server completed.
+func completeResponses(h *History, report reportFunc) {
 	records := h.recordsByKey()
 	for _, c := range h.Calls {
 		if c.Error != "" || c.Status != http.StatusOK {
@@ -55,16 +56,16 @@
 		}
 		switch {
 		case c.Body != c.Want:
-			report("%s was answered %q, not %q", c.Key, c.Body, c.Want)
+			report("response to %s is %q, want %q", c.Key, c.Body, c.Want)
 		case complete == 0:
-			report("%s was answered, but no backend server completed it", c.Key)
+			report("%s has a response, but no backend server completed it", c.Key)
 		}
 	}
 }
 
-// notRun finds requests that ran although the caller was told that they did
-// not.
-func notRun(h *History, report reportFunc) {
+// notRunResponses finds requests that ran although their caller received the
+// outcome "not run".
+func notRunResponses(h *History, report reportFunc) {
 	records := h.recordsByKey()
 	for _, c := range h.Calls {
 		if c.Outcome != model.OutcomeNotRun.String() {
@@ -78,24 +79,26 @@
 	}
 }
 
-// atMostOnce finds requests that ran twice: at all, unless the method is
-// idempotent, or at the same time.
+// atMostOnce finds requests that ran more than once. A retry of an idempotent
+// method is allowed if the runs do not overlap in time.
 func atMostOnce(h *History, report reportFunc) {
 	for key, list := range h.recordsByKey() {
 		for i, r := range list {
-			for _, o := range list[:i] {
+			for _, other := range list[:i] {
 				switch {
-				case !r.ran() || !o.ran():
+				case !r.ran() || !other.ran():
 				case r.Method == http.MethodPost || r.Method == http.MethodPatch:
-					report("%s %s ran at %s and at %s", r.Method, key, o.backend, r.backend)
-				case overlap(r.RequestRecord, o.RequestRecord):
-					report("%s %s ran at %s and at %s at the same time", r.Method, key, o.backend, r.backend)
+					report("%s %s ran at %s and at %s", r.Method, key, other.backend, r.backend)
+				case overlap(r.RequestRecord, other.RequestRecord):
+					report("%s %s ran at %s and at %s at the same time", r.Method, key, other.backend, r.backend)
 				}
 			}
 		}
 	}
 }
 
+// overlap reports whether two requests ran at the same time, apart from the
+// cancelDetectionTime at the end of a cancelled one.
 func overlap(a, b standin.RequestRecord) bool {
 	if b.Started < a.Started {
 		a, b = b, a
@@ -107,8 +110,8 @@
 	return a.Finished == 0 || ended > b.Started
 }
 
-// drain finds requests that started at a backend server later than the bound
-// after its drain.
+// drain finds requests that started at a backend server more than drainBound
+// after its agent accepted the drain.
 func drain(h *History, report reportFunc) {
 	for _, b := range h.Backends {
 		for _, r := range b.Records {
@@ -119,8 +122,9 @@
 	}
 }
 
-// gracefulShutdown finds requests in flight that a graceful shutdown cut:
-// those that an entry had received, and those that ran behind an agent.
+// gracefulShutdown finds requests in flight that a graceful shutdown interrupted:
+// those that an entry had received, and those that ran at a backend server of an
+// agent.
 func gracefulShutdown(h *History, report reportFunc) {
 	calls := map[string]Call{}
 	for _, c := range h.Calls {
@@ -142,6 +146,8 @@
 	}
 }
 
+// checkUninterrupted reports a call that did not succeed, unless a fault was
+// active during the call and the shutdown.
 func (h *History) checkUninterrupted(c Call, s Shutdown, report reportFunc) {
 	if c.Error == "" && c.Status == http.StatusOK || h.overlapsFault(c.Sent, min(c.Ended, s.Ended), 0) {
 		return
