--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -130,8 +130,8 @@
 	require.Equal(t, "failed", log[len(log)-1].End)
 }
 
-// Guards against a backend server that does not announce itself, or that does
-// not send the request to drain until the agent accepts it.
+// Guards against a backend server that does not announce itself, does not send
+// the request to drain, or continues to announce after the agent accepted it.
 func TestBackendAnnouncesAndDrains(t *testing.T) {
 	g := newGroup(t)
 	paths := make(chan string, 100)
