--- a/cmd/bamboojobd/main.go
+++ b/cmd/bamboojobd/main.go
@@ -57,7 +57,7 @@
 // drainer prepares the end of a role.
 type drainer interface{ Drain(context.Context) }
 
-type startFunc func(g *actor.Group, n *settings.JobNode) (drainer, error)
+type startFunc func(g *actor.Group, n *settings.JobDaemon) (drainer, error)
 
 func roleCommand(role, short string, begin startFunc) *cobra.Command {
 	var file string
@@ -71,7 +71,7 @@
 func run(role, file string, begin startFunc) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	n, err := settings.LoadJobNode(file, role)
+	n, err := settings.LoadJobDaemon(file, role)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func startEntry(g *actor.Group, n *settings.JobNode) (drainer, error) {
+func startEntry(g *actor.Group, n *settings.JobDaemon) (drainer, error) {
 	return jobdaemon.StartEntry(g, jobdaemon.EntryConfig{
 		Name: n.Name, DataCentre: workload.DataCentre(n.DataCentre), Links: n.LinkAddress(), Callers: n.Callers, Readiness: n.Readiness,
 		Metrics: net.JoinHostPort(n.IP, metricsPort), Seeds: n.SeedLinks(), Boot: newBootID(), Store: platform.NewStore(n.Store, callTimeout),
@@ -107,7 +107,7 @@
 	})
 }
 
-func startAgent(g *actor.Group, n *settings.JobNode) (drainer, error) {
+func startAgent(g *actor.Group, n *settings.JobDaemon) (drainer, error) {
 	refused := func(id string, err error) {
 		event.Log(log.Log, event.AnnounceRefused, log.Fields{"instance": id, "error": err.Error()})
 	}
--- a/cmd/bambooscaled/run.go
+++ b/cmd/bambooscaled/run.go
@@ -188,7 +188,7 @@
 		if err := describeWorker(cmd.Context(), host, &c.Worker); err != nil {
 			return nil, err
 		}
-		c.Host = host
+		c.WorkerClient = host
 	}
 	a := daemon.StartAgent(g, c)
 	fmt.Fprintf(cmd.OutOrStdout(), "ready announce=%s\n", announce.Addr())
--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -144,7 +144,7 @@
 		hosts, announce = append(hosts, h), append(announce, l.Addr().String())
 		daemon.StartAgent(g, daemon.AgentConfig{
 			Worker: worker(i), Cell: cellName, Region: region, Entries: p.Connect,
-			Announce: l, Dialer: link.NewDialer(g, link.Config{}), Host: h, Log: silent(),
+			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: h, Log: silent(),
 		})
 	}
 	return func(s *sample) {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -23,15 +23,15 @@
 
 // AgentConfig is what an agent process needs.
 type AgentConfig struct {
-	Worker   model.Worker
-	Cell     model.Cell
-	Region   model.Region
-	Entries  []string // addresses for agents, to connect to first
-	Announce net.Listener
-	Dialer   link.Dialer
-	Host     taskagent.WorkerClient // nil: the host runs no tasks
-	Table    storage.Table          // nil: only Entries are connected to
-	Log      log.Interface
+	Worker       model.Worker
+	Cell         model.Cell
+	Region       model.Region
+	Entries      []string // addresses for agents, to connect to first
+	Announce     net.Listener
+	Dialer       link.Dialer
+	WorkerClient taskagent.WorkerClient // nil: the host runs no tasks
+	Table        storage.Table          // nil: only Entries are connected to
+	Log          log.Interface
 }
 
 // Agent is a running agent.
@@ -66,8 +66,8 @@
 			return hello
 		},
 	}
-	if c.Host != nil {
-		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Client: c.Host, Log: c.Log})
+	if c.WorkerClient != nil {
+		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Client: c.WorkerClient, Log: c.Log})
 		links.Subscribers = append(links.Subscribers, agentTasks{g.Context(), owner})
 	}
 	connector := spawnConnector(g, links, c.Region, c.Entries)
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -103,7 +103,7 @@
 		Worker: model.Worker{ID: devWorker, DataCentre: devDataCentre, Rack: "rack-1", Capacity: capacity},
 		Cell:   devCell, Entries: []string{entry}, Announce: announce,
 		Dialer: link.NewDialer(g, link.Config{}), Log: c.Log,
-		Host: taskagent.NewHTTPWorkerClient("http://"+tasksListener.Addr().String(), http.DefaultClient),
+		WorkerClient: taskagent.NewHTTPWorkerClient("http://"+tasksListener.Addr().String(), http.DefaultClient),
 	})
 	return nil
 }
--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -92,7 +92,7 @@
 // dial connects to the server, unless a direction has a hole: then neither
 // the request for a connection nor the answer to it would pass.
 func (c *conn) dial() {
-	if c.dialling || c.group.Context().Err() != nil || c.faults[ToServer].Hole || c.faults[ToClient].Hole {
+	if c.dialling || c.group.Context().Err() != nil || c.faults[ToServer].Blackhole || c.faults[ToClient].Blackhole {
 		return
 	}
 	c.dialling = true
--- a/internal/faultproxy/pacer_test.go
+++ b/internal/faultproxy/pacer_test.go
@@ -76,7 +76,7 @@
 	inVirtualTime(t, Faults{}, func(p paced) {
 		p.send("a")
 		synctest.Wait()
-		p.set(Faults{Hole: true})
+		p.set(Faults{Blackhole: true})
 		p.send("b")
 		p.read <- chunk{end: endedInOrder}
 		p.requireSilence()
@@ -90,7 +90,7 @@
 
 // Guards against a hole that takes bytes without bound.
 func TestHoleIsBounded(t *testing.T) {
-	inVirtualTime(t, Faults{Hole: true}, func(p paced) {
+	inVirtualTime(t, Faults{Blackhole: true}, func(p paced) {
 		for range maxQueued {
 			p.send("x")
 		}
@@ -130,7 +130,7 @@
 func TestPacerEndsWithItsGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(context.Background(), nil)
-		p := &pacer{faults: Faults{Hole: true}, read: make(chan chunk), paced: make(chan chunk)}
+		p := &pacer{faults: Faults{Blackhole: true}, read: make(chan chunk), paced: make(chan chunk)}
 		actor.Spawn(g, actor.Spec[setFaults]{Name: "pacer", Mailbox: 1, Run: p.run})
 		g.Stop()
 	})
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -36,10 +36,10 @@
 // Faults are the faults of one direction. The zero value passes everything.
 type Faults struct {
 	Delay time.Duration // added to everything that is read from now on
-	// Hole stops the direction without a sign to either side, including the
+	// Blackhole stops the direction without a sign to either side, including the
 	// end of the stream. What is sent waits, as TCP would send it again, and
 	// passes once the hole is gone. The sender blocks when the buffers are full.
-	Hole bool
+	Blackhole bool
 	// Truncate lets After more bytes pass on each connection and then closes
 	// the connection in order.
 	Truncate bool
@@ -93,10 +93,10 @@
 // Set replaces the faults of a direction on present and later connections.
 func (p *Proxy) Set(d Direction, f Faults) { p.ask(message{set: &setFaults{direction: d, faults: f}}) }
 
-// Cut makes a hole of both directions: a partition.
-func (p *Proxy) Cut() {
-	p.Set(ToServer, Faults{Hole: true})
-	p.Set(ToClient, Faults{Hole: true})
+// Partition stops both directions with Blackhole.
+func (p *Proxy) Partition() {
+	p.Set(ToServer, Faults{Blackhole: true})
+	p.Set(ToClient, Faults{Blackhole: true})
 }
 
 // Heal removes the faults of both directions.
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -151,7 +151,7 @@
 	client, server := r.dial(), r.accept()
 	r.write(client, "x")
 	r.requireRead(server, "x")
-	r.proxy.Set(ToClient, Faults{Hole: true})
+	r.proxy.Set(ToClient, Faults{Blackhole: true})
 	r.write(server, "held")
 	r.write(client, "passes")
 	r.requireRead(server, "passes")
@@ -165,7 +165,7 @@
 	client, server := r.dial(), r.accept()
 	r.write(client, "x")
 	r.requireRead(server, "x")
-	r.proxy.Set(ToClient, Faults{Hole: true})
+	r.proxy.Set(ToClient, Faults{Blackhole: true})
 	r.write(server, "held")
 	r.proxy.Reset()
 	r.requireReset(client)
@@ -174,7 +174,7 @@
 // Guards against a connection that reaches the server across a partition.
 func TestCutHoldsNewConnections(t *testing.T) {
 	r := newRig(t)
-	r.proxy.Cut()
+	r.proxy.Partition()
 	client := r.dial()
 	r.write(client, "early")
 	other, err := net.Dial("tcp", r.upstream.Addr().String())
--- a/internal/faultproxy/pump.go
+++ b/internal/faultproxy/pump.go
@@ -129,7 +129,7 @@
 // is nil when none may; then the timer is set if one will be due.
 func (p *pacer) next(timer *time.Timer) (chan<- chunk, chunk) {
 	timer.Stop()
-	if p.faults.Hole {
+	if p.faults.Blackhole {
 		return nil, chunk{}
 	}
 	if p.faults.Truncate && p.faults.After <= 0 {
--- a/internal/settings/job.go
+++ b/internal/settings/job.go
@@ -12,8 +12,8 @@
 	"github.com/bambooscale/bambooscale/internal/finding"
 )
 
-// JobNode holds the settings of a process of the job scheduler.
-type JobNode struct {
+// JobDaemon holds the settings of a bamboojobd process.
+type JobDaemon struct {
 	Name       string
 	IP         string
 	DataCentre string
@@ -28,12 +28,12 @@
 }
 
 // LinkAddress is where the process accepts links.
-func (n *JobNode) LinkAddress() string { return n.linkTo(n.IP) }
+func (n *JobDaemon) LinkAddress() string { return n.linkTo(n.IP) }
 
-func (n *JobNode) linkTo(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(n.LinkPort)) }
+func (n *JobDaemon) linkTo(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(n.LinkPort)) }
 
 // SeedLinks returns the addresses of the links at the seeds.
-func (n *JobNode) SeedLinks() []string {
+func (n *JobDaemon) SeedLinks() []string {
 	var list []string
 	for _, s := range n.Seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
@@ -43,15 +43,15 @@
 	return list
 }
 
-// LoadJobNode reads and checks a settings file for a role, entry or agent.
+// LoadJobDaemon reads and checks a settings file for a role, entry or agent.
 // The error lists every finding.
-func LoadJobNode(file, role string) (*JobNode, error) {
+func LoadJobDaemon(file, role string) (*JobDaemon, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: true}, file)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := jobNodeReader{file: file, ini: f}
-	n := &JobNode{
+	n := &JobDaemon{
 		Name: r.text("node", "name"), IP: r.text("node", "ip"), DataCentre: r.text("node", "data-centre"),
 		LinkPort: r.number("node", "link-port"), Store: r.text("store", "address"),
 		Seeds: f.Section("links").Key("seeds").Strings(","),
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -66,7 +66,7 @@
 }
 
 func (s *system) cut(pattern, direction string) error {
-	hole := faultproxy.Faults{Hole: true}
+	hole := faultproxy.Faults{Blackhole: true}
 	return s.each(pattern, func(name string, p *faultproxy.Proxy) {
 		s.begin("cut " + name)
 		if direction != "to-client" {
