--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -9,7 +9,7 @@
 
 // connMessage is one order for a connection: one of the fields but done is
 // set.
-type connMessage struct {
+type connCommand struct {
 	set      *setFaults
 	reset    bool
 	halfOpen *Side
@@ -19,50 +19,50 @@
 // conn is the state of a connection's actor, which owns both sockets. Its
 // group holds the actors of the two directions.
 type conn struct {
-	group    *actor.Group
-	upstream string
-	faults   [directions]Faults
-	sides    [2]*net.TCPConn // the server's is nil until it is dialled
-	dialling bool
-	dialled  chan *net.TCPConn // nil value: the dial failed
-	pacers   [directions]actor.Address[setFaults]
-	ended    chan ending
-	open     int // directions that have not ended in order
+	group     *actor.Group
+	upstream  string
+	faults    [directions]Faults
+	sockets   [2]*net.TCPConn // the server's is nil until it is dialled
+	dialling  bool
+	dialled   chan *net.TCPConn // nil value: the dial failed
+	injectors [directions]actor.Address[setFaults]
+	ended     chan endReason
+	open      int // directions that have not ended in order
 }
 
 // ending says how a direction ended.
-type ending uint8
+type endReason uint8
 
 const (
-	endedInOrder ending = iota // the end of the stream has passed
-	endedReset                 // a side reset the connection, or took no bytes
-	endedTruncated
+	endedByEOF   endReason = iota // the end of the stream has passed
+	endedByReset                  // a side reset the connection, or took no bytes
+	endedByTruncation
 )
 
 func newConn(g *actor.Group, client *net.TCPConn, upstream string, faults [directions]Faults) *conn {
 	return &conn{
-		group: g, upstream: upstream, faults: faults, sides: [2]*net.TCPConn{Client: client},
-		dialled: make(chan *net.TCPConn, 1), ended: make(chan ending, directions), open: int(directions),
+		group: g, upstream: upstream, faults: faults, sockets: [2]*net.TCPConn{Client: client},
+		dialled: make(chan *net.TCPConn, 1), ended: make(chan endReason, directions), open: int(directions),
 	}
 }
 
-func (c *conn) run(ctx context.Context, in <-chan connMessage) error {
+func (c *conn) run(ctx context.Context, in <-chan connCommand) error {
 	defer c.close()
 	c.dial()
 	for {
 		select {
 		case m := <-in:
-			more := c.handle(ctx, m)
+			open := c.handle(ctx, m)
 			m.done.Put(struct{}{})
-			if !more {
+			if !open {
 				return nil
 			}
 		case server := <-c.dialled:
 			if !c.connect(server) {
 				return nil
 			}
-		case how := <-c.ended:
-			if !c.directionEnded(how) {
+		case reason := <-c.ended:
+			if !c.directionEnded(reason) {
 				return nil
 			}
 		case <-ctx.Done():
@@ -74,7 +74,7 @@
 // close ends the sockets first, so that the readers and writers return.
 func (c *conn) close() {
 	c.group.Cancel()
-	for _, s := range c.sides {
+	for _, s := range c.sockets {
 		if s != nil {
 			_ = s.Close()
 		}
@@ -115,24 +115,24 @@
 		c.abort(Client)
 		return false
 	}
-	c.sides[Server] = server
-	c.pacers[ToServer] = pump(c.group, c.sides[Client], server, c.faults[ToServer], c.ended)
-	c.pacers[ToClient] = pump(c.group, server, c.sides[Client], c.faults[ToClient], c.ended)
+	c.sockets[Server] = server
+	c.injectors[ToServer] = pump(c.group, c.sockets[Client], server, c.faults[ToServer], c.ended)
+	c.injectors[ToClient] = pump(c.group, server, c.sockets[Client], c.faults[ToClient], c.ended)
 	return true
 }
 
 // settle waits for a dial in progress, so that an order finds both sockets.
-func (c *conn) settle() bool {
-	if !c.dialling || c.sides[Server] != nil {
+func (c *conn) awaitDial() bool {
+	if !c.dialling || c.sockets[Server] != nil {
 		return true
 	}
 	return c.connect(<-c.dialled)
 }
 
 // handle reports whether the connection goes on.
-func (c *conn) handle(ctx context.Context, m connMessage) bool {
+func (c *conn) handle(ctx context.Context, m connCommand) bool {
 	switch {
-	case !c.settle():
+	case !c.awaitDial():
 		return false
 	case m.reset:
 		c.abort(Client)
@@ -141,11 +141,11 @@
 	case m.halfOpen != nil:
 		c.group.Cancel() // the directions end without a sign to the other side
 		c.abort(*m.halfOpen)
-		return c.sides[1-*m.halfOpen] != nil
+		return c.sockets[1-*m.halfOpen] != nil
 	case m.set != nil:
 		c.faults[m.set.direction] = m.set.faults
 		c.dial()
-		_, _ = actor.Ask(ctx, c.pacers[m.set.direction], func(r actor.Reply[struct{}]) setFaults {
+		_, _ = actor.Ask(ctx, c.injectors[m.set.direction], func(r actor.Reply[struct{}]) setFaults {
 			return setFaults{m.set.direction, m.set.faults, r}
 		})
 	}
@@ -154,23 +154,23 @@
 
 // abort resets the connection to one side.
 func (c *conn) abort(side Side) {
-	if s := c.sides[side]; s != nil {
+	if s := c.sockets[side]; s != nil {
 		_ = s.SetLinger(0)
 		_ = s.Close()
 	}
 }
 
 // directionEnded reports whether the connection goes on.
-func (c *conn) directionEnded(how ending) bool {
+func (c *conn) directionEnded(reason endReason) bool {
 	if c.group.Context().Err() != nil {
 		return true // half open
 	}
-	switch how {
-	case endedReset:
+	switch reason {
+	case endedByReset:
 		c.abort(Client)
 		c.abort(Server)
 		return false
-	case endedTruncated:
+	case endedByTruncation:
 		return false
 	}
 	c.open--
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -50,9 +50,9 @@
 // in force on every connection; bytes that the proxy has begun to write may
 // still arrive.
 type Proxy struct {
-	group   *actor.Group
-	address string
-	main    actor.Address[message]
+	group    *actor.Group
+	address  string
+	commands actor.Address[message]
 }
 
 // Start listens on a free port of the loopback interface and forwards each
@@ -63,9 +63,9 @@
 		return nil, err
 	}
 	p := &Proxy{group: g.Sub(), address: sock.Addr().String()}
-	s := &state{group: p.group, upstream: upstream, conns: map[uint64]actor.Address[connMessage]{}}
-	p.main = actor.Spawn(p.group, actor.Spec[message]{Name: "fault-proxy", Mailbox: 16, Run: s.run})
-	s.self = p.main
+	s := &proxyState{group: p.group, upstream: upstream, conns: map[uint64]actor.Address[connCommand]{}}
+	p.commands = actor.Spawn(p.group, actor.Spec[message]{Name: "fault-proxy", Mailbox: 16, Run: s.run})
+	s.self = p.commands
 	actor.Go(p.group, "fault-proxy-closer", func(ctx context.Context) error {
 		<-ctx.Done()
 		return sock.Close()
@@ -76,7 +76,7 @@
 			if err != nil {
 				return nil // closed
 			}
-			if p.main.Send(ctx, message{accepted: c.(*net.TCPConn)}) != nil {
+			if p.commands.Send(ctx, message{accepted: c.(*net.TCPConn)}) != nil {
 				_ = c.Close()
 			}
 		}
@@ -106,11 +106,11 @@
 }
 
 // Reset resets every present connection on both sides.
-func (p *Proxy) Reset() { p.ask(message{order: connMessage{reset: true}}) }
+func (p *Proxy) Reset() { p.ask(message{command: connCommand{reset: true}}) }
 
 // HalfOpen resets every present connection towards the side lost and leaves
 // the other side's connection open and silent.
-func (p *Proxy) HalfOpen(lost Side) { p.ask(message{order: connMessage{halfOpen: &lost}}) }
+func (p *Proxy) HalfOpen(resetSide Side) { p.ask(message{command: connCommand{halfOpen: &resetSide}}) }
 
 // SetUpstream changes the address for later connections, such as of a
 // restarted process.
@@ -121,7 +121,7 @@
 
 // ask waits for the answer, which is the number of connections.
 func (p *Proxy) ask(m message) int {
-	n, _ := actor.Ask(p.group.Context(), p.main, func(r actor.Reply[int]) message {
+	n, _ := actor.Ask(p.group.Context(), p.commands, func(r actor.Reply[int]) message {
 		m.done = r
 		return m
 	})
@@ -134,7 +134,7 @@
 	accepted *net.TCPConn
 	ended    uint64 // connection
 	set      *setFaults
-	order    connMessage
+	command  connCommand
 	upstream string
 	done     actor.Reply[int]
 }
@@ -146,16 +146,16 @@
 }
 
 // state is the state of the proxy's actor.
-type state struct {
+type proxyState struct {
 	group    *actor.Group
 	self     actor.Address[message]
 	upstream string
 	faults   [directions]Faults
-	conns    map[uint64]actor.Address[connMessage]
-	last     uint64
+	conns    map[uint64]actor.Address[connCommand]
+	lastID   uint64
 }
 
-func (s *state) run(ctx context.Context, in <-chan message) error {
+func (s *proxyState) run(ctx context.Context, in <-chan message) error {
 	for {
 		select {
 		case m := <-in:
@@ -167,7 +167,7 @@
 	}
 }
 
-func (s *state) handle(ctx context.Context, m message) {
+func (s *proxyState) handle(ctx context.Context, m message) {
 	switch {
 	case m.accepted != nil:
 		s.accept(m.accepted)
@@ -177,27 +177,27 @@
 		s.upstream = m.upstream
 	case m.set != nil:
 		s.faults[m.set.direction] = m.set.faults
-		s.tell(ctx, connMessage{set: m.set})
-	case m.order.reset || m.order.halfOpen != nil:
-		s.tell(ctx, m.order)
+		s.broadcast(ctx, connCommand{set: m.set})
+	case m.command.reset || m.command.halfOpen != nil:
+		s.broadcast(ctx, m.command)
 	}
 }
 
 // tell sends an order to every connection and waits until it is in force.
-func (s *state) tell(ctx context.Context, order connMessage) {
+func (s *proxyState) broadcast(ctx context.Context, command connCommand) {
 	for _, c := range s.conns {
-		_, _ = actor.Ask(ctx, c, func(r actor.Reply[struct{}]) connMessage {
-			order.done = r
-			return order
+		_, _ = actor.Ask(ctx, c, func(r actor.Reply[struct{}]) connCommand {
+			command.done = r
+			return command
 		})
 	}
 }
 
-func (s *state) accept(sock *net.TCPConn) {
-	s.last++
-	id := s.last
+func (s *proxyState) accept(sock *net.TCPConn) {
+	s.lastID++
+	id := s.lastID
 	c := newConn(s.group.Sub(), sock, s.upstream, s.faults)
-	s.conns[id] = actor.Spawn(s.group, actor.Spec[connMessage]{
+	s.conns[id] = actor.Spawn(s.group, actor.Spec[connCommand]{
 		Name: "fault-proxy-connection", Mailbox: 4, Run: c.run,
 		OnExit: func(error) { _ = s.self.Send(s.group.Context(), message{ended: id}) },
 	})
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -18,18 +18,18 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // rig is a proxy in front of a listener of the test.
-type rig struct {
+type fixture struct {
 	t        *testing.T
 	proxy    *Proxy
 	upstream net.Listener
 }
 
-func newRig(t *testing.T) rig {
+func newFixture(t *testing.T) fixture {
 	t.Helper()
 	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = upstream.Close() })
-	return rig{t, startProxy(t, upstream.Addr().String()), upstream}
+	return fixture{t, startProxy(t, upstream.Addr().String()), upstream}
 }
 
 func startProxy(t *testing.T, upstream string) *Proxy {
@@ -44,55 +44,55 @@
 	return p
 }
 
-func (r rig) dial() net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.proxy.Addr())
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = c.Close() })
+func (f fixture) dial() net.Conn {
+	f.t.Helper()
+	c, err := net.Dial("tcp", f.proxy.Addr())
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-func (r rig) accept() net.Conn {
-	r.t.Helper()
-	c, err := r.upstream.Accept()
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = c.Close() })
+func (f fixture) accept() net.Conn {
+	f.t.Helper()
+	c, err := f.upstream.Accept()
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-func (r rig) write(c net.Conn, text string) {
-	r.t.Helper()
+func (f fixture) write(c net.Conn, text string) {
+	f.t.Helper()
 	_, err := io.WriteString(c, text)
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 }
 
-func (r rig) requireRead(c net.Conn, want string) {
-	r.t.Helper()
+func (f fixture) requireRead(c net.Conn, want string) {
+	f.t.Helper()
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(c, got)
-	require.NoError(r.t, err)
-	require.Equal(r.t, want, string(got))
+	require.NoError(f.t, err)
+	require.Equal(f.t, want, string(got))
 }
 
 // requireReset checks that a connection ends in a reset, not in order.
-func (r rig) requireReset(c net.Conn) {
-	r.t.Helper()
+func (f fixture) requireReset(c net.Conn) {
+	f.t.Helper()
 	rest, err := io.ReadAll(c)
-	require.ErrorIs(r.t, err, syscall.ECONNRESET)
-	require.Empty(r.t, rest)
+	require.ErrorIs(f.t, err, syscall.ECONNRESET)
+	require.Empty(f.t, rest)
 }
 
 // Guards against a proxy without faults that is not transparent: bytes in
 // both directions, and a half-closed connection.
 func TestTransparentWithoutFaults(t *testing.T) {
-	r := newRig(t)
-	client, server := r.dial(), r.accept()
-	r.write(client, "roster")
+	f := newFixture(t)
+	client, server := f.dial(), f.accept()
+	f.write(client, "roster")
 	require.NoError(t, client.(*net.TCPConn).CloseWrite())
 	got, err := io.ReadAll(server)
 	require.NoError(t, err)
 	require.Equal(t, "roster", string(got))
-	r.write(server, "passes")
+	f.write(server, "passes")
 	require.NoError(t, server.Close())
 	got, err = io.ReadAll(client)
 	require.NoError(t, err)
@@ -102,98 +102,98 @@
 // Guards against a reset of one process that the other sees as an orderly
 // end.
 func TestResetIsPassedOn(t *testing.T) {
-	r := newRig(t)
-	client, server := r.dial(), r.accept()
+	f := newFixture(t)
+	client, server := f.dial(), f.accept()
 	require.NoError(t, server.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, server.Close())
-	r.requireReset(client)
+	f.requireReset(client)
 }
 
 // Guards against a reset that reaches one side only, or later connections.
 func TestReset(t *testing.T) {
-	r := newRig(t)
-	client, server := r.dial(), r.accept()
-	r.proxy.Reset()
-	r.requireReset(client)
-	r.requireReset(server)
-	client, server = r.dial(), r.accept()
-	r.write(client, "again")
-	r.requireRead(server, "again")
+	f := newFixture(t)
+	client, server := f.dial(), f.accept()
+	f.proxy.Reset()
+	f.requireReset(client)
+	f.requireReset(server)
+	client, server = f.dial(), f.accept()
+	f.write(client, "again")
+	f.requireRead(server, "again")
 }
 
 // Guards against a half-open connection that both sides notice, or neither.
 func TestHalfOpen(t *testing.T) {
-	for lost, name := range map[Side]string{Client: "client", Server: "server"} {
+	for resetSide, name := range map[Side]string{Client: "client", Server: "server"} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			client, server := r.dial(), r.accept()
-			r.write(client, "x")
-			r.requireRead(server, "x")
-			r.proxy.HalfOpen(lost)
-			gone, kept := client, server
-			if lost == Server {
-				gone, kept = server, client
+			f := newFixture(t)
+			client, server := f.dial(), f.accept()
+			f.write(client, "x")
+			f.requireRead(server, "x")
+			f.proxy.HalfOpen(resetSide)
+			reset, open := client, server
+			if resetSide == Server {
+				reset, open = server, client
 			}
-			r.requireReset(gone)
-			require.Equal(t, 1, r.proxy.Connections())
-			r.write(kept, "into the void")
-			r.proxy.Set(ToServer, Faults{}) // has no effect on it
-			r.proxy.Reset()
-			r.requireReset(kept)
+			f.requireReset(reset)
+			require.Equal(t, 1, f.proxy.Connections())
+			f.write(open, "into the void")
+			f.proxy.Set(ToServer, Faults{}) // has no effect on it
+			f.proxy.Reset()
+			f.requireReset(open)
 		})
 	}
 }
 
 // Guards against a hole in one direction that stops the other one too, or
 // that loses what was sent.
-func TestHoleOfOneDirection(t *testing.T) {
-	r := newRig(t)
-	client, server := r.dial(), r.accept()
-	r.write(client, "x")
-	r.requireRead(server, "x")
-	r.proxy.Set(ToClient, Faults{Blackhole: true})
-	r.write(server, "held")
-	r.write(client, "passes")
-	r.requireRead(server, "passes")
-	r.proxy.Set(ToClient, Faults{})
-	r.requireRead(client, "held")
+func TestBlackholeOfOneDirection(t *testing.T) {
+	f := newFixture(t)
+	client, server := f.dial(), f.accept()
+	f.write(client, "x")
+	f.requireRead(server, "x")
+	f.proxy.Set(ToClient, Faults{Blackhole: true})
+	f.write(server, "held")
+	f.write(client, "passes")
+	f.requireRead(server, "passes")
+	f.proxy.Set(ToClient, Faults{})
+	f.requireRead(client, "held")
 }
 
 // Guards against bytes that pass a hole which is reset before it is healed.
-func TestHoleWithholds(t *testing.T) {
-	r := newRig(t)
-	client, server := r.dial(), r.accept()
-	r.write(client, "x")
-	r.requireRead(server, "x")
-	r.proxy.Set(ToClient, Faults{Blackhole: true})
-	r.write(server, "held")
-	r.proxy.Reset()
-	r.requireReset(client)
+func TestBlackholeWithholdsBytes(t *testing.T) {
+	f := newFixture(t)
+	client, server := f.dial(), f.accept()
+	f.write(client, "x")
+	f.requireRead(server, "x")
+	f.proxy.Set(ToClient, Faults{Blackhole: true})
+	f.write(server, "held")
+	f.proxy.Reset()
+	f.requireReset(client)
 }
 
 // Guards against a connection that reaches the server across a partition.
-func TestCutHoldsNewConnections(t *testing.T) {
-	r := newRig(t)
-	r.proxy.Partition()
-	client := r.dial()
-	r.write(client, "early")
-	other, err := net.Dial("tcp", r.upstream.Addr().String())
+func TestPartitionHoldsNewConnections(t *testing.T) {
+	f := newFixture(t)
+	f.proxy.Partition()
+	client := f.dial()
+	f.write(client, "early")
+	other, err := net.Dial("tcp", f.upstream.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = other.Close() }()
-	require.Equal(t, other.LocalAddr().String(), r.accept().RemoteAddr().String(), "the first connection to arrive")
-	r.proxy.Heal()
-	r.requireRead(r.accept(), "early")
+	require.Equal(t, other.LocalAddr().String(), f.accept().RemoteAddr().String(), "the first connection to arrive")
+	f.proxy.Heal()
+	f.requireRead(f.accept(), "early")
 }
 
 // Guards against a truncation that passes more or fewer bytes than asked for,
 // or that applies to the other direction.
 func TestTruncation(t *testing.T) {
-	r := newRig(t)
-	r.proxy.Set(ToClient, Faults{Truncate: true, After: 5})
-	client, server := r.dial(), r.accept()
-	r.write(client, "request")
-	r.requireRead(server, "request")
-	r.write(server, "response")
+	f := newFixture(t)
+	f.proxy.Set(ToClient, Faults{Truncate: true, After: 5})
+	client, server := f.dial(), f.accept()
+	f.write(client, "request")
+	f.requireRead(server, "request")
+	f.write(server, "response")
 	got, err := io.ReadAll(client)
 	require.NoError(t, err)
 	require.Equal(t, "respo", string(got))
@@ -202,21 +202,21 @@
 // Guards against a client that is kept waiting when its server is gone, and
 // against a restarted server that is not reached.
 func TestUpstreamThatIsGone(t *testing.T) {
-	r := newRig(t)
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	f := newFixture(t)
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, gone.Close())
-	r.proxy.SetUpstream(gone.Addr().String())
-	if c, err := net.Dial("tcp", r.proxy.Addr()); err == nil {
-		r.requireReset(c)
+	require.NoError(t, closed.Close())
+	f.proxy.SetUpstream(closed.Addr().String())
+	if c, err := net.Dial("tcp", f.proxy.Addr()); err == nil {
+		f.requireReset(c)
 		require.NoError(t, c.Close())
 	} else {
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 	}
-	r.proxy.SetUpstream(r.upstream.Addr().String())
-	client := r.dial()
-	r.write(client, "back")
-	r.requireRead(r.accept(), "back")
+	f.proxy.SetUpstream(f.upstream.Addr().String())
+	client := f.dial()
+	f.write(client, "back")
+	f.requireRead(f.accept(), "back")
 }
 
 // Guards against a fault on one link that ends another link of the process,
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -10,11 +10,11 @@
 )
 
 //go:embed report.html
-var page string
+var reportPage string
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"plots": plots, "ms": func(v float64) string { return fmt.Sprintf("%.1f", v) },
-}).Parse(page))
+}).Parse(reportPage))
 
 // WriteHTML writes a report as one page that needs no other file.
 func (r Report) WriteHTML(w io.Writer) error { return pageTemplate.Execute(w, r) }
@@ -35,12 +35,12 @@
 type plot struct {
 	title, unit string
 	lines       []line
-	axis        func(x float64) string // label of a place on the horizontal axis
-	logarithmic bool                   // vertical axis
+	xLabel      func(x float64) string // label of a place on the horizontal axis
+	logY        bool                   // vertical axis
 }
 
 func plots(c ClassReport) []template.HTML {
-	over := func(value func(Window) float64) (points [][2]float64) {
+	series := func(value func(Window) float64) (points [][2]float64) {
 		for _, w := range c.Windows {
 			points = append(points, [2]float64{w.Second, value(w)})
 		}
@@ -55,16 +55,16 @@
 	seconds := func(x float64) string { return fmt.Sprintf("%.0f s", x) }
 	return []template.HTML{
 		plot{"Latency over time", "ms", []line{
-			{"p50", "#1b6ca8", over(func(w Window) float64 { return w.Latency.P50 })},
-			{"p99", "#d98b00", over(func(w Window) float64 { return w.Latency.P99 })},
-			{"max", "#b3261e", over(func(w Window) float64 { return w.Latency.Max })},
+			{"p50", "#1b6ca8", series(func(w Window) float64 { return w.Latency.P50 })},
+			{"p99", "#d98b00", series(func(w Window) float64 { return w.Latency.P99 })},
+			{"max", "#b3261e", series(func(w Window) float64 { return w.Latency.Max })},
 		}, seconds, true}.svg(),
 		plot{"Percentiles", "ms", []line{{"latency", "#1b6ca8", curve}},
 			func(x float64) string { return fmt.Sprintf("%.4g%%", 100*(1-math.Pow(10, -x))) }, true}.svg(),
 		plot{"Requests a window", "", []line{
-			{"done", "#2e7d32", over(func(w Window) float64 { return float64(w.Done) })},
-			{"refused", "#d98b00", over(func(w Window) float64 { return float64(w.Refused) })},
-			{"failed", "#b3261e", over(func(w Window) float64 { return float64(w.Failed) })},
+			{"done", "#2e7d32", series(func(w Window) float64 { return float64(w.Done) })},
+			{"refused", "#d98b00", series(func(w Window) float64 { return float64(w.Refused) })},
+			{"failed", "#b3261e", series(func(w Window) float64 { return float64(w.Failed) })},
 		}, seconds, false}.svg(),
 	}
 }
@@ -93,23 +93,23 @@
 	right, bottom := plotWidth-otherMargin, plotHeight-otherMargin
 	x := func(v float64) float64 { return leftMargin + v/maxX*(right-leftMargin) }
 	y := func(v float64) float64 {
-		share := v / maxY
-		if p.logarithmic {
-			share = math.Log(max(v, minY)/minY) / math.Log(maxY/minY)
+		fraction := v / maxY
+		if p.logY {
+			fraction = math.Log(max(v, minY)/minY) / math.Log(maxY/minY)
 		}
-		return bottom - share*(bottom-otherMargin)
+		return bottom - fraction*(bottom-otherMargin)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, `<svg viewBox="0 0 %.0f %.0f" role="img"><text x="%.0f" y="14" class="title">%s</text>`, plotWidth, plotHeight, leftMargin, p.title)
 	for i := range 5 {
-		share := float64(i) / 4
-		v := share * maxY
-		if p.logarithmic {
-			v = minY * math.Pow(maxY/minY, share)
+		fraction := float64(i) / 4
+		v := fraction * maxY
+		if p.logY {
+			v = minY * math.Pow(maxY/minY, fraction)
 		}
 		fmt.Fprintf(&b, `<path class="grid" d="M%.1f %.1fH%.1f"/><text x="%.1f" y="%.1f" text-anchor="end">%.3g %s</text>`,
 			leftMargin, y(v), right, leftMargin-4, y(v)+4, v, p.unit)
-		fmt.Fprintf(&b, `<text x="%.1f" y="%.1f" text-anchor="middle">%s</text>`, x(share*maxX), bottom+16, p.axis(share*maxX))
+		fmt.Fprintf(&b, `<text x="%.1f" y="%.1f" text-anchor="middle">%s</text>`, x(fraction*maxX), bottom+16, p.xLabel(fraction*maxX))
 	}
 	for i, l := range p.lines {
 		var points strings.Builder
--- a/internal/load/http.go
+++ b/internal/load/http.go
@@ -36,10 +36,10 @@
 func (c *connection) Close() { c.client.CloseIdleConnections() }
 
 // Send implements Connection. The answer counts when its body has been read.
-func (c *connection) Send(ctx context.Context) Answer {
+func (c *connection) Send(ctx context.Context) Response {
 	req, err := http.NewRequestWithContext(ctx, c.class.Method, c.url, bytes.NewReader(c.payload))
 	if err != nil {
-		return Answer{Failure: "invalid request"}
+		return Response{Failure: "invalid request"}
 	}
 	for name, value := range map[string]string{"Bambooscale-Service": c.class.Service, "Bambooscale-Tenant": c.class.Tenant} {
 		if value != "" {
@@ -51,17 +51,17 @@
 	}
 	res, err := c.client.Do(req)
 	if err != nil {
-		return Answer{Failure: failure(err)}
+		return Response{Failure: errorKind(err)}
 	}
 	defer res.Body.Close()
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		return Answer{Failure: failure(err)}
+		return Response{Failure: errorKind(err)}
 	}
-	return Answer{Status: res.StatusCode, Outcome: res.Header.Get("Bambooscale-Outcome")}
+	return Response{Status: res.StatusCode, Outcome: res.Header.Get("Bambooscale-Outcome")}
 }
 
 // failure names the kind of an error, so that a report has few of them.
-func failure(err error) string {
+func errorKind(err error) string {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return "timeout"
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,20 +12,20 @@
 )
 
 // stalling answers after a millisecond, but after a second while it stalls.
-type stalling struct{ from, until time.Time }
+type stallingConnection struct{ from, until time.Time }
 
-func (s stalling) Send(ctx context.Context) Answer {
+func (s stallingConnection) Send(ctx context.Context) Response {
 	if now := time.Now(); now.After(s.from) && now.Before(s.until) {
 		actor.Sleep(ctx, s.until.Sub(now))
 	}
 	if !actor.Sleep(ctx, time.Millisecond) {
-		return Answer{Failure: "timeout"}
+		return Response{Failure: "timeout"}
 	}
-	return Answer{Status: 200}
+	return Response{Status: 200}
 }
-func (stalling) Close() {}
+func (stallingConnection) Close() {}
 
-func onePlan(c Class) Plan {
+func planOf(c Class) Plan {
 	c.Name, c.Path = "reads", "/"
 	return Plan{Target: "http://127.0.0.1:1", Seed: 1, Classes: []Class{c}}
 }
@@ -34,9 +34,9 @@
 // request a connection and is hidden from the percentiles.
 func TestStallIsNotHidden(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := onePlan(Class{Connections: 1, DeadlineMs: 500, Phases: []Phase{{Seconds: 10, From: 100}}})
+		p := planOf(Class{Connections: 1, DeadlineMs: 500, Phases: []Phase{{Seconds: 10, From: 100}}})
 		require.NoError(t, p.Check().Err())
-		stall := stalling{time.Now().Add(4 * time.Second), time.Now().Add(5 * time.Second)}
+		stall := stallingConnection{time.Now().Add(4 * time.Second), time.Now().Add(5 * time.Second)}
 		c := Run(t.Context(), p, func(Class) Connection { return stall }).Classes[0]
 		require.InDelta(t, 1000, c.Sent, 150)
 		require.Equal(t, c.Sent, c.Done)
@@ -51,16 +51,16 @@
 // Guards against a run without an end, or more requests than were allowed.
 func TestRunIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := onePlan(Class{Phases: []Phase{{Seconds: 60, From: 100}}})
+		p := planOf(Class{Phases: []Phase{{Seconds: 60, From: 100}}})
 		p.Requests = 50
 		require.NoError(t, p.Check().Err())
-		c := Run(t.Context(), p, func(Class) Connection { return stalling{} }).Classes[0]
+		c := Run(t.Context(), p, func(Class) Connection { return stallingConnection{} }).Classes[0]
 		require.Equal(t, 50, c.Sent)
-		hung := stalling{time.Time{}, time.Now().Add(24 * time.Hour)}
+		hung := stallingConnection{time.Time{}, time.Now().Add(24 * time.Hour)}
 		p.Requests = MaxRequests
-		began := time.Now()
+		start := time.Now()
 		c = Run(t.Context(), p, func(Class) Connection { return hung }).Classes[0]
-		require.LessOrEqual(t, time.Since(began), 2*time.Minute)
+		require.LessOrEqual(t, time.Since(start), 2*time.Minute)
 		require.NotZero(t, c.Unfinished)
 		require.NotZero(t, c.Errors["timeout"])
 	})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -53,7 +53,7 @@
 	Ramp    bool    `json:"ramp,omitempty"` // To is meant even when it is 0
 }
 
-func (p Phase) end() float64 {
+func (p Phase) endRate() float64 {
 	if p.To == 0 && !p.Ramp {
 		return p.From
 	}
@@ -81,8 +81,8 @@
 
 // Check fills in defaults and reports every finding.
 func (p *Plan) Check() finding.List {
-	var found finding.List
-	add := func(where, format string, args ...any) { found.Add("plan", 0, where, format, args...) }
+	var findings finding.List
+	add := func(where, format string, args ...any) { findings.Add("plan", 0, where, format, args...) }
 	if u, err := url.Parse(p.Target); err != nil || u.Scheme != "http" || u.Host == "" {
 		add("target", "%q is not a URL such as http://127.0.0.1:8080", p.Target)
 	}
@@ -104,7 +104,7 @@
 		names[c.Name] = true
 		c.check(func(field, format string, args ...any) { add(c.Name+"."+field, format, args...) })
 	}
-	return found
+	return findings
 }
 
 func (c *Class) check(add func(field, format string, args ...any)) {
@@ -130,7 +130,7 @@
 		add("deadlineMs", "must not be negative")
 	}
 	for _, p := range c.Phases {
-		if p.Seconds <= 0 || p.From < 0 || p.end() < 0 || p.From > maxRate || p.end() > maxRate {
+		if p.Seconds <= 0 || p.From < 0 || p.endRate() < 0 || p.From > maxRate || p.endRate() > maxRate {
 			add("phases", "seconds must be positive, rates 0 to %d", maxRate)
 		}
 	}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	longestLatency = 10 * time.Minute // larger ones are recorded as this
-	digits         = 3
-	windowDigits   = 2
+	maxLatency              = 10 * time.Minute // larger ones are recorded as this
+	significantDigits       = 3
+	windowSignificantDigits = 2
 	// maxWindows bounds the points of a plot, and the memory of the windows'
 	// histograms, about 25 KB each.
 	maxWindows = 300
@@ -77,10 +77,10 @@
 
 // recorder collects the samples of a class. It belongs to one actor.
 type recorder struct {
-	report  ClassReport
-	latency *hdrhistogram.Histogram
-	width   time.Duration // of a window
-	windows []window
+	report      ClassReport
+	latency     *hdrhistogram.Histogram
+	windowWidth time.Duration // of a window
+	windows     []window
 }
 
 type window struct {
@@ -89,19 +89,19 @@
 }
 
 func newHistogram(digits int) *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestLatency.Microseconds(), digits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 }
 
 func newRecorder(c Class) *recorder {
 	return &recorder{
-		report: ClassReport{Class: c, Statuses: map[string]int{}, Outcomes: map[string]int{}, Errors: map[string]int{}},
-		width:  max(time.Second, c.duration()/maxWindows), latency: newHistogram(digits),
+		report:      ClassReport{Class: c, Statuses: map[string]int{}, Outcomes: map[string]int{}, Errors: map[string]int{}},
+		windowWidth: max(time.Second, c.duration()/maxWindows), latency: newHistogram(significantDigits),
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// The value is inside the histogram's range, so recording cannot fail.
-	_ = h.RecordValue(min(max(d, time.Microsecond), longestLatency).Microseconds())
+	_ = h.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
 }
 
 func (r *recorder) add(s sample) {
@@ -134,30 +134,30 @@
 	}
 }
 
-func (r *recorder) window(at time.Duration) *window {
-	i := int(at / r.width)
+func (r *recorder) window(intended time.Duration) *window {
+	i := int(intended / r.windowWidth)
 	for len(r.windows) <= i {
-		start := time.Duration(len(r.windows)) * r.width
-		r.windows = append(r.windows, window{Window{Second: start.Seconds()}, newHistogram(windowDigits)})
+		start := time.Duration(len(r.windows)) * r.windowWidth
+		r.windows = append(r.windows, window{Window{Second: start.Seconds()}, newHistogram(windowSignificantDigits)})
 	}
 	return &r.windows[i]
 }
 
-func summary(h *hdrhistogram.Histogram) Latency {
-	at := func(q float64) float64 { return ms(h.ValueAtQuantile(q)) }
-	return Latency{P50: at(50), P99: at(99), P999: at(99.9), Max: ms(h.Max())}
+func summarise(h *hdrhistogram.Histogram) Latency {
+	quantile := func(q float64) float64 { return ms(h.ValueAtQuantile(q)) }
+	return Latency{P50: quantile(50), P99: quantile(99), P999: quantile(99.9), Max: ms(h.Max())}
 }
 
 func ms(micros int64) float64 { return float64(micros) / 1000 }
 
 func (r *recorder) finish() ClassReport {
 	c := r.report
-	c.Latency = summary(r.latency)
+	c.Latency = summarise(r.latency)
 	for _, q := range []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 100} {
 		c.Curve = append(c.Curve, Point{q, ms(r.latency.ValueAtQuantile(q))})
 	}
 	for _, w := range r.windows {
-		w.Latency = summary(w.latency)
+		w.Latency = summarise(w.latency)
 		c.Windows = append(c.Windows, w.Window)
 	}
 	return c
