--- a/cmd/bambooscaled/dev.go
+++ b/cmd/bambooscaled/dev.go
@@ -13,7 +13,7 @@
 
 // drainTime bounds the wait for requests in progress when dev is interrupted;
 // a second interrupt ends it at once.
-const drainTime = time.Minute
+const drainTimeout = time.Minute
 
 func devCommand() *cobra.Command {
 	c := daemon.DevConfig{Log: log.Log, Build: version}
@@ -31,7 +31,7 @@
 func runDev(cmd *cobra.Command, c daemon.DevConfig) error {
 	g := daemon.NewGroup(context.WithoutCancel(cmd.Context()), c.Log)
 	defer g.Stop()
-	c.Recent = keepRecent(g)
+	c.RecentEvents = startRecentEvents(g)
 	d, err := daemon.StartDev(g, c)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 		"  go run ./cmd/bambooctl --server http://%s job submit --id hello --cpu 500m --memory 64Mi --program 'sleep 1s'\n"+
 		"  go run ./cmd/bambooctl --server http://%s status\n", d.Callers, d.Operator, d.Operator)
 	<-cmd.Context().Done()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), drainTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), drainTimeout)
 	defer cancel()
 	return d.Drain(ctx)
 }
--- a/cmd/bambooscaled/reload.go
+++ b/cmd/bambooscaled/reload.go
@@ -17,7 +17,7 @@
 
 // reloadSettings reads the settings file again on SIGHUP. Log level and
 // operators' token take effect at once; an invalid file changes nothing.
-func reloadSettings(g *actor.Group, file string, started *settings.Settings, recent *daemon.Recent, d drainer) {
+func reloadSettings(g *actor.Group, file string, atStart *settings.Settings, recent *daemon.RecentEvents, d drainer) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	actor.Go(g, "settings reload", func(ctx context.Context) error {
@@ -27,13 +27,13 @@
 			case <-ctx.Done():
 				return nil
 			case <-hup:
-				reload(file, started, recent, d)
+				reload(file, atStart, recent, d)
 			}
 		}
 	})
 }
 
-func reload(file string, started *settings.Settings, recent *daemon.Recent, d drainer) {
+func reload(file string, atStart *settings.Settings, recent *daemon.RecentEvents, d drainer) {
 	next, err := settings.Load(file)
 	if err != nil {
 		event.Log(log.Log, event.SettingsRejected, log.Fields{"file": file, "findings": err.Error()})
@@ -43,7 +43,7 @@
 		e.SetOperatorToken(next.Entry.OperatorToken)
 	}
 	fields := log.Fields{"file": file}
-	if keys := started.NeedRestart(next); len(keys) > 0 {
+	if keys := atStart.NeedRestart(next); len(keys) > 0 {
 		fields["need_restart"] = strings.Join(keys, ", ")
 	}
 	recent.SetLevel(log.InfoLevel) // whoever raises the level still sees that it was read
--- a/cmd/bambooscaled/run.go
+++ b/cmd/bambooscaled/run.go
@@ -29,7 +29,7 @@
 
 // shutdownTime bounds a graceful shutdown. Requests end by their own
 // deadlines before that; only very long ones are cut off.
-const shutdownTime = 30 * time.Minute
+const shutdownTimeout = 30 * time.Minute
 
 func runCommand() *cobra.Command {
 	var file string
@@ -58,7 +58,7 @@
 }
 
 // lameDuck covers two health checks of a balancer that asks every 2 s.
-const lameDuck = 5 * time.Second
+const drainDelay = 5 * time.Second
 
 // drainer stops a role in order.
 type drainer interface{ Drain(context.Context) error }
@@ -67,7 +67,7 @@
 	log.SetLevel(log.DebugLevel) // the handler drops lower levels than the one set
 	g := daemon.NewGroup(context.WithoutCancel(cmd.Context()), log.Log)
 	defer g.Stop()
-	recent := keepRecent(g) // before anything logs
+	recent := startRecentEvents(g) // before anything logs
 	recent.SetLevel(s.Daemon.LogLevel)
 	var d drainer
 	var err error
@@ -83,7 +83,7 @@
 	event.Log(log.Log, event.DaemonReady, log.Fields{"role": string(s.Daemon.Role), "id": s.Daemon.ID})
 	<-cmd.Context().Done()
 	event.Log(log.Log, event.DaemonStops, log.Fields{"id": s.Daemon.ID})
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), shutdownTimeout)
 	defer cancel()
 	return d.Drain(ctx)
 }
@@ -121,8 +121,8 @@
 }
 
 // keepRecent keeps the newest log events of the process for diagnostics.
-func keepRecent(g *actor.Group) *daemon.Recent {
-	r := daemon.StartRecent(g, logfmt.New(os.Stderr))
+func startRecentEvents(g *actor.Group) *daemon.RecentEvents {
+	r := daemon.StartRecentEvents(g, logfmt.New(os.Stderr))
 	log.SetHandler(r)
 	return r
 }
@@ -136,9 +136,9 @@
 	return l, nil
 }
 
-func platformConfig(u *url.URL) storage.HTTPConfig { return storage.HTTPConfig{URL: u.String()} }
+func storageConfig(u *url.URL) storage.HTTPConfig { return storage.HTTPConfig{URL: u.String()} }
 
-func runEntry(cmd *cobra.Command, g *actor.Group, s *settings.Settings, recent *daemon.Recent) (drainer, error) {
+func runEntry(cmd *cobra.Command, g *actor.Group, s *settings.Settings, recent *daemon.RecentEvents) (drainer, error) {
 	callers, err := listen("[entry] listen", s.Entry.Listen)
 	if err != nil {
 		return nil, err
@@ -157,9 +157,9 @@
 	}
 	e := daemon.StartEntry(g, daemon.EntryConfig{
 		Settings: s, Build: version,
-		Table:   storage.NewHTTPTable(platformConfig(s.Daemon.Table)),
-		Objects: storage.NewHTTPObjects(platformConfig(s.Daemon.Objects)),
-		Began:   time.Now(), LameDuck: lameDuck, Callers: callers, Agents: agents, Operator: operator, Log: log.Log, Recent: recent,
+		Table:     storage.NewHTTPTable(storageConfig(s.Daemon.Table)),
+		Objects:   storage.NewHTTPObjects(storageConfig(s.Daemon.Objects)),
+		StartedAt: time.Now(), DrainDelay: drainDelay, Callers: callers, Agents: agents, Operator: operator, Log: log.Log, RecentEvents: recent,
 	})
 	fmt.Fprintf(cmd.OutOrStdout(), "ready callers=%s operators=%s agents=%s\n", callers.Addr(), operator.Addr(), agents.Addr())
 	return e, nil
@@ -181,14 +181,14 @@
 		Announce: announce, Dialer: link.NewDialer(g, links), Log: log.Log,
 	}
 	if s.Daemon.Table != nil {
-		c.Table = storage.NewHTTPTable(platformConfig(s.Daemon.Table))
+		c.Table = storage.NewHTTPTable(storageConfig(s.Daemon.Table))
 	}
 	if s.Agent.Worker != nil {
-		host := taskagent.NewHTTPWorkerClient(s.Agent.Worker.String(), http.DefaultClient)
-		if err := describeWorker(cmd.Context(), host, &c.Worker); err != nil {
+		client := taskagent.NewHTTPWorkerClient(s.Agent.Worker.String(), http.DefaultClient)
+		if err := fillCapacity(cmd.Context(), client, &c.Worker); err != nil {
 			return nil, err
 		}
-		c.WorkerClient = host
+		c.WorkerClient = client
 	}
 	a := daemon.StartAgent(g, c)
 	fmt.Fprintf(cmd.OutOrStdout(), "ready announce=%s\n", announce.Addr())
@@ -200,13 +200,13 @@
 
 // describeWorker fills in the capacity that the settings leave open. The
 // worker may start after its agent, so it is asked until it answers.
-func describeWorker(ctx context.Context, host taskagent.WorkerClient, w *model.Worker) error {
+func fillCapacity(ctx context.Context, client taskagent.WorkerClient, w *model.Worker) error {
 	for w.Capacity.CPU == 0 || w.Capacity.Memory == 0 {
-		limited, cancel := context.WithTimeout(ctx, describeTimeout)
-		found, err := host.Describe(limited)
+		callCtx, cancel := context.WithTimeout(ctx, describeTimeout)
+		reported, err := client.Describe(callCtx)
 		cancel()
 		if err == nil {
-			w.Capacity = fill(w.Capacity, found.Capacity)
+			w.Capacity = withDefaults(w.Capacity, reported.Capacity)
 			break
 		}
 		log.WithError(err).Warn("the worker does not answer yet")
@@ -217,15 +217,15 @@
 	return nil
 }
 
-func fill(set, found model.Resources) model.Resources {
-	if set.CPU == 0 {
-		set.CPU = found.CPU
+func withDefaults(configured, reported model.Resources) model.Resources {
+	if configured.CPU == 0 {
+		configured.CPU = reported.CPU
 	}
-	if set.Memory == 0 {
-		set.Memory = found.Memory
+	if configured.Memory == 0 {
+		configured.Memory = reported.Memory
 	}
-	if set.Accelerators == 0 {
-		set.Accelerators = found.Accelerators
+	if configured.Accelerators == 0 {
+		configured.Accelerators = reported.Accelerators
 	}
-	return set
+	return configured
 }
--- a/cmd/bambooscaled/run_test.go
+++ b/cmd/bambooscaled/run_test.go
@@ -31,7 +31,7 @@
 func TestDescribeAsksASilentWorkerAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, w := 0, model.Worker{}
-		require.NoError(t, describeWorker(t.Context(), silentWorker{calls: &calls}, &w))
+		require.NoError(t, fillCapacity(t.Context(), silentWorker{calls: &calls}, &w))
 		require.Equal(t, model.MilliCPU(4000), w.Capacity.CPU)
 	})
 }
--- a/cmd/bambooscaled/standin.go
+++ b/cmd/bambooscaled/standin.go
@@ -17,7 +17,7 @@
 )
 
 // server is a simulator that serves a listener until its context ends.
-type server interface {
+type simulator interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
@@ -31,7 +31,7 @@
 }
 
 // serveStandin listens, prints the address and serves until the command ends.
-func serveStandin(cmd *cobra.Command, listen string, start func(g *actor.Group, address string) (server, error)) error {
+func serveStandin(cmd *cobra.Command, listen string, start func(g *actor.Group, address string) (simulator, error)) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	var listen string
 	cmd := &cobra.Command{Use: "table", Short: "simulate the table service", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (server, error) {
+			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (simulator, error) {
 				return standin.NewTable(g, standin.StoreFaults{}), nil
 			})
 		}}
@@ -66,7 +66,7 @@
 	var listen string
 	cmd := &cobra.Command{Use: "objects", Short: "simulate the object store", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (server, error) {
+			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (simulator, error) {
 				return standin.NewObjects(g, standin.StoreFaults{}), nil
 			})
 		}}
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (server, error) {
+			return serveStandin(cmd, listen, func(g *actor.Group, _ string) (simulator, error) {
 				return standin.NewWorker(g, standin.WorkerConfig{ID: model.WorkerID(id), Capacity: capacity,
 					Objects: storage.NewHTTPObjects(storage.HTTPConfig{URL: objects})}), nil
 			})
@@ -99,15 +99,15 @@
 }
 
 func parseCapacity(cpu, memory string, accelerators int64) (model.Resources, error) {
-	c, err := settings.ParseCPU(cpu)
+	milliCPU, err := settings.ParseCPU(cpu)
 	if err != nil {
 		return model.Resources{}, fmt.Errorf("--cpu: %w", err)
 	}
-	m, err := settings.ParseBytes(memory)
+	memoryBytes, err := settings.ParseBytes(memory)
 	if err != nil {
 		return model.Resources{}, fmt.Errorf("--memory: %w", err)
 	}
-	return model.Resources{CPU: c, Memory: m, Accelerators: accelerators}, nil
+	return model.Resources{CPU: milliCPU, Memory: memoryBytes, Accelerators: accelerators}, nil
 }
 
 func backendCommand() *cobra.Command {
@@ -115,7 +115,7 @@
 	var c standin.BackendConfig
 	cmd := &cobra.Command{Use: "backend", Short: "simulate a backend server that announces itself to an agent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return serveStandin(cmd, listen, func(g *actor.Group, address string) (server, error) {
+			return serveStandin(cmd, listen, func(g *actor.Group, address string) (simulator, error) {
 				if c.Address == "" {
 					c.Address = address
 				}
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -57,18 +57,18 @@
 	links := &agent.Links{
 		Dialer: c.Dialer, Slots: a.slots, Log: c.Log,
 		Transport:   agent.NewTransport(maxBackendConnections),
-		Subscribers: []agent.Subscriber{agentConfig{g.Context(), applier}},
+		Subscribers: []agent.Subscriber{agentConfigSubscriber{g.Context(), applier}},
 		Hello: func() *msg.AgentHello {
 			hello := &msg.AgentHello{Worker: c.Worker, Boot: boot, Cell: c.Cell, Region: c.Region}
-			if u, err := applier.Current(g.Context()); err == nil {
-				hello.Version = u.Snapshot.Version()
+			if update, err := applier.Current(g.Context()); err == nil {
+				hello.Version = update.Snapshot.Version()
 			}
 			return hello
 		},
 	}
 	if c.WorkerClient != nil {
-		owner := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Client: c.WorkerClient, Log: c.Log})
-		links.Subscribers = append(links.Subscribers, agentTasks{g.Context(), owner})
+		tasks := taskagent.Start(g, taskagent.Config{Worker: c.Worker, Cell: c.Cell, Client: c.WorkerClient, Log: c.Log})
+		links.Subscribers = append(links.Subscribers, agentTaskSubscriber{g.Context(), tasks})
 	}
 	connector := spawnConnector(g, links, c.Region, c.Entries)
 	if c.Table != nil {
@@ -92,7 +92,7 @@
 				wanted[address] = true
 			}
 			for {
-				reconcile(g, links, connected, wanted)
+				reconcileLinks(g, links, connected, wanted)
 				select {
 				case list := <-in:
 					wanted = wantedEntries(list, region, seeds)
@@ -118,7 +118,7 @@
 
 // reconcile starts the links that are missing and ends those to entries that
 // have gone.
-func reconcile(g *actor.Group, links *agent.Links, connected map[string]*actor.Group, wanted map[string]bool) {
+func reconcileLinks(g *actor.Group, links *agent.Links, connected map[string]*actor.Group, wanted map[string]bool) {
 	for address := range wanted {
 		if connected[address] == nil {
 			sub := g.Sub()
@@ -136,7 +136,7 @@
 
 const (
 	// drainCheck is how often a stopping agent looks whether it is drained.
-	drainCheck = 50 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// A closed socket with unread data is reset, and what its peer has not
 	// read is lost: the entries get this time to read the last responses.
 	lingerTime = 500 * time.Millisecond
@@ -149,24 +149,24 @@
 		return err
 	}
 	for {
-		st, err := actor.Ask(ctx, a.slots, func(r actor.Reply[agent.Status]) agent.Message {
+		status, err := actor.Ask(ctx, a.slots, func(r actor.Reply[agent.Status]) agent.Message {
 			return agent.StatusQuery{Reply: r}
 		})
 		if err != nil {
 			return err
 		}
-		if st.Drained {
+		if status.Drained {
 			actor.Sleep(ctx, lingerTime)
 			return nil
 		}
-		if !actor.Sleep(ctx, drainCheck) {
+		if !actor.Sleep(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
 // agentConfig passes configuration messages of entries to the applier.
-type agentConfig struct {
+type agentConfigSubscriber struct {
 	ctx    context.Context
 	handle configstore.Handle
 }
@@ -174,17 +174,17 @@
 // The sends below fail only when the process ends.
 
 // EntryUp implements agent.Subscriber.
-func (s agentConfig) EntryUp(hello msg.EntryHello, out peer.Out) {
+func (s agentConfigSubscriber) EntryUp(hello msg.EntryHello, out peer.Out) {
 	_ = s.handle.LinkUp(s.ctx, string(hello.Entry), hello.Version, out)
 }
 
 // EntryDown implements agent.Subscriber.
-func (s agentConfig) EntryDown(entry model.EntryID, out peer.Out) {
+func (s agentConfigSubscriber) EntryDown(entry model.EntryID, out peer.Out) {
 	_ = s.handle.LinkDown(s.ctx, string(entry), out)
 }
 
 // FromEntry implements agent.Subscriber.
-func (s agentConfig) FromEntry(entry model.EntryID, m msg.Control) {
+func (s agentConfigSubscriber) FromEntry(entry model.EntryID, m msg.Control) {
 	switch m.(type) {
 	case *msg.ConfigDelta, *msg.ConfigRequest, *msg.ConfigApplied:
 		_ = s.handle.Deliver(s.ctx, string(entry), m)
@@ -192,26 +192,26 @@
 }
 
 // agentTasks passes commands of controllers to the owner of the attempts.
-type agentTasks struct {
+type agentTaskSubscriber struct {
 	ctx   context.Context
-	owner actor.Address[taskagent.Message]
+	tasks actor.Address[taskagent.Message]
 }
 
 // EntryUp implements agent.Subscriber.
-func (s agentTasks) EntryUp(hello msg.EntryHello, out peer.Out) {
-	_ = s.owner.Send(s.ctx, taskagent.EntryUp{Entry: hello.Entry, Boot: hello.Boot, Link: out})
+func (s agentTaskSubscriber) EntryUp(hello msg.EntryHello, out peer.Out) {
+	_ = s.tasks.Send(s.ctx, taskagent.EntryUp{Entry: hello.Entry, Boot: hello.Boot, Link: out})
 }
 
 // EntryDown implements agent.Subscriber.
-func (s agentTasks) EntryDown(entry model.EntryID, out peer.Out) {
-	_ = s.owner.Send(s.ctx, taskagent.EntryDown{Entry: entry, Link: out})
+func (s agentTaskSubscriber) EntryDown(entry model.EntryID, out peer.Out) {
+	_ = s.tasks.Send(s.ctx, taskagent.EntryDown{Entry: entry, Link: out})
 }
 
 // FromEntry implements agent.Subscriber.
-func (s agentTasks) FromEntry(entry model.EntryID, m msg.Control) {
+func (s agentTaskSubscriber) FromEntry(entry model.EntryID, m msg.Control) {
 	switch m.(type) {
 	case *msg.ConfigDelta, *msg.ConfigRequest, *msg.ConfigApplied:
 	default:
-		_ = s.owner.Send(s.ctx, taskagent.FromEntry{Entry: entry, Msg: m})
+		_ = s.tasks.Send(s.ctx, taskagent.FromEntry{Entry: entry, Msg: m})
 	}
 }
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -19,13 +19,13 @@
 
 // cells are the controllers of the cells that an entry contends for. The map
 // is not changed after start.
-type cells struct {
+type cellControllers struct {
 	ctx         context.Context
 	controllers map[model.Cell]actor.Address[control.Message]
 }
 
-func startCells(g *actor.Group, names []model.Cell, self entry.Self, address string, table storage.Table, l log.Interface) *cells {
-	c := &cells{ctx: g.Context(), controllers: map[model.Cell]actor.Address[control.Message]{}}
+func startCellControllers(g *actor.Group, names []model.Cell, self entry.Self, address string, table storage.Table, l log.Interface) *cellControllers {
+	c := &cellControllers{ctx: g.Context(), controllers: map[model.Cell]actor.Address[control.Message]{}}
 	for _, name := range names {
 		c.controllers[name] = control.Start(g, control.Config{
 			Options: control.Options{Cell: name, Entry: self.Entry, Boot: self.Boot, Address: address},
@@ -38,17 +38,17 @@
 // The sends below fail only when the process ends.
 
 // AgentUp implements entry.Subscriber.
-func (c *cells) AgentUp(hello msg.AgentHello, out peer.Out) {
+func (c *cellControllers) AgentUp(hello msg.AgentHello, out peer.Out) {
 	_ = c.controllers[hello.Cell].Send(c.ctx, control.AgentUp{Worker: hello.Worker, Cell: hello.Cell, Boot: hello.Boot, Link: out})
 }
 
 // AgentDown implements entry.Subscriber.
-func (c *cells) AgentDown(hello msg.AgentHello, out peer.Out) {
+func (c *cellControllers) AgentDown(hello msg.AgentHello, out peer.Out) {
 	_ = c.controllers[hello.Cell].Send(c.ctx, control.AgentDown{Worker: hello.Worker.ID, Link: out})
 }
 
 // FromAgent implements entry.Subscriber.
-func (c *cells) FromAgent(hello msg.AgentHello, m msg.Control) {
+func (c *cellControllers) FromAgent(hello msg.AgentHello, m msg.Control) {
 	switch m.(type) {
 	case *msg.TaskReport, *msg.Inventory, *msg.LeaseAck, *msg.UsageReport, *msg.BackendState:
 		_ = c.controllers[hello.Cell].Send(c.ctx, control.FromAgent{Worker: hello.Worker.ID, Msg: m})
@@ -57,13 +57,13 @@
 
 // configure passes the configuration in force to every controller. It reports
 // whether all have taken it.
-func (c *cells) configure(s *configstore.Snapshot) bool {
+func (c *cellControllers) setConfig(s *configstore.Snapshot) bool {
 	m := control.ConfigChanged{Config: placementConfig(s)}
-	all := true
-	for _, to := range c.controllers {
-		all = to.TrySend(m) && all
+	accepted := true
+	for _, controller := range c.controllers {
+		accepted = controller.TrySend(m) && accepted
 	}
-	return all
+	return accepted
 }
 
 func placementConfig(s *configstore.Snapshot) control.Configuration {
@@ -87,38 +87,38 @@
 	return m
 }
 
-func (c *cells) status(ctx context.Context) ([]model.CellStatus, error) {
+func (c *cellControllers) status(ctx context.Context) ([]model.CellStatus, error) {
 	var list []model.CellStatus
-	for _, to := range c.controllers {
-		st, err := actor.Ask(ctx, to, func(r actor.Reply[model.CellStatus]) control.Message {
+	for _, controller := range c.controllers {
+		status, err := actor.Ask(ctx, controller, func(r actor.Reply[model.CellStatus]) control.Message {
 			return control.StatusQuery{Reply: r}
 		})
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, st)
+		list = append(list, status)
 	}
 	return list, nil
 }
 
 // explainJob asks the controllers about a job; the one that knows it answers.
-func (c *cells) explainJob(ctx context.Context, id model.JobID) (any, error) {
-	for _, to := range c.controllers {
-		e, err := actor.Ask(ctx, to, func(r actor.Reply[control.Explanation]) control.Message {
+func (c *cellControllers) explainJob(ctx context.Context, id model.JobID) (any, error) {
+	for _, controller := range c.controllers {
+		explanation, err := actor.Ask(ctx, controller, func(r actor.Reply[control.Explanation]) control.Message {
 			return control.ExplainQuery{Job: id, Reply: r}
 		})
 		if err != nil {
 			return nil, err
 		}
-		if e.Known {
-			return e, nil
+		if explanation.Known {
+			return explanation, nil
 		}
 	}
 	return nil, storage.ErrNotFound
 }
 
 // matcher parses a label selector for the operators' API.
-func matcher(text string) (func(model.Labels) bool, error) {
+func parseSelector(text string) (func(model.Labels) bool, error) {
 	s, err := labels.Parse(text)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -6,7 +6,7 @@
 )
 
 // configCheck is the syntax that edits of the configuration must have.
-var configCheck = configstore.Validator{
+var configValidator = configstore.Validator{
 	Labels: labels.Validate,
 	Selector: func(text string) error {
 		_, err := labels.Parse(text)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,9 +39,9 @@
 
 // serve starts an HTTP server on l in g. The returned function stops it in
 // order: it accepts nothing new and waits for what runs.
-func serve(g *actor.Group, name string, l net.Listener, h http.Handler, maxHeader int) (shutdown func(context.Context) error) {
+func serve(g *actor.Group, name string, l net.Listener, h http.Handler, maxHeaderBytes int) (shutdown func(context.Context) error) {
 	s := &http.Server{
-		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: nil,
 	}
 	actor.Go(g, name, func(ctx context.Context) error {
@@ -56,10 +56,10 @@
 }
 
 const (
-	pauseCheck = 500 * time.Millisecond
+	pauseCheckInterval = 500 * time.Millisecond
 	// pauseBound is the gap between two checks above which the process counts
 	// as paused.
-	pauseBound = 2 * time.Second
+	minPause = 2 * time.Second
 )
 
 // watchPauses logs gaps in the process's own running time. The owners of
@@ -67,9 +67,9 @@
 func watchPauses(g *actor.Group, l log.Interface) {
 	actor.Go(g, "pause watch", func(ctx context.Context) error {
 		last := time.Now()
-		for actor.Sleep(ctx, pauseCheck) {
+		for actor.Sleep(ctx, pauseCheckInterval) {
 			now := time.Now()
-			if gap := now.Sub(last); gap > pauseBound {
+			if gap := now.Sub(last); gap > minPause {
 				event.Log(l, event.PauseDetected, log.Fields{"gap_ms": gap.Milliseconds()})
 			}
 			last = now
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -22,7 +22,7 @@
 	OperatorListen string
 	Build          string // version of the program
 	Log            log.Interface
-	Recent         *Recent // the newest log events; may be nil
+	RecentEvents   *RecentEvents // the newest log events; may be nil
 }
 
 // Dev is a whole system in one process: entry, agent, and simulators of the
@@ -35,37 +35,37 @@
 }
 
 const (
-	devDataCentre = "dev"
-	devCell       = "dev"
-	devService    = "permit-desk"
-	devWorker     = "worker-1"
-	devCores      = 8000 // milli-CPU
-	devMemory     = 16 << 30
-	anyPort       = "127.0.0.1:0"
+	devDataCentre   = "dev"
+	devCell         = "dev"
+	devService      = "permit-desk"
+	devWorker       = "worker-1"
+	devMilliCPU     = 8000 // milli-CPU
+	devMemoryBytes  = 16 << 30
+	anyLoopbackPort = "127.0.0.1:0"
 )
 
 // StartDev starts the system in g.
 func StartDev(g *actor.Group, c DevConfig) (*Dev, error) {
-	callers, err := net.Listen("tcp", c.Listen)
+	callersListener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w; name another address for callers with --listen", err)
 	}
-	operator, err := net.Listen("tcp", c.OperatorListen)
+	operatorListener, err := net.Listen("tcp", c.OperatorListen)
 	if err != nil {
 		return nil, fmt.Errorf("%w; name another address for operators with --operator-listen", err)
 	}
-	agents, err := link.Listen(g, anyPort, link.Config{})
+	agentsListener, err := link.Listen(g, anyLoopbackPort, link.Config{})
 	if err != nil {
 		return nil, err
 	}
 	table := standin.NewTable(g, standin.StoreFaults{})
 	objects := standin.NewObjects(g, standin.StoreFaults{})
-	d := &Dev{Callers: callers.Addr().String(), Operator: operator.Addr().String()}
+	d := &Dev{Callers: callersListener.Addr().String(), Operator: operatorListener.Addr().String()}
 	d.entry = StartEntry(g, EntryConfig{
 		Settings: devSettings(), Build: c.Build, Table: table, Objects: objects,
-		Callers: callers, Agents: agents, Operator: operator, Log: c.Log, Recent: c.Recent,
+		Callers: callersListener, Agents: agentsListener, Operator: operatorListener, Log: c.Log, RecentEvents: c.RecentEvents,
 	})
-	return d, d.startHost(g, c, agents.Addr(), objects)
+	return d, d.startHost(g, c, agentsListener.Addr(), objects)
 }
 
 func devSettings() *settings.Settings {
@@ -79,31 +79,31 @@
 
 // startHost starts the simulated host: its worker, its backend server and its
 // agent.
-func (d *Dev) startHost(g *actor.Group, c DevConfig, entry string, objects *standin.Objects) error {
-	announce, err := net.Listen("tcp", anyPort)
+func (d *Dev) startHost(g *actor.Group, c DevConfig, entryAddress string, objects *standin.Objects) error {
+	announceListener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return err
 	}
-	tasksListener, err := net.Listen("tcp", anyPort)
+	workerListener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return err
 	}
-	requests, err := net.Listen("tcp", anyPort)
+	backendListener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return err
 	}
-	capacity := model.Resources{CPU: devCores, Memory: devMemory}
+	capacity := model.Resources{CPU: devMilliCPU, Memory: devMemoryBytes}
 	worker := standin.NewWorker(g, standin.WorkerConfig{ID: devWorker, Capacity: capacity, Objects: objects})
-	actor.Go(g, "simulated worker", func(ctx context.Context) error { return worker.Serve(ctx, tasksListener) })
+	actor.Go(g, "simulated worker", func(ctx context.Context) error { return worker.Serve(ctx, workerListener) })
 	backend := standin.NewBackend(g, standin.BackendConfig{
-		Service: devService, Address: requests.Addr().String(), Agent: "http://" + announce.Addr().String(),
+		Service: devService, Address: backendListener.Addr().String(), Agent: "http://" + announceListener.Addr().String(),
 	})
-	actor.Go(g, "simulated backend server", func(ctx context.Context) error { return backend.Serve(ctx, requests) })
+	actor.Go(g, "simulated backend server", func(ctx context.Context) error { return backend.Serve(ctx, backendListener) })
 	d.agent = StartAgent(g, AgentConfig{
 		Worker: model.Worker{ID: devWorker, DataCentre: devDataCentre, Rack: "rack-1", Capacity: capacity},
-		Cell:   devCell, Entries: []string{entry}, Announce: announce,
+		Cell:   devCell, Entries: []string{entryAddress}, Announce: announceListener,
 		Dialer: link.NewDialer(g, link.Config{}), Log: c.Log,
-		WorkerClient: taskagent.NewHTTPWorkerClient("http://"+tasksListener.Addr().String(), http.DefaultClient),
+		WorkerClient: taskagent.NewHTTPWorkerClient("http://"+workerListener.Addr().String(), http.DefaultClient),
 	})
 	return nil
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -15,10 +15,10 @@
 // sends callers: they would be reset.
 func TestDrainIsAnnouncedBeforeTheListenerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := &view{leaving: &actor.Value[bool]{}}
-		began, healthy := time.Now(), true
-		e := &Entry{leaving: v.leaving, lameDuck: 5 * time.Second, shutdownCallers: func(context.Context) error {
-			require.Equal(t, 5*time.Second, time.Since(began))
+		v := &operatorView{draining: &actor.Value[bool]{}}
+		start, healthy := time.Now(), true
+		e := &Entry{draining: v.draining, drainDelay: 5 * time.Second, shutdownCallers: func(context.Context) error {
+			require.Equal(t, 5*time.Second, time.Since(start))
 			healthy = v.health(t.Context()) == nil
 			return nil
 		}}
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -34,10 +34,10 @@
 	// LameDuck is how long a draining entry goes on accepting callers while
 	// /healthz tells the platform's balancer to send no more: a connection that
 	// waits in the kernel's queue is reset when its listener closes.
-	LameDuck time.Duration
-	Began    time.Time // start of the process; zero: services that are not known are so at once
-	Log      log.Interface
-	Recent   *Recent // the newest log events; may be nil
+	DrainDelay   time.Duration
+	StartedAt    time.Time // start of the process; zero: services that are not known are so at once
+	Log          log.Interface
+	RecentEvents *RecentEvents // the newest log events; may be nil
 }
 
 // directoryInterval is how often an entry reads the list of entries.
@@ -47,8 +47,8 @@
 type Entry struct {
 	shutdownCallers func(context.Context) error
 	api             *operator.API
-	leaving         *actor.Value[bool]
-	lameDuck        time.Duration
+	draining        *actor.Value[bool]
+	drainDelay      time.Duration
 }
 
 // SetOperatorToken replaces the token of the operators' API.
@@ -56,36 +56,36 @@
 
 // StartEntry starts the actors of an entry in g.
 func StartEntry(g *actor.Group, c EntryConfig) *Entry {
-	set := c.Settings
-	self := entry.Self{Entry: model.EntryID(set.Daemon.ID), Boot: newBoot(), DataCentre: set.Daemon.DataCentre}
-	store := configstore.StartStore(g, configstore.StoreConfig{ID: self.Entry, Table: c.Table, Validator: configCheck, Log: c.Log})
-	table := &actor.Value[entry.RoutingTable]{}
-	dispatcher := entry.SpawnDispatcher(g, self, routing(configstore.NewSnapshot(0, nil), set), table)
-	controllers := startCells(g, set.Entry.Cells, self, c.Agents.Addr(), c.Table, c.Log)
+	cfg := c.Settings
+	self := entry.Self{Entry: model.EntryID(cfg.Daemon.ID), Boot: newBoot(), DataCentre: cfg.Daemon.DataCentre}
+	store := configstore.StartStore(g, configstore.StoreConfig{ID: self.Entry, Table: c.Table, Validator: configValidator, Log: c.Log})
+	routes := &actor.Value[entry.RoutingTable]{}
+	dispatcher := entry.SpawnDispatcher(g, self, routingTable(configstore.NewSnapshot(0, nil), cfg), routes)
+	controllers := startCellControllers(g, cfg.Entry.Cells, self, c.Agents.Addr(), c.Table, c.Log)
 	// Subscribe fails only when the process ends.
 	_ = store.Subscribe(g.Context(), func(u configstore.Update) bool {
-		return dispatcher.TrySend(entry.SetRouting{Table: routing(u.Snapshot, set)}) && controllers.configure(u.Snapshot)
+		return dispatcher.TrySend(entry.SetRouting{Table: routingTable(u.Snapshot, cfg)}) && controllers.setConfig(u.Snapshot)
 	})
-	startLinks(g, c, self, store, dispatcher, controllers)
+	startAgentLinks(g, c, self, store, dispatcher, controllers)
 	registry := metrics.Start(g)
-	recent := metrics.StartRecentRequests(g)
-	v := &view{recent: recent, self: self, dispatcher: dispatcher, cells: controllers, table: c.Table,
-		entries: &actor.Value[directory.List]{}, leaving: &actor.Value[bool]{}}
+	recentRequests := metrics.StartRecentRequests(g)
+	v := &operatorView{recentRequests: recentRequests, self: self, dispatcher: dispatcher, cells: controllers, table: c.Table,
+		entries: &actor.Value[directory.List]{}, draining: &actor.Value[bool]{}}
 	api := startOperator(g, c, v, store, registry)
-	front := &entry.Frontend{
-		Dispatcher: dispatcher, Table: table.Get, MaxBody: int64(set.Entry.MaxBody),
-		StartedAt: c.Began, Semaphore: make(chan struct{}, set.Entry.MaxCallers), Observe: observer(metrics.StartRequests(g, registry), recent.Observe),
+	frontend := &entry.Frontend{
+		Dispatcher: dispatcher, Table: routes.Get, MaxBody: int64(cfg.Entry.MaxBody),
+		StartedAt: c.StartedAt, Semaphore: make(chan struct{}, cfg.Entry.MaxCallers), Observe: requestObserver(metrics.StartRequests(g, registry), recentRequests.Observe),
 	}
 	directory.Announce(g, c.Table, rows.Entry{
 		ID: self.Entry, Boot: self.Boot, Address: c.Agents.Addr(), Operator: c.Operator.Addr().String(),
-		DataCentre: self.DataCentre, Region: set.Daemon.Region,
+		DataCentre: self.DataCentre, Region: cfg.Daemon.Region,
 	})
 	watchPauses(g, c.Log)
-	return &Entry{api: api, leaving: v.leaving, lameDuck: c.LameDuck, shutdownCallers: serve(g, "callers listener", c.Callers, front, int(set.Entry.MaxHeader))}
+	return &Entry{api: api, draining: v.draining, drainDelay: c.DrainDelay, shutdownCallers: serve(g, "callers listener", c.Callers, frontend, int(cfg.Entry.MaxHeader))}
 }
 
 // observer turns the results of requests into measurements.
-func observer(records ...func(metrics.Observation)) func(entry.Result) {
+func requestObserver(observers ...func(metrics.Observation)) func(entry.Result) {
 	return func(r entry.Result) {
 		outcome := "done"
 		switch {
@@ -94,17 +94,17 @@
 		case r.LocalReply:
 			outcome = r.Outcome.String()
 		}
-		for _, record := range records {
-			record(metrics.Observation{Service: string(r.Service), Class: string(r.Class), Tenant: string(r.Tenant),
+		for _, observe := range observers {
+			observe(metrics.Observation{Service: string(r.Service), Class: string(r.Class), Tenant: string(r.Tenant),
 				Outcome: outcome, Duration: r.Duration})
 		}
 	}
 }
 
-func startLinks(g *actor.Group, c EntryConfig, self entry.Self, store *configstore.Store, dispatcher entry.Address, controllers *cells) {
+func startAgentLinks(g *actor.Group, c EntryConfig, self entry.Self, store *configstore.Store, dispatcher entry.Address, controllers *cellControllers) {
 	links := &entry.Links{
 		Self: self, Dispatcher: dispatcher, Log: c.Log,
-		Subscribers: []entry.Subscriber{entryConfig{g.Context(), store.Handle}, controllers},
+		Subscribers: []entry.Subscriber{entryConfigSubscriber{g.Context(), store.Handle}, controllers},
 		Version: func() model.ConfigVersion {
 			u, err := store.Current(g.Context())
 			if err != nil {
@@ -119,16 +119,16 @@
 // Drain reports the entry as unhealthy, accepts no new callers after the lame
 // duck time, and waits until every request in progress has been answered.
 func (e *Entry) Drain(ctx context.Context) error {
-	leaving := true
-	e.leaving.Set(&leaving)
-	if !actor.Sleep(ctx, e.lameDuck) {
+	draining := true
+	e.draining.Set(&draining)
+	if !actor.Sleep(ctx, e.drainDelay) {
 		return ctx.Err()
 	}
 	return e.shutdownCallers(ctx)
 }
 
 // entryConfig passes configuration messages of agents to the store.
-type entryConfig struct {
+type entryConfigSubscriber struct {
 	ctx    context.Context
 	handle configstore.Handle
 }
@@ -136,17 +136,17 @@
 // The sends below fail only when the process ends.
 
 // AgentUp implements entry.Subscriber.
-func (s entryConfig) AgentUp(hello msg.AgentHello, out peer.Out) {
+func (s entryConfigSubscriber) AgentUp(hello msg.AgentHello, out peer.Out) {
 	_ = s.handle.LinkUp(s.ctx, string(hello.Worker.ID), hello.Version, out)
 }
 
 // AgentDown implements entry.Subscriber.
-func (s entryConfig) AgentDown(hello msg.AgentHello, out peer.Out) {
+func (s entryConfigSubscriber) AgentDown(hello msg.AgentHello, out peer.Out) {
 	_ = s.handle.LinkDown(s.ctx, string(hello.Worker.ID), out)
 }
 
 // FromAgent implements entry.Subscriber.
-func (s entryConfig) FromAgent(hello msg.AgentHello, m msg.Control) {
+func (s entryConfigSubscriber) FromAgent(hello msg.AgentHello, m msg.Control) {
 	switch m.(type) {
 	case *msg.ConfigDelta, *msg.ConfigRequest, *msg.ConfigApplied:
 		_ = s.handle.Deliver(s.ctx, string(hello.Worker.ID), m)
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -20,45 +20,45 @@
 )
 
 // view answers the operators' questions about an entry.
-type view struct {
-	self       entry.Self
-	dispatcher entry.Address
-	recent     *metrics.RecentRequests
-	cells      *cells
-	table      storage.Table
-	entries    *actor.Value[directory.List]
-	leaving    *actor.Value[bool] // set when the entry shuts down
+type operatorView struct {
+	self           entry.Self
+	dispatcher     entry.Address
+	recentRequests *metrics.RecentRequests
+	cells          *cellControllers
+	table          storage.Table
+	entries        *actor.Value[directory.List]
+	draining       *actor.Value[bool] // set when the entry shuts down
 }
 
-func startOperator(g *actor.Group, c EntryConfig, v *view, store *configstore.Store, registry *metrics.Registry) *operator.API {
-	set := c.Settings
+func startOperator(g *actor.Group, c EntryConfig, v *operatorView, store *configstore.Store, registry *metrics.Registry) *operator.API {
+	cfg := c.Settings
 	directory.Follow(g, c.Table, directoryInterval, c.Log, func(list directory.List) { v.entries.Set(&list) })
 	config := operator.Config{
-		Entry: v.self.Entry, Build: c.Build, Token: set.Entry.OperatorToken, DefaultCell: set.Entry.DefaultCell,
+		Entry: v.self.Entry, Build: c.Build, Token: cfg.Entry.OperatorToken, DefaultCell: cfg.Entry.DefaultCell,
 		Table: c.Table, Objects: c.Objects, ConfigStore: store, Log: c.Log,
-		ValidateLabels: labels.Validate, ParseSelector: matcher, IsFinal: control.Final,
+		ValidateLabels: labels.Validate, ParseSelector: parseSelector, IsFinal: control.Final,
 		Services: v.services, Cells: v.cells.status, Explain: v.explain, Drain: v.drain, Peers: v.peers,
-		Metrics: registry.Handler(), Settings: set.Public(), Health: v.health,
+		Metrics: registry.Handler(), Settings: cfg.Public(), Health: v.health,
 	}
-	if c.Recent != nil {
-		config.RecentEvents = c.Recent.Events
+	if c.RecentEvents != nil {
+		config.RecentEvents = c.RecentEvents.Events
 	}
 	api := operator.New(g, config)
 	api.Serve(g, c.Operator)
 	return api
 }
 
-var errLeaving = errors.New("the entry is shutting down")
+var errDraining = errors.New("the entry is shutting down")
 
 // health is what the platform's balancer asks for.
-func (v *view) health(context.Context) error {
-	if v.leaving.Get() != nil {
-		return errLeaving
+func (v *operatorView) health(context.Context) error {
+	if v.draining.Get() != nil {
+		return errDraining
 	}
 	return nil
 }
 
-func (v *view) services(ctx context.Context) ([]model.ServiceStatus, error) {
+func (v *operatorView) services(ctx context.Context) ([]model.ServiceStatus, error) {
 	list, err := actor.Ask(ctx, v.dispatcher, func(r actor.Reply[[]model.ServiceStatus]) entry.Message {
 		return entry.StatusQuery{Reply: r}
 	})
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	slices.SortFunc(list, func(a, b model.ServiceStatus) int { return cmp.Compare(a.Service, b.Service) })
-	recent, err := v.recent.Read(ctx)
+	recent, err := v.recentRequests.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	return list, nil
 }
 
-func (v *view) drain(ctx context.Context, id model.BackendID) error {
+func (v *operatorView) drain(ctx context.Context, id model.BackendID) error {
 	found, err := actor.Ask(ctx, v.dispatcher, func(r actor.Reply[bool]) entry.Message {
 		return entry.DrainQuery{Backend: id, Reply: r}
 	})
@@ -94,7 +94,7 @@
 // with the list of up to directoryInterval ago, an edit was reported in effect
 // everywhere before an entry that had just started had it. While the table is
 // away the list stands: no entry can announce itself.
-func (v *view) peers(ctx context.Context) ([]operator.Peer, error) {
+func (v *operatorView) peers(ctx context.Context) ([]operator.Peer, error) {
 	known := v.entries.Get()
 	if known == nil {
 		return nil, errors.Wrap(storage.ErrUnavailable, "the list of entries has not been read yet")
@@ -113,7 +113,7 @@
 }
 
 // explain says why a thing is in its state.
-func (v *view) explain(ctx context.Context, kind, name string) (any, error) {
+func (v *operatorView) explain(ctx context.Context, kind, name string) (any, error) {
 	switch kind {
 	case "job":
 		return v.cells.explainJob(ctx, model.JobID(name))
@@ -132,7 +132,7 @@
 	return nil, storage.ErrNotFound
 }
 
-func (v *view) explainWorker(ctx context.Context, id model.WorkerID) (any, error) {
+func (v *operatorView) explainWorker(ctx context.Context, id model.WorkerID) (any, error) {
 	list, err := v.cells.status(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -31,7 +31,7 @@
 		require.NoError(t, err)
 	}
 	announce("self")
-	v := &view{self: entry.Self{Entry: "self"}, table: table, entries: &actor.Value[directory.List]{}}
+	v := &operatorView{self: entry.Self{Entry: "self"}, table: table, entries: &actor.Value[directory.List]{}}
 	read := make(chan struct{}, 1)
 	directory.Follow(g, table, time.Hour, &log.Logger{Handler: discard.New()}, func(l directory.List) {
 		v.entries.Set(&l)
--- a/internal/daemon/recent_test.go
+++ b/internal/daemon/recent_test.go
@@ -18,16 +18,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
 		defer g.Stop()
-		r := StartRecent(g, discard.New())
+		r := StartRecentEvents(g, discard.New())
 		l := &log.Logger{Handler: r, Level: log.InfoLevel}
-		for i := range 3 * recentEvents {
+		for i := range 3 * maxRecentEvents {
 			event.Log(l, event.LinkUp, log.Fields{"number": i})
 			synctest.Wait()
 		}
 		events, err := r.Events(t.Context())
 		require.NoError(t, err)
-		require.Len(t, events, recentEvents)
-		require.Equal(t, fmt.Sprint(3*recentEvents-1), events[recentEvents-1].Fields["number"])
+		require.Len(t, events, maxRecentEvents)
+		require.Equal(t, fmt.Sprint(3*maxRecentEvents-1), events[maxRecentEvents-1].Fields["number"])
 		require.Equal(t, fmt.Sprint(event.LinkUp.ID), events[0].Fields["event"])
 	})
 }
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -9,20 +9,20 @@
 
 // routing derives the services and classes of requests from the labels in
 // force.
-func routing(s *configstore.Snapshot, set *settings.Settings) *entry.RoutingTable {
-	t := &entry.RoutingTable{
+func routingTable(s *configstore.Snapshot, cfg *settings.Settings) *entry.RoutingTable {
+	table := &entry.RoutingTable{
 		Services:       map[model.Service]entry.ServiceRule{},
-		DefaultService: set.Entry.DefaultService, DefaultDeadline: set.Entry.RequestDeadline,
+		DefaultService: cfg.Entry.DefaultService, DefaultDeadline: cfg.Entry.RequestDeadline,
 	}
-	t.SharedClasses = classRules(s.Classes(""), nil)
+	table.SharedClasses = classRules(s.Classes(""), nil)
 	for _, name := range configuredServices(s) {
-		p := s.Service(name)
-		t.Services[name] = entry.ServiceRule{
-			Name: name, DefaultTenant: p.DefaultTenant,
-			Classes: classRules(s.Classes(name), p.IdempotentMethods),
+		properties := s.Service(name)
+		table.Services[name] = entry.ServiceRule{
+			Name: name, DefaultTenant: properties.DefaultTenant,
+			Classes: classRules(s.Classes(name), properties.IdempotentMethods),
 		}
 	}
-	return t
+	return table
 }
 
 // configuredServices lists the services that have labels or classes of their
@@ -33,37 +33,37 @@
 		list = append(list, model.Service(k.Name))
 	}
 	for _, k := range s.Keys(model.KindClass) {
-		if p := s.Class(model.Class(k.Name)); p.Service != "" {
-			list = append(list, p.Service)
+		if properties := s.Class(model.Class(k.Name)); properties.Service != "" {
+			list = append(list, properties.Service)
 		}
 	}
 	return list
 }
 
-func classRules(classes []configstore.ClassProperties, methods []string) []entry.ClassRule {
+func classRules(classes []configstore.ClassProperties, defaultMethods []string) []entry.ClassRule {
 	rules := make([]entry.ClassRule, 0, len(classes))
 	for _, c := range classes {
 		r := entry.ClassRule{Name: c.Class, PathPrefixes: c.PathPrefixes, Deadline: c.Deadline}
 		if c.Long {
 			r.Long = &c.Long
 		}
-		own := c.IdempotentMethods
-		if own == nil {
-			own = methods
+		idempotent := c.IdempotentMethods
+		if idempotent == nil {
+			idempotent = defaultMethods
 		}
-		r.Idempotent = set(own)
+		r.Idempotent = methodSet(idempotent)
 		rules = append(rules, r)
 	}
 	return rules
 }
 
 // set returns nil for a nil list: the methods of RFC 9110 apply then.
-func set(list []string) map[string]bool {
-	if list == nil {
+func methodSet(methods []string) map[string]bool {
+	if methods == nil {
 		return nil
 	}
-	m := make(map[string]bool, len(list))
-	for _, v := range list {
+	m := make(map[string]bool, len(methods))
+	for _, v := range methods {
 		m[v] = true
 	}
 	return m
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -14,7 +14,7 @@
 // Guards against a class of a service that has no effect because the service
 // itself has no labels.
 func TestClassOfServiceWithoutLabels(t *testing.T) {
-	table := routing(configstore.NewSnapshot(1, map[model.ConfigKey]model.ConfigItem{
+	table := routingTable(configstore.NewSnapshot(1, map[model.ConfigKey]model.ConfigItem{
 		{Kind: model.KindClass, Name: "reads"}: {Labels: model.Labels{"service": "permit-desk", "path-prefix": "/echo", "deadline-ms": "500"}},
 	}), &settings.Settings{})
 	require.Len(t, table.Services["permit-desk"].Classes, 1)
--- a/internal/settings/job.go
+++ b/internal/settings/job.go
@@ -28,16 +28,18 @@
 }
 
 // LinkAddress is where the process accepts links.
-func (n *JobDaemon) LinkAddress() string { return n.linkTo(n.IP) }
+func (d *JobDaemon) LinkAddress() string { return d.linkAddressAt(d.IP) }
 
-func (n *JobDaemon) linkTo(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(n.LinkPort)) }
+func (d *JobDaemon) linkAddressAt(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(d.LinkPort))
+}
 
 // SeedLinks returns the addresses of the links at the seeds.
-func (n *JobDaemon) SeedLinks() []string {
+func (d *JobDaemon) SeedLinks() []string {
 	var list []string
-	for _, s := range n.Seeds {
+	for _, s := range d.Seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
-			list = append(list, n.linkTo(host))
+			list = append(list, d.linkAddressAt(host))
 		}
 	}
 	return list
@@ -50,51 +52,51 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := jobNodeReader{file: file, ini: f}
-	n := &JobDaemon{
+	r := jobDaemonReader{file: file, ini: f}
+	d := &JobDaemon{
 		Name: r.text("node", "name"), IP: r.text("node", "ip"), DataCentre: r.text("node", "data-centre"),
 		LinkPort: r.number("node", "link-port"), Store: r.text("store", "address"),
 		Seeds: f.Section("links").Key("seeds").Strings(","),
 	}
 	switch role {
 	case "entry":
-		n.Callers, n.Readiness = r.text("entry", "callers"), r.text("entry", "readiness")
+		d.Callers, d.Readiness = r.text("entry", "callers"), r.text("entry", "readiness")
 	case "agent":
-		n.Registry, n.Backend = r.text("agent", "registry"), r.text("agent", "backend")
-		n.MaxLease = r.duration("agent", "max-lease")
+		d.Registry, d.Backend = r.text("agent", "registry"), r.text("agent", "backend")
+		d.MaxLease = r.duration("agent", "max-lease")
 	default:
 		return nil, errors.New("role must be entry or agent")
 	}
-	return n, r.found.Err()
+	return d, r.findings.Err()
 }
 
 // jobNodeReader collects what is wrong with the keys that it reads.
-type jobNodeReader struct {
-	file  string
-	ini   *ini.File
-	found finding.List
+type jobDaemonReader struct {
+	file     string
+	ini      *ini.File
+	findings finding.List
 }
 
-func (r *jobNodeReader) text(section, key string) string {
+func (r *jobDaemonReader) text(section, key string) string {
 	v := r.ini.Section(section).Key(key).String()
 	if v == "" {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is missing")
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is missing")
 	}
 	return v
 }
 
-func (r *jobNodeReader) number(section, key string) int {
+func (r *jobDaemonReader) number(section, key string) int {
 	v, err := strconv.Atoi(r.text(section, key))
 	if err != nil {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is not a number: %v", err)
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is not a number: %v", err)
 	}
 	return v
 }
 
-func (r *jobNodeReader) duration(section, key string) time.Duration {
+func (r *jobDaemonReader) duration(section, key string) time.Duration {
 	v, err := time.ParseDuration(r.text(section, key))
 	if err != nil || v <= 0 {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is not a positive duration: %v", err)
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is not a positive duration: %v", err)
 	}
 	return v
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -14,23 +14,23 @@
 // key is one row of the table that checks and documents the settings.
 type key struct {
 	section, name string
-	def           string // text of the default; empty: none
-	needed        Role   // role that needs the key set; anyRole, or empty for optional
-	meaning       string
+	defaultText   string // text of the default; empty: none
+	requiredBy    Role   // role that needs the key set; anyRole, or empty for optional
+	description   string
 	value
 }
 
 // value ties a key to its field and its type.
 type value struct {
-	typ    string
-	set    func(*Settings, string) error
-	empty  func(*Settings) bool
-	shown  func(*Settings) string
-	secret bool // its value is never shown
+	typ     string
+	set     func(*Settings, string) error
+	isEmpty func(*Settings) bool
+	text    func(*Settings) string
+	secret  bool // its value is never shown
 }
 
 // hidden marks a value as secret.
-func hidden(v value) value {
+func markSecret(v value) value {
 	v.secret = true
 	return v
 }
@@ -41,17 +41,17 @@
 	m := map[string]string{}
 	for _, k := range keys {
 		switch {
-		case k.empty(s):
+		case k.isEmpty(s):
 		case k.secret:
-			m[place(k.section, k.name)] = "(secret)"
+			m[qualifiedKey(k.section, k.name)] = "(secret)"
 		default:
-			m[place(k.section, k.name)] = k.shown(s)
+			m[qualifiedKey(k.section, k.name)] = k.text(s)
 		}
 	}
 	return m
 }
 
-func shownText(v any) string {
+func publicText(v any) string {
 	if u, ok := v.(*url.URL); ok && u != nil {
 		return u.Redacted()
 	}
@@ -59,7 +59,7 @@
 }
 
 // of makes a value of the type that parse reads, kept in field.
-func of[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
+func newValue[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
 	return value{
 		typ: typ,
 		set: func(s *Settings, text string) error {
@@ -69,27 +69,27 @@
 			}
 			return err
 		},
-		empty: func(s *Settings) bool { return isEmpty(*field(s)) },
-		shown: func(s *Settings) string { return shownText(*field(s)) },
+		isEmpty: func(s *Settings) bool { return isEmpty(*field(s)) },
+		text:    func(s *Settings) string { return publicText(*field(s)) },
 	}
 }
 
-func zero[T comparable](v T) bool { var z T; return v == z }
+func isZero[T comparable](v T) bool { var z T; return v == z }
 
 func text[T ~string](field func(*Settings) *T) value {
-	return of("text", parseText[T], zero[T], field)
+	return newValue("text", parseText[T], isZero[T], field)
 }
 
 func list[T ~string](field func(*Settings) *[]T) value {
-	return of("comma-separated list", parseList[T], func(v []T) bool { return len(v) == 0 }, field)
+	return newValue("comma-separated list", parseList[T], func(v []T) bool { return len(v) == 0 }, field)
 }
 
 func address(field func(*Settings) *string) value {
-	return of("host:port", parseAddress, zero[string], field)
+	return newValue("host:port", parseAddress, isZero[string], field)
 }
 
 func size(field func(*Settings) *model.Bytes) value {
-	return of("size, such as 64KiB or 10MiB", ParseBytes, zero[model.Bytes], field)
+	return newValue("size, such as 64KiB or 10MiB", ParseBytes, isZero[model.Bytes], field)
 }
 
 // keys is every key of the file, in the order of the reference.
@@ -101,7 +101,7 @@
 func daemonKeys() []key {
 	return []key{
 		{"daemon", "role", "", anyRole, "What the process does: `entry` serves callers and operators, `agent` is the authority for one worker.",
-			of("entry or agent", parseRole, zero[Role], func(s *Settings) *Role { return &s.Daemon.Role })},
+			newValue("entry or agent", parseRole, isZero[Role], func(s *Settings) *Role { return &s.Daemon.Role })},
 		{"daemon", "id", "", anyRole, "Name of the process: the entry's id, or the worker's id for an agent. It is unique in the system.",
 			text(func(s *Settings) *string { return &s.Daemon.ID })},
 		{"daemon", "data-centre", "", anyRole, "Data centre of the host.",
@@ -109,11 +109,11 @@
 		{"daemon", "region", "default", "", "Region of the host. Agents connect to the entries of their region only.",
 			text(func(s *Settings) *model.Region { return &s.Daemon.Region })},
 		{"daemon", "log-level", "info", "", "Lowest level that is logged.",
-			of("debug, info, warn or error", parseLevel, func(l logLevel) bool { return false }, func(s *Settings) *logLevel { return &s.Daemon.LogLevel })},
+			newValue("debug, info, warn or error", parseLevel, func(l logLevel) bool { return false }, func(s *Settings) *logLevel { return &s.Daemon.LogLevel })},
 		{"daemon", "table", "", RoleEntry, "Base URL of the table service.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Table })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Table })},
 		{"daemon", "objects", "", RoleEntry, "Base URL of the object store.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Objects })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Objects })},
 	}
 }
 
@@ -126,7 +126,7 @@
 		{"entry", "operator-listen", "127.0.0.1:8081", RoleEntry, "Address of the operators' API.",
 			address(func(s *Settings) *string { return &s.Entry.OperatorListen })},
 		{"entry", "operator-token", "", "", "Bearer token that the operators' API requires. Without it the API is open to everyone who can connect.",
-			hidden(text(func(s *Settings) *string { return &s.Entry.OperatorToken }))},
+			markSecret(text(func(s *Settings) *string { return &s.Entry.OperatorToken }))},
 		{"entry", "cells", "", "", "Cells whose ownership this entry contends for.",
 			list(func(s *Settings) *[]model.Cell { return &s.Entry.Cells })},
 		{"entry", "default-cell", "", "", "Cell of jobs that are submitted without one; by default the first of `cells`.",
@@ -138,16 +138,16 @@
 		{"entry", "max-header", "64KiB", "", "Largest header of a caller's request; larger ones are answered 431.",
 			size(func(s *Settings) *model.Bytes { return &s.Entry.MaxHeader })},
 		{"entry", "max-callers", "10000", "", "Largest number of callers' connections open at the same time.",
-			of("number", parseCount, zero[int], func(s *Settings) *int { return &s.Entry.MaxCallers })},
+			newValue("number", parseCount, isZero[int], func(s *Settings) *int { return &s.Entry.MaxCallers })},
 		{"entry", "request-deadline", "30s", "", "Deadline of requests whose class has no `deadline-ms` label.",
-			of("duration, such as 500ms or 30s", parseDuration, isZeroDuration, func(s *Settings) *durationValue { return &s.Entry.RequestDeadline })},
+			newValue("duration, such as 500ms or 30s", parseDuration, isZeroDuration, func(s *Settings) *durationValue { return &s.Entry.RequestDeadline })},
 	}
 }
 
 func agentKeys() []key {
 	return []key{
 		{"agent", "entries", "", RoleAgent, "Addresses of entries to connect to first; the table lists the others.",
-			of("list of host:port", parseAddresses, func(v []string) bool { return len(v) == 0 }, func(s *Settings) *[]string { return &s.Agent.Entries })},
+			newValue("list of host:port", parseAddresses, func(v []string) bool { return len(v) == 0 }, func(s *Settings) *[]string { return &s.Agent.Entries })},
 		{"agent", "cell", "", RoleAgent, "Cell that schedules the worker.",
 			text(func(s *Settings) *model.Cell { return &s.Agent.Cell })},
 		{"agent", "rack", "", "", "Rack of the worker.",
@@ -155,17 +155,17 @@
 		{"agent", "announce-listen", "127.0.0.1:8082", RoleAgent, "Address on which the backend server of the host announces itself.",
 			address(func(s *Settings) *string { return &s.Agent.AnnounceListen })},
 		{"agent", "worker", "", "", "Base URL of the host's worker; without it the host runs no tasks.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Agent.Worker })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Agent.Worker })},
 		{"agent", "processors", "", "", "Processors that tasks may use; by default what the worker reports.",
-			of("cores, such as 32 or 500m", ParseCPU, zero[model.MilliCPU], func(s *Settings) *model.MilliCPU { return &s.Agent.Capacity.CPU })},
+			newValue("cores, such as 32 or 500m", ParseCPU, isZero[model.MilliCPU], func(s *Settings) *model.MilliCPU { return &s.Agent.Capacity.CPU })},
 		{"agent", "memory", "", "", "Memory that tasks may use; by default what the worker reports.",
 			size(func(s *Settings) *model.Bytes { return &s.Agent.Capacity.Memory })},
 		{"agent", "accelerators", "", "", "Accelerators that tasks may use; by default what the worker reports.",
-			of("number", parseAccelerators, zero[int64], func(s *Settings) *int64 { return &s.Agent.Capacity.Accelerators })},
+			newValue("number", parseAccelerators, isZero[int64], func(s *Settings) *int64 { return &s.Agent.Capacity.Accelerators })},
 		{"agent", "labels", "", "", "Labels that the worker announces; labels set by operators take precedence.",
-			of("list of key=value", parseLabels, func(v labelsValue) bool { return len(v) == 0 }, func(s *Settings) *labelsValue { return &s.Agent.Labels })},
+			newValue("list of key=value", parseLabels, func(v labelsValue) bool { return len(v) == 0 }, func(s *Settings) *labelsValue { return &s.Agent.Labels })},
 		{"agent", "config", "required", "", "`required`: no task starts before the agent holds a configuration. `optional`: tasks start without one.",
-			of("required or optional", parseRequired, func(bool) bool { return false }, func(s *Settings) *bool { return &s.Agent.ConfigRequired })},
+			newValue("required or optional", parseRequired, func(bool) bool { return false }, func(s *Settings) *bool { return &s.Agent.ConfigRequired })},
 	}
 }
 
@@ -180,9 +180,9 @@
 	}
 }
 
-func lookup(where string) *key {
+func findKey(name string) *key {
 	for i := range keys {
-		if place(keys[i].section, keys[i].name) == where {
+		if qualifiedKey(keys[i].section, keys[i].name) == name {
 			return &keys[i]
 		}
 	}
@@ -190,15 +190,15 @@
 }
 
 // nearest returns the place of the known key with the smallest edit distance.
-func nearest(where string) string {
-	best, least := "", len(where)+100
+func nearestKey(name string) string {
+	nearest, minDistance := "", len(name)+100
 	for _, k := range keys {
-		known := place(k.section, k.name)
-		if d := distance(where, known); d < least {
-			best, least = known, d
+		known := qualifiedKey(k.section, k.name)
+		if d := distance(name, known); d < minDistance {
+			nearest, minDistance = known, d
 		}
 	}
-	return best
+	return nearest
 }
 
 // distance is the Levenshtein distance of two ASCII strings.
@@ -233,14 +233,14 @@
 		}
 		def := "none"
 		switch {
-		case k.def != "":
-			def = "`" + k.def + "`"
-		case k.needed == anyRole:
+		case k.defaultText != "":
+			def = "`" + k.defaultText + "`"
+		case k.requiredBy == anyRole:
 			def = "must be set"
-		case k.needed != "":
-			def = "must be set for role " + string(k.needed)
+		case k.requiredBy != "":
+			def = "must be set for role " + string(k.requiredBy)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.name, k.typ, def, k.meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.name, k.typ, def, k.description)
 	}
 	return strings.TrimPrefix(b.String(), "\n")
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -56,12 +56,12 @@
 
 func parseAddress(s string) (string, error) {
 	_, port, err := net.SplitHostPort(s)
-	var addr *net.AddrError
-	if errors.As(err, &addr) {
-		if addr.Err == "missing port in address" {
+	var addrErr *net.AddrError
+	if errors.As(err, &addrErr) {
+		if addrErr.Err == "missing port in address" {
 			return "", errors.New("missing port")
 		}
-		return "", errors.New(addr.Err)
+		return "", errors.New(addrErr.Err)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil {
 		return "", fmt.Errorf("port %q is not a number from 0 to 65535", port)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,16 +89,16 @@
 
 // Parse checks settings held in memory; source names them in findings.
 func Parse(source string, raw []byte) (*Settings, error) {
-	r := reader{source: source, places: map[string]int{}, faulty: map[string]bool{}}
-	readable := r.scan(string(raw))
-	file, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true}, []byte(readable))
+	r := reader{source: source, lines: map[string]int{}, invalid: map[string]bool{}}
+	iniText := r.scan(string(raw))
+	file, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true}, []byte(iniText))
 	if err != nil {
-		r.found.Add(source, 0, "", "not an INI file: %v", err)
-		return nil, r.found
+		r.findings.Add(source, 0, "", "not an INI file: %v", err)
+		return nil, r.findings
 	}
-	s := r.values(file)
-	r.together(s)
-	if err := r.found.Err(); err != nil {
+	s := r.parseValues(file)
+	r.checkCombinations(s)
+	if err := r.findings.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -106,23 +106,23 @@
 
 // reader collects the findings of one file.
 type reader struct {
-	source string
-	found  finding.List
-	places map[string]int  // "[section] key" to its line
-	faulty map[string]bool // places of values that do not parse
+	source   string
+	findings finding.List
+	lines    map[string]int  // "[section] key" to its line
+	invalid  map[string]bool // places of values that do not parse
 }
 
-func place(section, key string) string { return "[" + section + "] " + key }
+func qualifiedKey(section, key string) string { return "[" + section + "] " + key }
 
-func (r *reader) add(where, format string, args ...any) {
-	r.found.Add(r.source, r.places[where], where, format, args...)
+func (r *reader) add(key, format string, args ...any) {
+	r.findings.Add(r.source, r.lines[key], key, format, args...)
 }
 
 // scan notes the line of each key, because ini.v1 does not keep lines, and
 // reports lines that are neither section, key nor comment. It returns the text
 // without these lines: ini.v1 ends at the first of them.
 func (r *reader) scan(text string) string {
-	section, readable := "", make([]string, 0, 64)
+	section, iniLines := "", make([]string, 0, 64)
 	for i, line := range strings.Split(text, "\n") {
 		line, n := strings.TrimSpace(line), i+1
 		switch {
@@ -131,40 +131,40 @@
 		case line[0] == '[' && strings.HasSuffix(line, "]"):
 			section = strings.TrimSpace(line[1 : len(line)-1])
 		case line[0] == '[':
-			r.found.Add(r.source, n, line, "section is not closed with ]")
+			r.findings.Add(r.source, n, line, "section is not closed with ]")
 			continue
 		case strings.IndexAny(line, "=:") <= 0:
-			r.found.Add(r.source, n, line, "expected key = value")
+			r.findings.Add(r.source, n, line, "expected key = value")
 			continue
 		default:
 			r.scanKey(section, line, n)
 		}
-		readable = append(readable, line)
+		iniLines = append(iniLines, line)
 	}
-	return strings.Join(readable, "\n")
+	return strings.Join(iniLines, "\n")
 }
 
 func (r *reader) scanKey(section, line string, n int) {
 	end := strings.IndexAny(line, "=:")
-	where := place(section, strings.TrimSpace(line[:end]))
-	if first, twice := r.places[where]; twice {
-		r.found.Add(r.source, n, where, "is set twice; first in line %d", first)
+	name := qualifiedKey(section, strings.TrimSpace(line[:end]))
+	if first, duplicate := r.lines[name]; duplicate {
+		r.findings.Add(r.source, n, name, "is set twice; first in line %d", first)
 		return
 	}
-	r.places[where] = n
+	r.lines[name] = n
 	switch {
 	case section == "":
-		r.add(where, "stands before the first section")
-	case lookup(where) == nil:
-		r.add(where, "unknown key; the nearest known key is %s", nearest(where))
+		r.add(name, "stands before the first section")
+	case findKey(name) == nil:
+		r.add(name, "unknown key; the nearest known key is %s", nearestKey(name))
 	}
 }
 
 // values parses every key of the table, set or default.
-func (r *reader) values(file *ini.File) *Settings {
+func (r *reader) parseValues(file *ini.File) *Settings {
 	s := &Settings{}
 	for _, k := range keys {
-		text := k.def
+		text := k.defaultText
 		if file.Section(k.section).HasKey(k.name) {
 			text = file.Section(k.section).Key(k.name).String()
 		}
@@ -172,20 +172,20 @@
 			continue
 		}
 		if err := k.set(s, text); err != nil {
-			r.faulty[place(k.section, k.name)] = true
-			r.add(place(k.section, k.name), "%v", err)
+			r.invalid[qualifiedKey(k.section, k.name)] = true
+			r.add(qualifiedKey(k.section, k.name), "%v", err)
 		}
 	}
 	return s
 }
 
 // together checks what concerns more than one key.
-func (r *reader) together(s *Settings) {
+func (r *reader) checkCombinations(s *Settings) {
 	for _, k := range keys {
-		where := place(k.section, k.name)
-		needed := k.needed == anyRole || (k.needed != "" && k.needed == s.Daemon.Role)
-		if needed && k.empty(s) && !r.faulty[where] {
-			r.add(where, "must be set: %s", k.meaning)
+		name := qualifiedKey(k.section, k.name)
+		required := k.requiredBy == anyRole || (k.requiredBy != "" && k.requiredBy == s.Daemon.Role)
+		if required && k.isEmpty(s) && !r.invalid[name] {
+			r.add(name, "must be set: %s", k.description)
 		}
 	}
 	set := 0
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -88,7 +88,7 @@
 	ref := Reference()
 	for _, k := range keys {
 		require.Equal(t, 1, strings.Count(ref, "| `"+k.name+"` | "+k.typ+" |"), k.name)
-		require.NotEmpty(t, k.meaning)
+		require.NotEmpty(t, k.description)
 	}
 }
 
