--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -21,16 +21,16 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// AgentConfig is what an agent process needs.
+// AgentConfig holds the options of an agent process.
 type AgentConfig struct {
 	Worker       model.Worker
 	Cell         model.Cell
 	Region       model.Region
-	Entries      []string // addresses for agents, to connect to first
+	Entries      []string // addresses on which entries accept agents; always connected to
 	Announce     net.Listener
 	Dialer       link.Dialer
 	WorkerClient taskagent.WorkerClient // nil: the host runs no tasks
-	Table        storage.Table          // nil: only Entries are connected to
+	Table        storage.Table          // nil: the agent connects only to Entries
 	Log          log.Interface
 }
 
@@ -41,11 +41,11 @@
 }
 
 const (
-	// maxBackendConnections bounds the connections to the backend server; the
-	// slots bound them further.
+	// maxBackendConnections bounds the connections to the backend server. The
+	// number of its slots may bound them further.
 	maxBackendConnections = 64
-	// agentDirectoryInterval is how often an agent reads the list of entries:
-	// 6,900 agents make 115 reads/s of the 2,000 that the table handles.
+	// agentDirectoryInterval is the time between two reads of the list of
+	// entries. 6,900 agents make 115 reads/s; the table handles 2,000.
 	agentDirectoryInterval = time.Minute
 )
 
@@ -81,8 +81,8 @@
 	return a
 }
 
-// spawnConnector starts the actor that keeps a link to each entry: those of
-// the settings, and the living ones of the region.
+// spawnConnector starts the actor that keeps a link to each entry of the
+// settings and to each running entry of the region.
 func spawnConnector(g *actor.Group, links *agent.Links, region model.Region, seeds []string) actor.Address[[]rows.Entry] {
 	return actor.Spawn(g, actor.Spec[[]rows.Entry]{Name: "connector", Mailbox: 1,
 		Run: func(ctx context.Context, in <-chan []rows.Entry) error {
@@ -103,6 +103,8 @@
 		}})
 }
 
+// wantedEntries returns the addresses of the seeds and of the entries of the
+// region.
 func wantedEntries(list []rows.Entry, region model.Region, seeds []string) map[string]bool {
 	wanted := map[string]bool{}
 	for _, address := range seeds {
@@ -116,8 +118,8 @@
 	return wanted
 }
 
-// reconcile starts the links that are missing and ends those to entries that
-// have gone.
+// reconcileLinks starts the missing links and ends the links to entries that
+// are no longer wanted.
 func reconcileLinks(g *actor.Group, links *agent.Links, connected map[string]*actor.Group, wanted map[string]bool) {
 	for address := range wanted {
 		if connected[address] == nil {
@@ -135,15 +137,17 @@
 }
 
 const (
-	// drainCheck is how often a stopping agent looks whether it is drained.
+	// drainPollInterval is the time between two checks whether a stopping agent
+	// is drained.
 	drainPollInterval = 50 * time.Millisecond
-	// A closed socket with unread data is reset, and what its peer has not
-	// read is lost: the entries get this time to read the last responses.
+	// lingerTime lets the entries read the last responses before the links
+	// close. A socket that is closed with unread data is reset, and its peer
+	// loses what it has not read.
 	lingerTime = 500 * time.Millisecond
 )
 
-// Drain stops the flow of new requests and waits until none is running or on
-// its way.
+// Drain makes the agent accept no new requests and waits until no request is
+// running or in flight. It returns an error when ctx ends first.
 func (a *Agent) Drain(ctx context.Context) error {
 	if err := a.slots.Send(ctx, agent.Drain{}); err != nil {
 		return err
@@ -165,14 +169,14 @@
 	}
 }
 
-// agentConfig passes configuration messages of entries to the applier.
+// agentConfigSubscriber forwards configuration messages of entries to the
+// applier. Its sends fail only when the process ends, so their errors are
+// ignored.
 type agentConfigSubscriber struct {
 	ctx    context.Context
 	handle configstore.Handle
 }
 
-// The sends below fail only when the process ends.
-
 // EntryUp implements agent.Subscriber.
 func (s agentConfigSubscriber) EntryUp(hello msg.EntryHello, out peer.Out) {
 	_ = s.handle.LinkUp(s.ctx, string(hello.Entry), hello.Version, out)
@@ -191,7 +195,9 @@
 	}
 }
 
-// agentTasks passes commands of controllers to the owner of the attempts.
+// agentTaskSubscriber forwards commands of controllers to the actor that owns
+// the attempts. Its sends fail only when the process ends, so their errors are
+// ignored.
 type agentTaskSubscriber struct {
 	ctx   context.Context
 	tasks actor.Address[taskagent.Message]
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -17,8 +17,9 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// cells are the controllers of the cells that an entry contends for. The map
-// is not changed after start.
+// cellControllers holds the controllers of the cells whose ownership an entry
+// contends for. The map does not change after start. Address.Send fails only
+// when the process ends, so its errors are ignored.
 type cellControllers struct {
 	ctx         context.Context
 	controllers map[model.Cell]actor.Address[control.Message]
@@ -35,8 +36,6 @@
 	return c
 }
 
-// The sends below fail only when the process ends.
-
 // AgentUp implements entry.Subscriber.
 func (c *cellControllers) AgentUp(hello msg.AgentHello, out peer.Out) {
 	_ = c.controllers[hello.Cell].Send(c.ctx, control.AgentUp{Worker: hello.Worker, Cell: hello.Cell, Boot: hello.Boot, Link: out})
@@ -55,8 +54,8 @@
 	}
 }
 
-// configure passes the configuration in force to every controller. It reports
-// whether all have taken it.
+// setConfig sends the configuration in use to every controller. It reports
+// whether every mailbox accepted the message.
 func (c *cellControllers) setConfig(s *configstore.Snapshot) bool {
 	m := control.ConfigChanged{Config: placementConfig(s)}
 	accepted := true
@@ -101,7 +100,8 @@
 	return list, nil
 }
 
-// explainJob asks the controllers about a job; the one that knows it answers.
+// explainJob returns the explanation of the controller that knows the job, or
+// storage.ErrNotFound.
 func (c *cellControllers) explainJob(ctx context.Context, id model.JobID) (any, error) {
 	for _, controller := range c.controllers {
 		explanation, err := actor.Ask(ctx, controller, func(r actor.Reply[control.Explanation]) control.Message {
@@ -117,7 +117,8 @@
 	return nil, storage.ErrNotFound
 }
 
-// matcher parses a label selector for the operators' API.
+// parseSelector parses a label selector for the operators' API and returns the
+// function that matches labels against it.
 func parseSelector(text string) (func(model.Labels) bool, error) {
 	s, err := labels.Parse(text)
 	if err != nil {
--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -5,7 +5,8 @@
 	"github.com/bambooscale/bambooscale/internal/labels"
 )
 
-// configCheck is the syntax that edits of the configuration must have.
+// configValidator checks the syntax of labels and selectors in edits of the
+// configuration.
 var configValidator = configstore.Validator{
 	Labels: labels.Validate,
 	Selector: func(text string) error {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,7 +24,8 @@
 	})
 }
 
-// newBoot draws the number of this incarnation of the process.
+// newBoot returns a random number that identifies this incarnation of the
+// process.
 func newBoot() model.Boot {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
@@ -32,13 +33,15 @@
 }
 
 const (
-	// A caller that is slower than this with its header is cut off.
+	// readHeaderTimeout bounds the time that a caller takes to send its header.
 	readHeaderTimeout = 10 * time.Second
-	idleTimeout       = 2 * time.Minute
+	// idleTimeout bounds the time that a keep-alive connection is idle.
+	idleTimeout = 2 * time.Minute
 )
 
-// serve starts an HTTP server on l in g. The returned function stops it in
-// order: it accepts nothing new and waits for what runs.
+// serve starts an HTTP server on l in g. The returned function shuts it down
+// gracefully: the server accepts no new connections, and the function waits for
+// the requests in progress.
 func serve(g *actor.Group, name string, l net.Listener, h http.Handler, maxHeaderBytes int) (shutdown func(context.Context) error) {
 	s := &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -57,13 +60,13 @@
 
 const (
 	pauseCheckInterval = 500 * time.Millisecond
-	// pauseBound is the gap between two checks above which the process counts
-	// as paused.
+	// minPause is the gap between two checks above which the process counts as
+	// paused.
 	minPause = 2 * time.Second
 )
 
-// watchPauses logs gaps in the process's own running time. The owners of
-// leases detect them for themselves.
+// watchPauses logs periods in which the whole process did not run. It only
+// logs: the actors that hold leases detect such pauses themselves.
 func watchPauses(g *actor.Group, l log.Interface) {
 	actor.Go(g, "pause watch", func(ctx context.Context) error {
 		last := time.Now()
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -16,17 +16,18 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// DevConfig are the options of a whole system in one process.
+// DevConfig holds the options of a whole system in one process.
 type DevConfig struct {
-	Listen         string // for callers
-	OperatorListen string
+	Listen         string // address for callers
+	OperatorListen string // address for operators
 	Build          string // version of the program
 	Log            log.Interface
 	RecentEvents   *RecentEvents // the newest log events; may be nil
 }
 
-// Dev is a whole system in one process: entry, agent, and simulators of the
-// platform, a worker and a backend server, on loopback.
+// Dev is a whole system in one process, on loopback addresses: an entry, an
+// agent, and simulators of the table service, the object store, a worker and a
+// backend server.
 type Dev struct {
 	Callers  string // address
 	Operator string // address
@@ -39,20 +40,20 @@
 	devCell         = "dev"
 	devService      = "permit-desk"
 	devWorker       = "worker-1"
-	devMilliCPU     = 8000 // milli-CPU
+	devMilliCPU     = 8000
 	devMemoryBytes  = 16 << 30
 	anyLoopbackPort = "127.0.0.1:0"
 )
 
-// StartDev starts the system in g.
+// StartDev starts the system in g. It fails when an address is in use.
 func StartDev(g *actor.Group, c DevConfig) (*Dev, error) {
 	callersListener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("%w; name another address for callers with --listen", err)
+		return nil, fmt.Errorf("%w; choose another address for callers with --listen", err)
 	}
 	operatorListener, err := net.Listen("tcp", c.OperatorListen)
 	if err != nil {
-		return nil, fmt.Errorf("%w; name another address for operators with --operator-listen", err)
+		return nil, fmt.Errorf("%w; choose another address for operators with --operator-listen", err)
 	}
 	agentsListener, err := link.Listen(g, anyLoopbackPort, link.Config{})
 	if err != nil {
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// Drain stops the system in order: callers first, then the backend server.
+// Drain drains the entry first and then the agent, so that requests in progress
+// are answered.
 func (d *Dev) Drain(ctx context.Context) error {
 	if err := d.entry.Drain(ctx); err != nil {
 		return err
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a shutdown that closes the listener while the balancer still
-// sends callers: they would be reset.
+// sends callers to the entry; their connections would be reset.
 func TestDrainIsAnnouncedBeforeTheListenerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := &operatorView{draining: &actor.Value[bool]{}}
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -22,7 +22,7 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// EntryConfig is what an entry process needs.
+// EntryConfig holds the options of an entry process.
 type EntryConfig struct {
 	Settings *settings.Settings
 	Build    string // version of the program
@@ -31,16 +31,17 @@
 	Callers  net.Listener
 	Agents   link.Listener
 	Operator net.Listener
-	// LameDuck is how long a draining entry goes on accepting callers while
-	// /healthz tells the platform's balancer to send no more: a connection that
-	// waits in the kernel's queue is reset when its listener closes.
+	// DrainDelay is how long a draining entry still accepts callers while
+	// /healthz reports it as unhealthy to the platform's balancer. Connections
+	// that wait in the kernel's accept queue are reset when the listener closes.
 	DrainDelay   time.Duration
-	StartedAt    time.Time // start of the process; zero: services that are not known are so at once
+	StartedAt    time.Time // start of the process, see entry.Frontend.StartedAt
 	Log          log.Interface
 	RecentEvents *RecentEvents // the newest log events; may be nil
 }
 
-// directoryInterval is how often an entry reads the list of entries.
+// directoryInterval is the time between two reads of the list of entries by an
+// entry.
 const directoryInterval = 5 * time.Second
 
 // Entry is a running entry.
@@ -84,7 +85,8 @@
 	return &Entry{api: api, draining: v.draining, drainDelay: c.DrainDelay, shutdownCallers: serve(g, "callers listener", c.Callers, frontend, int(cfg.Entry.MaxHeader))}
 }
 
-// observer turns the results of requests into measurements.
+// requestObserver returns a function that passes the result of a request to the
+// observers as a measurement.
 func requestObserver(observers ...func(metrics.Observation)) func(entry.Result) {
 	return func(r entry.Result) {
 		outcome := "done"
@@ -116,8 +118,9 @@
 	actor.Go(g, "agents listener", func(ctx context.Context) error { return links.Accept(ctx, c.Agents) })
 }
 
-// Drain reports the entry as unhealthy, accepts no new callers after the lame
-// duck time, and waits until every request in progress has been answered.
+// Drain reports the entry as unhealthy, accepts no new callers after the drain
+// delay, and waits until every request in progress has been answered. It
+// returns an error when ctx ends first.
 func (e *Entry) Drain(ctx context.Context) error {
 	draining := true
 	e.draining.Set(&draining)
@@ -127,14 +130,14 @@
 	return e.shutdownCallers(ctx)
 }
 
-// entryConfig passes configuration messages of agents to the store.
+// entryConfigSubscriber forwards configuration messages of agents to the
+// configuration store. Its sends fail only when the process ends, so their
+// errors are ignored.
 type entryConfigSubscriber struct {
 	ctx    context.Context
 	handle configstore.Handle
 }
 
-// The sends below fail only when the process ends.
-
 // AgentUp implements entry.Subscriber.
 func (s entryConfigSubscriber) AgentUp(hello msg.AgentHello, out peer.Out) {
 	_ = s.handle.LinkUp(s.ctx, string(hello.Worker.ID), hello.Version, out)
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -19,7 +19,8 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// view answers the operators' questions about an entry.
+// operatorView answers the operators' API's queries about an entry. Its methods
+// are called from the goroutines of the HTTP server.
 type operatorView struct {
 	self           entry.Self
 	dispatcher     entry.Address
@@ -50,7 +51,8 @@
 
 var errDraining = errors.New("the entry is shutting down")
 
-// health is what the platform's balancer asks for.
+// health returns an error once the entry shuts down. The platform's balancer
+// reads it.
 func (v *operatorView) health(context.Context) error {
 	if v.draining.Get() != nil {
 		return errDraining
@@ -58,6 +60,8 @@
 	return nil
 }
 
+// services returns the services sorted by name, with the recent requests of
+// each.
 func (v *operatorView) services(ctx context.Context) ([]model.ServiceStatus, error) {
 	list, err := actor.Ask(ctx, v.dispatcher, func(r actor.Reply[[]model.ServiceStatus]) entry.Message {
 		return entry.StatusQuery{Reply: r}
@@ -80,6 +84,8 @@
 	return list, nil
 }
 
+// drain drains a backend server. It returns storage.ErrNotFound when this entry
+// does not know it.
 func (v *operatorView) drain(ctx context.Context, id model.BackendID) error {
 	found, err := actor.Ask(ctx, v.dispatcher, func(r actor.Reply[bool]) entry.Message {
 		return entry.DrainQuery{Backend: id, Reply: r}
@@ -90,10 +96,11 @@
 	return err
 }
 
-// peers lists the other living entries. It looks for new ones in the table:
-// with the list of up to directoryInterval ago, an edit was reported in effect
-// everywhere before an entry that had just started had it. While the table is
-// away the list stands: no entry can announce itself.
+// peers returns the other running entries. It reads the table for new entries:
+// the list that Follow keeps may be directoryInterval old, and with it an edit
+// was reported in effect everywhere before a newly started entry had it. While
+// the table is unavailable it uses that list, because no new entry can announce
+// itself then.
 func (v *operatorView) peers(ctx context.Context) ([]operator.Peer, error) {
 	known := v.entries.Get()
 	if known == nil {
@@ -112,7 +119,8 @@
 	return list, nil
 }
 
-// explain says why a thing is in its state.
+// explain returns the state of a job, worker, backend server or class with the
+// reason for it. It returns storage.ErrNotFound for an unknown kind or name.
 func (v *operatorView) explain(ctx context.Context, kind, name string) (any, error) {
 	switch kind {
 	case "job":
@@ -145,7 +153,8 @@
 	return nil, storage.ErrNotFound
 }
 
-// backendExplanation says why a backend server gets the work that it gets.
+// backendExplanation is the state of a backend server and the reason why it
+// receives requests or none.
 type backendExplanation struct {
 	model.BackendStatus
 	Service model.Service `json:"service"`
@@ -167,18 +176,19 @@
 func backendReason(b model.BackendStatus, s model.ServiceStatus) string {
 	switch {
 	case b.State != "ready":
-		return "it is " + b.State + ": its agent lends no credits"
+		return "it is " + b.State + ": its agent grants no credits"
 	case b.Credits == 0 && b.Running == 0:
 		return "this entry holds no credit for it: other entries use its slots"
 	case b.Credits == 0:
 		return "every credit of this entry is in use"
 	case s.Queued == 0:
-		return "no request waits; it has idle credits"
+		return "no request is queued; it has idle credits"
 	}
-	return "the requests that wait belong to long classes, which may not use its free slots"
+	return "the queued requests are of long classes, which may not use its free slots"
 }
 
-// classExplanation says how the requests of a class are treated.
+// classExplanation is the state of a class and the reason why its requests start
+// or wait.
 type classExplanation struct {
 	model.ClassStatus
 	Service model.Service `json:"service"`
@@ -206,9 +216,9 @@
 	}
 	switch {
 	case ready == 0:
-		return "no backend server of the service is ready: requests wait for one and are refused when they cannot start in time"
+		return "no backend server of the service is ready: requests are queued, and refused when they cannot start in time"
 	case c.Long:
-		return "it is long: it may use half of the slots, and none of one backend server in each data centre"
+		return "it is a long class: it may use half of the slots, and none of the slots of one backend server in each data centre"
 	case credits == 0:
 		return "every slot is in use: a request is refused when it could not end before its deadline"
 	}
--- a/internal/daemon/recent.go
+++ b/internal/daemon/recent.go
@@ -11,29 +11,33 @@
 )
 
 const (
-	// recentEvents bounds the log events that are kept for diagnostics.
+	// maxRecentEvents bounds the log events that are kept for diagnostics.
 	maxRecentEvents = 500
-	// recentMailbox is the number of events that may wait to be kept; more
-	// are written to the log only.
+	// recentMailboxSize bounds the events in the actor's mailbox. Events beyond
+	// it are written to the log but not kept.
 	recentMailboxSize = 256
-	maxFieldBytes     = 1024
+	// maxFieldBytes bounds the value of a field of a kept event; the rest of the
+	// value is cut off.
+	maxFieldBytes = 1024
 )
 
-// Recent keeps the newest log events of a process in an actor. It is a log
-// handler that passes each event on to the next one.
+// RecentEvents keeps the newest log events of a process in an actor. It is a log
+// handler that passes each event on to the next handler. It is safe for
+// concurrent use.
 type RecentEvents struct {
 	next     log.Handler
-	minLevel *actor.Value[log.Level] // lower ones are dropped
+	minLevel *actor.Value[log.Level] // events of lower levels are dropped
 	address  actor.Address[recentMessage]
 }
 
-// recentMessage is an event to keep, or the question for all of them.
+// recentMessage is an event to keep, or a query for all kept events when reply
+// is set.
 type recentMessage struct {
 	event operator.LoggedEvent
 	reply *actor.Reply[[]operator.LoggedEvent]
 }
 
-// StartRecent starts the actor in g.
+// StartRecentEvents starts the actor in g. Events are passed on to next.
 func StartRecentEvents(g *actor.Group, next log.Handler) *RecentEvents {
 	return &RecentEvents{next: next, minLevel: &actor.Value[log.Level]{}, address: actor.Spawn(g, actor.Spec[recentMessage]{Name: "recent events", Mailbox: recentMailboxSize, Run: runRecentEvents})}
 }
@@ -61,7 +65,8 @@
 // process logs, unlike log.SetLevel.
 func (r *RecentEvents) SetLevel(l log.Level) { r.minLevel.Set(&l) }
 
-// HandleLog implements log.Handler. It never waits for the actor.
+// HandleLog implements log.Handler. It does not wait for the actor: when the
+// mailbox is full the event is not kept.
 func (r *RecentEvents) HandleLog(e *log.Entry) error {
 	if minLevel := r.minLevel.Get(); minLevel != nil && e.Level < *minLevel {
 		return nil
--- a/internal/daemon/recent_test.go
+++ b/internal/daemon/recent_test.go
@@ -13,7 +13,8 @@
 	"github.com/bambooscale/bambooscale/internal/event"
 )
 
-// Guards against a ring that grows without bound, or keeps the oldest events.
+// Guards against kept events that grow without bound, and against dropping the
+// newest events instead of the oldest.
 func TestRecentEventsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(t.Context(), nil)
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -7,8 +7,8 @@
 	"github.com/bambooscale/bambooscale/internal/settings"
 )
 
-// routing derives the services and classes of requests from the labels in
-// force.
+// routingTable derives the services and classes of requests from the
+// configuration in use and the settings.
 func routingTable(s *configstore.Snapshot, cfg *settings.Settings) *entry.RoutingTable {
 	table := &entry.RoutingTable{
 		Services:       map[model.Service]entry.ServiceRule{},
@@ -25,8 +25,8 @@
 	return table
 }
 
-// configuredServices lists the services that have labels or classes of their
-// own.
+// configuredServices returns the services that have labels or classes of their
+// own. A service may occur more than once.
 func configuredServices(s *configstore.Snapshot) []model.Service {
 	var list []model.Service
 	for _, k := range s.Keys(model.KindService) {
@@ -40,6 +40,8 @@
 	return list
 }
 
+// classRules returns the rules of the classes. defaultMethods are the idempotent
+// methods of classes that set none.
 func classRules(classes []configstore.ClassProperties, defaultMethods []string) []entry.ClassRule {
 	rules := make([]entry.ClassRule, 0, len(classes))
 	for _, c := range classes {
@@ -57,7 +59,8 @@
 	return rules
 }
 
-// set returns nil for a nil list: the methods of RFC 9110 apply then.
+// methodSet returns nil for a nil list: the idempotent methods of RFC 9110 apply
+// then.
 func methodSet(methods []string) map[string]bool {
 	if methods == nil {
 		return nil
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -11,8 +11,8 @@
 	"github.com/bambooscale/bambooscale/internal/settings"
 )
 
-// Guards against a class of a service that has no effect because the service
-// itself has no labels.
+// Guards against a class that has no effect because its service has no labels of
+// its own.
 func TestClassOfServiceWithoutLabels(t *testing.T) {
 	table := routingTable(configstore.NewSnapshot(1, map[model.ConfigKey]model.ConfigItem{
 		{Kind: model.KindClass, Name: "reads"}: {Labels: model.Labels{"service": "permit-desk", "path-prefix": "/echo", "deadline-ms": "500"}},
