--- a/internal/settings/job.go
+++ b/internal/settings/job.go
@@ -18,23 +18,24 @@
 	IP         string
 	DataCentre string
 	LinkPort   int
-	Callers    string // entry: address for submitters
-	Readiness  string // entry: address for the balancer's checks
-	Registry   string // agent: address for the backend server's announcements
-	Backend    string // agent: address of the backend server
-	MaxLease   time.Duration
-	Seeds      []string // hosts on which entries may be found
-	Store      string
+	Callers    string        // entry: address on which jobs are submitted
+	Readiness  string        // entry: address for the balancer's health checks
+	Registry   string        // agent: address for the backend server's announcements
+	Backend    string        // agent: address of the backend server
+	MaxLease   time.Duration // agent: how long runs continue after the last grant of their owner
+	Seeds      []string      // host:port of hosts on which entries may run
+	Store      string        // address of the store
 }
 
-// LinkAddress is where the process accepts links.
+// LinkAddress returns the address on which the process accepts links.
 func (d *JobDaemon) LinkAddress() string { return d.linkAddressAt(d.IP) }
 
 func (d *JobDaemon) linkAddressAt(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(d.LinkPort))
 }
 
-// SeedLinks returns the addresses of the links at the seeds.
+// SeedLinks returns the addresses on which the hosts of the seeds accept links:
+// LinkPort replaces the port of each seed. Seeds without a port are ignored.
 func (d *JobDaemon) SeedLinks() []string {
 	var list []string
 	for _, s := range d.Seeds {
@@ -45,8 +46,9 @@
 	return list
 }
 
-// LoadJobDaemon reads and checks a settings file for a role, entry or agent.
-// The error lists every finding.
+// LoadJobDaemon reads and checks a settings file for a role, "entry" or
+// "agent". The error is a finding.List with every finding, unless the file
+// cannot be read or the role is unknown.
 func LoadJobDaemon(file, role string) (*JobDaemon, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: true}, file)
 	if err != nil {
@@ -70,7 +72,8 @@
 	return d, r.findings.Err()
 }
 
-// jobNodeReader collects what is wrong with the keys that it reads.
+// jobDaemonReader reads keys and collects findings about missing and invalid
+// values.
 type jobDaemonReader struct {
 	file     string
 	ini      *ini.File
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,35 +8,37 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// anyRole marks a key that every role needs.
+// anyRole marks a key that every role requires.
 const anyRole Role = "*"
 
-// key is one row of the table that checks and documents the settings.
+// key describes one key of the file. The checks and the reference derive from
+// it.
 type key struct {
 	section, name string
-	defaultText   string // text of the default; empty: none
-	requiredBy    Role   // role that needs the key set; anyRole, or empty for optional
+	defaultText   string // default value as text; empty: none
+	requiredBy    Role   // role that requires the key, or anyRole; empty: optional
 	description   string
 	value
 }
 
-// value ties a key to its field and its type.
+// value parses and formats the value of a key and binds it to its field of
+// Settings.
 type value struct {
-	typ     string
+	typ     string // name of the type in the reference
 	set     func(*Settings, string) error
 	isEmpty func(*Settings) bool
-	text    func(*Settings) string
-	secret  bool // its value is never shown
+	text    func(*Settings) string // the value for diagnostics
+	secret  bool                   // diagnostics do not contain the value
 }
 
-// hidden marks a value as secret.
+// markSecret returns v marked as secret.
 func markSecret(v value) value {
 	v.secret = true
 	return v
 }
 
-// Public returns the settings by key as text for diagnostics. Secrets, and
-// passwords in URLs, are replaced.
+// Public returns the values that are set, as text for diagnostics, by
+// "[section] key". Secrets and passwords in URLs are replaced.
 func (s *Settings) Public() map[string]string {
 	m := map[string]string{}
 	for _, k := range keys {
@@ -51,6 +53,7 @@
 	return m
 }
 
+// publicText formats a value without the password of a URL.
 func publicText(v any) string {
 	if u, ok := v.(*url.URL); ok && u != nil {
 		return u.Redacted()
@@ -58,7 +61,8 @@
 	return fmt.Sprint(v)
 }
 
-// of makes a value of the type that parse reads, kept in field.
+// newValue returns a value that parse reads and that is stored in the field that
+// field returns.
 func newValue[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
 	return value{
 		typ: typ,
@@ -92,7 +96,7 @@
 	return newValue("size, such as 64KiB or 10MiB", ParseBytes, isZero[model.Bytes], field)
 }
 
-// keys is every key of the file, in the order of the reference.
+// keys holds every key of the file, in the order of the reference.
 var keys = func() []key {
 	table := append(daemonKeys(), entryKeys()...)
 	return append(append(table, agentKeys()...), tlsKeys()...)
@@ -100,7 +104,7 @@
 
 func daemonKeys() []key {
 	return []key{
-		{"daemon", "role", "", anyRole, "What the process does: `entry` serves callers and operators, `agent` is the authority for one worker.",
+		{"daemon", "role", "", anyRole, "What the process does: `entry` serves callers and operators, `agent` manages one worker.",
 			newValue("entry or agent", parseRole, isZero[Role], func(s *Settings) *Role { return &s.Daemon.Role })},
 		{"daemon", "id", "", anyRole, "Name of the process: the entry's id, or the worker's id for an agent. It is unique in the system.",
 			text(func(s *Settings) *string { return &s.Daemon.ID })},
@@ -108,7 +112,7 @@
 			text(func(s *Settings) *model.DataCentre { return &s.Daemon.DataCentre })},
 		{"daemon", "region", "default", "", "Region of the host. Agents connect to the entries of their region only.",
 			text(func(s *Settings) *model.Region { return &s.Daemon.Region })},
-		{"daemon", "log-level", "info", "", "Lowest level that is logged.",
+		{"daemon", "log-level", "info", "", "Lowest level of the events that are logged.",
 			newValue("debug, info, warn or error", parseLevel, func(l logLevel) bool { return false }, func(s *Settings) *logLevel { return &s.Daemon.LogLevel })},
 		{"daemon", "table", "", RoleEntry, "Base URL of the table service.",
 			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Table })},
@@ -137,7 +141,7 @@
 			size(func(s *Settings) *model.Bytes { return &s.Entry.MaxBody })},
 		{"entry", "max-header", "64KiB", "", "Largest header of a caller's request; larger ones are answered 431.",
 			size(func(s *Settings) *model.Bytes { return &s.Entry.MaxHeader })},
-		{"entry", "max-callers", "10000", "", "Largest number of callers' connections open at the same time.",
+		{"entry", "max-callers", "10000", "", "Largest number of callers' requests in progress at the same time, queued ones included; further ones are answered 503.",
 			newValue("number", parseCount, isZero[int], func(s *Settings) *int { return &s.Entry.MaxCallers })},
 		{"entry", "request-deadline", "30s", "", "Deadline of requests whose class has no `deadline-ms` label.",
 			newValue("duration, such as 500ms or 30s", parseDuration, isZeroDuration, func(s *Settings) *durationValue { return &s.Entry.RequestDeadline })},
@@ -146,7 +150,7 @@
 
 func agentKeys() []key {
 	return []key{
-		{"agent", "entries", "", RoleAgent, "Addresses of entries to connect to first; the table lists the others.",
+		{"agent", "entries", "", RoleAgent, "Addresses of entries to which the agent always connects; it reads the addresses of the others from the table.",
 			newValue("list of host:port", parseAddresses, func(v []string) bool { return len(v) == 0 }, func(s *Settings) *[]string { return &s.Agent.Entries })},
 		{"agent", "cell", "", RoleAgent, "Cell that schedules the worker.",
 			text(func(s *Settings) *model.Cell { return &s.Agent.Cell })},
@@ -164,7 +168,7 @@
 			newValue("number", parseAccelerators, isZero[int64], func(s *Settings) *int64 { return &s.Agent.Capacity.Accelerators })},
 		{"agent", "labels", "", "", "Labels that the worker announces; labels set by operators take precedence.",
 			newValue("list of key=value", parseLabels, func(v labelsValue) bool { return len(v) == 0 }, func(s *Settings) *labelsValue { return &s.Agent.Labels })},
-		{"agent", "config", "required", "", "`required`: no task starts before the agent holds a configuration. `optional`: tasks start without one.",
+		{"agent", "config", "required", "", "`required`: no task starts before the agent has received a configuration. `optional`: tasks start without one.",
 			newValue("required or optional", parseRequired, func(bool) bool { return false }, func(s *Settings) *bool { return &s.Agent.ConfigRequired })},
 	}
 }
@@ -175,11 +179,12 @@
 			text(func(s *Settings) *string { return &s.TLS.Certificate })},
 		{"tls", "key", "", "", "File with the certificate's private key in PEM.",
 			text(func(s *Settings) *string { return &s.TLS.Key })},
-		{"tls", "authority", "", "", "File with the certificates, in PEM, that sign the peers' certificates.",
+		{"tls", "authority", "", "", "File with the certificates, in PEM, of the authorities that sign the peers' certificates.",
 			text(func(s *Settings) *string { return &s.TLS.Authority })},
 	}
 }
 
+// findKey returns the key with the name "[section] key", or nil.
 func findKey(name string) *key {
 	for i := range keys {
 		if qualifiedKey(keys[i].section, keys[i].name) == name {
@@ -189,7 +194,8 @@
 	return nil
 }
 
-// nearest returns the place of the known key with the smallest edit distance.
+// nearestKey returns the known key, as "[section] key", with the smallest edit
+// distance to name.
 func nearestKey(name string) string {
 	nearest, minDistance := "", len(name)+100
 	for _, k := range keys {
@@ -201,7 +207,7 @@
 	return nearest
 }
 
-// distance is the Levenshtein distance of two ASCII strings.
+// distance returns the Levenshtein distance of two ASCII strings.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -2,14 +2,15 @@
 
 import "sort"
 
-// reloadable are the keys that a running process takes over.
+// reloadable holds the keys whose changes take effect when a running process
+// reloads its settings.
 var reloadable = map[string]bool{
 	qualifiedKey("daemon", "log-level"):     true,
 	qualifiedKey("entry", "operator-token"): true,
 }
 
-// NeedRestart lists the keys whose values differ from next and take effect
-// only at a start, sorted.
+// NeedRestart returns the keys, sorted, whose values differ from those of next
+// and take effect only at a start of the process.
 func (s *Settings) NeedRestart(next *Settings) []string {
 	var list []string
 	old, changed := s.Public(), next.Public()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the INI file of bambooscaled. One table of keys
-// checks the file and documents it.
+// Package settings reads and checks the INI files of bambooscaled and
+// bamboojobd. For bambooscaled, the checks and the settings reference derive
+// from one table of keys.
 package settings
 
 import (
@@ -71,7 +72,8 @@
 	ConfigRequired bool
 }
 
-// TLS is the [tls] section: file names. All three are set, or none.
+// TLS is the [tls] section. It holds file names: either all three or none are
+// set.
 type TLS struct{ Certificate, Key, Authority string }
 
 // Enabled reports whether links between processes use mutual TLS.
@@ -87,7 +89,8 @@
 	return Parse(filepath.Base(path), raw)
 }
 
-// Parse checks settings held in memory; source names them in findings.
+// Parse reads and checks the content of a settings file. source is the name of
+// the file in findings. The error is a finding.List.
 func Parse(source string, raw []byte) (*Settings, error) {
 	r := reader{source: source, lines: map[string]int{}, invalid: map[string]bool{}}
 	iniText := r.scan(string(raw))
@@ -104,23 +107,24 @@
 	return s, nil
 }
 
-// reader collects the findings of one file.
+// reader reads one file and collects findings about it.
 type reader struct {
 	source   string
 	findings finding.List
-	lines    map[string]int  // "[section] key" to its line
-	invalid  map[string]bool // places of values that do not parse
+	lines    map[string]int  // "[section] key" to its line number
+	invalid  map[string]bool // "[section] key" of values that do not parse
 }
 
+// qualifiedKey returns the name of a key with its section: "[section] key".
 func qualifiedKey(section, key string) string { return "[" + section + "] " + key }
 
 func (r *reader) add(key, format string, args ...any) {
 	r.findings.Add(r.source, r.lines[key], key, format, args...)
 }
 
-// scan notes the line of each key, because ini.v1 does not keep lines, and
+// scan records the line number of each key, because ini.v1 does not keep it, and
 // reports lines that are neither section, key nor comment. It returns the text
-// without these lines: ini.v1 ends at the first of them.
+// without these lines, because ini.v1 stops at the first of them.
 func (r *reader) scan(text string) string {
 	section, iniLines := "", make([]string, 0, 64)
 	for i, line := range strings.Split(text, "\n") {
@@ -154,13 +158,13 @@
 	r.lines[name] = n
 	switch {
 	case section == "":
-		r.add(name, "stands before the first section")
+		r.add(name, "is before the first section")
 	case findKey(name) == nil:
 		r.add(name, "unknown key; the nearest known key is %s", nearestKey(name))
 	}
 }
 
-// values parses every key of the table, set or default.
+// parseValues parses the value or the default of every key.
 func (r *reader) parseValues(file *ini.File) *Settings {
 	s := &Settings{}
 	for _, k := range keys {
@@ -179,7 +183,8 @@
 	return s
 }
 
-// together checks what concerns more than one key.
+// checkCombinations checks the keys that the role requires and keys that depend
+// on each other, and sets the default of default-cell.
 func (r *reader) checkCombinations(s *Settings) {
 	for _, k := range keys {
 		name := qualifiedKey(k.section, k.name)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,8 @@
 request-deadline = 750ms
 `
 
-// Guards against a key that is read into the wrong field or loses its default.
+// Guards against a key whose value is stored in the wrong field, and against a
+// default that is not applied.
 func TestParseFillsFieldsAndDefaults(t *testing.T) {
 	s, err := Parse("settings.ini", []byte(goodEntry))
 	require.NoError(t, err)
@@ -42,8 +43,8 @@
 	require.False(t, s.TLS.Enabled())
 }
 
-// Guards against a check that stops at the first finding, loses its line, or
-// does not help with a misspelt key.
+// Guards against a check that reports only the first finding, reports it without
+// its line, or suggests no key for a misspelt one.
 func TestParseReportsEveryFinding(t *testing.T) {
 	_, err := Parse("settings.ini", []byte(`[daemon]
 role = entry
@@ -73,7 +74,8 @@
 	}
 }
 
-// Guards against an incomplete file that starts a daemon.
+// Guards against a daemon that starts with a file in which required keys are
+// missing.
 func TestParseRequiresWhatTheRoleNeeds(t *testing.T) {
 	_, err := Parse("a.ini", []byte("[daemon]\nrole = agent\n[tls]\nkey = k\n"))
 	require.Error(t, err)
@@ -92,7 +94,7 @@
 	}
 }
 
-// Guards against an operations page whose reference is out of date.
+// Guards against an operations page with an outdated settings reference.
 func TestPageHasTheReference(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -104,7 +106,7 @@
 	require.Equal(t, Reference(), got, "replace it by the output of: bambooctl settings reference")
 }
 
-// Guards against a token or a password in a diagnostics bundle.
+// Guards against a token or a password in the settings of a diagnostics bundle.
 func TestPublicHidesSecrets(t *testing.T) {
 	s, err := Parse("s.ini", []byte("[daemon]\nrole = entry\nid = e\ndata-centre = d\ntable = http://u:pass-word@h:1\nobjects = http://h:2\n[entry]\noperator-token = to-ken\n"))
 	require.NoError(t, err)
@@ -114,7 +116,8 @@
 	require.NotContains(t, text, "to-ken")
 }
 
-// Guards against a changed key that silently waits for a restart.
+// Guards against a changed key that takes effect only after a restart and is not
+// reported.
 func TestNeedRestart(t *testing.T) {
 	parse := func(extra string) *Settings {
 		s, err := Parse("s.ini", []byte("[daemon]\nrole = entry\nid = e\ndata-centre = d\ntable = http://h:1\nobjects = http://h:2\n"+extra))
