--- a/cmd/bambooscaled/dev.go
+++ b/cmd/bambooscaled/dev.go
@@ -11,8 +11,7 @@
 	"github.com/bambooscale/bambooscale/internal/daemon"
 )
 
-// drainTime bounds the wait for requests in progress when dev is interrupted;
-// a second interrupt ends it at once.
+// drainTimeout bounds the wait for requests in progress after an interrupt.
 const drainTimeout = time.Minute
 
 func devCommand() *cobra.Command {
--- a/cmd/bambooscaled/main.go
+++ b/cmd/bambooscaled/main.go
@@ -1,4 +1,5 @@
-// Command bambooscaled is the daemon of bambooscale. See docs/OPERATIONS.md.
+// Command bambooscaled runs an entry or an agent of bambooscale, a whole system
+// in one process, or a simulator of the platform. See docs/OPERATIONS.md.
 package main
 
 import (
--- a/cmd/bambooscaled/reload.go
+++ b/cmd/bambooscaled/reload.go
@@ -15,8 +15,9 @@
 	"github.com/bambooscale/bambooscale/internal/settings"
 )
 
-// reloadSettings reads the settings file again on SIGHUP. Log level and
-// operators' token take effect at once; an invalid file changes nothing.
+// reloadSettings reloads the settings file on SIGHUP. Changes of the log level
+// and of the operators' token take effect at once. An invalid file changes
+// nothing. atStart are the settings that the process started with.
 func reloadSettings(g *actor.Group, file string, atStart *settings.Settings, recent *daemon.RecentEvents, d drainer) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -46,7 +47,7 @@
 	if keys := atStart.NeedRestart(next); len(keys) > 0 {
 		fields["need_restart"] = strings.Join(keys, ", ")
 	}
-	recent.SetLevel(log.InfoLevel) // whoever raises the level still sees that it was read
+	recent.SetLevel(log.InfoLevel) // so that the event is logged at any new or old level
 	event.Log(log.Log, event.SettingsReloaded, fields)
 	recent.SetLevel(next.Daemon.LogLevel)
 }
--- a/cmd/bambooscaled/run.go
+++ b/cmd/bambooscaled/run.go
@@ -27,8 +27,8 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// shutdownTime bounds a graceful shutdown. Requests end by their own
-// deadlines before that; only very long ones are cut off.
+// shutdownTimeout bounds a graceful shutdown. It exceeds the deadlines of all but
+// very long requests, which are aborted.
 const shutdownTimeout = 30 * time.Minute
 
 func runCommand() *cobra.Command {
@@ -42,7 +42,7 @@
 			s, err := settings.Load(file)
 			switch {
 			case errors.Is(err, fs.ErrNotExist):
-				return fmt.Errorf("%w; name the settings file with --settings", err)
+				return fmt.Errorf("%w; set the settings file with --settings", err)
 			case err != nil:
 				return err
 			case check:
@@ -57,17 +57,19 @@
 	return cmd
 }
 
-// lameDuck covers two health checks of a balancer that asks every 2 s.
+// drainDelay is long enough for two health checks of a balancer that checks
+// every 2 s.
 const drainDelay = 5 * time.Second
 
-// drainer stops a role in order.
+// drainer is a running entry or agent. Drain shuts it down gracefully and returns
+// an error when ctx ends first.
 type drainer interface{ Drain(context.Context) error }
 
 func run(cmd *cobra.Command, file string, s *settings.Settings) error {
-	log.SetLevel(log.DebugLevel) // the handler drops lower levels than the one set
+	log.SetLevel(log.DebugLevel) // the handler drops events below the level of the settings
 	g := daemon.NewGroup(context.WithoutCancel(cmd.Context()), log.Log)
 	defer g.Stop()
-	recent := startRecentEvents(g) // before anything logs
+	recent := startRecentEvents(g) // before the first event, because it replaces the log handler
 	recent.SetLevel(s.Daemon.LogLevel)
 	var d drainer
 	var err error
@@ -88,8 +90,8 @@
 	return d.Drain(ctx)
 }
 
-// linkConfig loads the keys for mutual TLS, if the settings name any, and
-// reads them again on SIGHUP.
+// linkConfig loads the keys for mutual TLS, if the settings contain any, and
+// starts an actor that reloads them on SIGHUP.
 func linkConfig(g *actor.Group, s *settings.Settings) (link.Config, error) {
 	if !s.TLS.Enabled() {
 		return link.Config{}, nil
@@ -120,14 +122,15 @@
 	return link.Config{Keys: keys}, nil
 }
 
-// keepRecent keeps the newest log events of the process for diagnostics.
+// startRecentEvents replaces the log handler of the process by one that also
+// keeps the newest events for diagnostics.
 func startRecentEvents(g *actor.Group) *daemon.RecentEvents {
 	r := daemon.StartRecentEvents(g, logfmt.New(os.Stderr))
 	log.SetHandler(r)
 	return r
 }
 
-// listen opens a listener; its error names the setting with the address.
+// listen opens a TCP listener. Its error contains the name of the setting.
 func listen(setting, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -195,11 +198,13 @@
 	return a, nil
 }
 
-// describeTimeout bounds one question to the worker, whose answer may be lost.
+// describeTimeout bounds one Describe call to the worker, whose response may be
+// lost.
 const describeTimeout = 5 * time.Second
 
-// describeWorker fills in the capacity that the settings leave open. The
-// worker may start after its agent, so it is asked until it answers.
+// fillCapacity sets the resources of w that the settings do not set to those that
+// the worker reports. The worker may start after its agent, so the call is
+// repeated until it succeeds or ctx ends.
 func fillCapacity(ctx context.Context, client taskagent.WorkerClient, w *model.Worker) error {
 	for w.Capacity.CPU == 0 || w.Capacity.Memory == 0 {
 		callCtx, cancel := context.WithTimeout(ctx, describeTimeout)
@@ -209,7 +214,7 @@
 			w.Capacity = withDefaults(w.Capacity, reported.Capacity)
 			break
 		}
-		log.WithError(err).Warn("the worker does not answer yet")
+		log.WithError(err).Warn("worker did not report its capacity; retrying")
 		if !actor.Sleep(ctx, time.Second) {
 			return ctx.Err()
 		}
@@ -217,6 +222,8 @@
 	return nil
 }
 
+// withDefaults returns configured with the resources that are zero replaced by
+// the reported ones.
 func withDefaults(configured, reported model.Resources) model.Resources {
 	if configured.CPU == 0 {
 		configured.CPU = reported.CPU
--- a/cmd/bambooscaled/run_test.go
+++ b/cmd/bambooscaled/run_test.go
@@ -11,7 +11,7 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// silentWorker does not answer the first call.
+// silentWorker does not answer the first Describe call.
 type silentWorker struct {
 	taskagent.WorkerClient
 	calls *int
@@ -26,9 +26,9 @@
 	return model.Worker{Capacity: model.Resources{CPU: 4000, Memory: 1 << 30}}, nil
 }
 
-// Guards against an agent that never starts because its worker's answer to
-// the first question was lost.
-func TestDescribeAsksASilentWorkerAgain(t *testing.T) {
+// Guards against an agent that never starts because the response to its first
+// Describe call was lost.
+func TestFillCapacityRetriesAfterALostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, w := 0, model.Worker{}
 		require.NoError(t, fillCapacity(t.Context(), silentWorker{calls: &calls}, &w))
--- a/cmd/bambooscaled/standin.go
+++ b/cmd/bambooscaled/standin.go
@@ -16,7 +16,7 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// server is a simulator that serves a listener until its context ends.
+// simulator serves a listener until its context ends.
 type simulator interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
@@ -30,7 +30,8 @@
 	return cmd
 }
 
-// serveStandin listens, prints the address and serves until the command ends.
+// serveStandin listens, prints the address and serves the simulator that start
+// returns until the command's context ends.
 func serveStandin(cmd *cobra.Command, listen string, start func(g *actor.Group, address string) (simulator, error)) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -124,10 +125,10 @@
 		}}
 	listenFlag(cmd, &listen)
 	f := cmd.Flags()
-	f.StringVar(&c.Service, "service", "permit-desk", "service of which it is an instance")
+	f.StringVar(&c.Service, "service", "permit-desk", "service of the backend server")
 	f.StringVar(&c.Agent, "agent", "", "URL of the agent to announce to")
-	f.StringVar(&c.Address, "advertise", "", "address to announce, such as a proxy's; by default the one that it listens on")
-	f.IntVar(&c.Slots, "slots", 0, "requests that it runs at once (default 8)")
-	f.IntVar(&c.Connections, "connections", 0, "connections that it accepts (default 64)")
+	f.StringVar(&c.Address, "advertise", "", "address to announce, such as a proxy's (default: the listen address)")
+	f.IntVar(&c.Slots, "slots", 0, "requests that run at the same time (default 8)")
+	f.IntVar(&c.Connections, "connections", 0, "connections accepted at the same time (default 64)")
 	return cmd
 }
