--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -19,26 +19,27 @@
 // WriteHTML writes a report as one page that needs no other file.
 func (r Report) WriteHTML(w io.Writer) error { return pageTemplate.Execute(w, r) }
 
-// Size of a plot in pixels, and the margins for its labels.
+// Size of a plot and the margins for its labels, in pixels.
 const (
 	plotWidth, plotHeight   = 460.0, 220.0
 	leftMargin, otherMargin = 56.0, 24.0
 )
 
-// line is one line of a plot.
+// line is one line of a plot. Its points are pairs of x and y.
 type line struct {
 	name, colour string
 	points       [][2]float64
 }
 
-// plot is a set of lines over one horizontal axis.
+// plot is a diagram of lines with a common horizontal axis.
 type plot struct {
 	title, unit string
 	lines       []line
-	xLabel      func(x float64) string // label of a place on the horizontal axis
-	logY        bool                   // vertical axis
+	xLabel      func(x float64) string // label of a value on the horizontal axis
+	logY        bool                   // the vertical axis is logarithmic
 }
 
+// plots returns the plots of a class as SVG elements.
 func plots(c ClassReport) []template.HTML {
 	series := func(value func(Window) float64) (points [][2]float64) {
 		for _, w := range c.Windows {
@@ -61,7 +62,7 @@
 		}, seconds, true}.svg(),
 		plot{"Percentiles", "ms", []line{{"latency", "#1b6ca8", curve}},
 			func(x float64) string { return fmt.Sprintf("%.4g%%", 100*(1-math.Pow(10, -x))) }, true}.svg(),
-		plot{"Requests a window", "", []line{
+		plot{"Requests per window", "", []line{
 			{"done", "#2e7d32", series(func(w Window) float64 { return float64(w.Done) })},
 			{"refused", "#d98b00", series(func(w Window) float64 { return float64(w.Refused) })},
 			{"failed", "#b3261e", series(func(w Window) float64 { return float64(w.Failed) })},
@@ -86,8 +87,8 @@
 	return max(maxX, 1e-9), maxY, min(minY, maxY/10)
 }
 
-// svg draws the plot. Every text in it is of this package or a number, so
-// that nothing has to be escaped.
+// svg returns the plot as an SVG element. It contains only numbers and texts of
+// this package, so nothing needs to be escaped.
 func (p plot) svg() template.HTML {
 	maxX, maxY, minY := p.scale()
 	right, bottom := plotWidth-otherMargin, plotHeight-otherMargin
--- a/internal/load/http.go
+++ b/internal/load/http.go
@@ -10,8 +10,8 @@
 	"syscall"
 )
 
-// connection is a keep-alive connection to the target. It follows no redirect
-// and uses no proxy, so that it never reaches another address.
+// connection is a keep-alive connection to the target. It follows no redirects
+// and uses no proxy, so that it sends nothing to another address.
 type connection struct {
 	client  *http.Client
 	url     string
@@ -19,7 +19,8 @@
 	payload []byte
 }
 
-// Dial returns the function that makes connections to the target of a plan.
+// Dial returns a function that creates connections to target, the URL of a plan.
+// A connection is opened by its first request.
 func Dial(target string) func(Class) Connection {
 	return func(c Class) Connection {
 		return &connection{
@@ -35,7 +36,8 @@
 // Close implements Connection.
 func (c *connection) Close() { c.client.CloseIdleConnections() }
 
-// Send implements Connection. The answer counts when its body has been read.
+// Send implements Connection. It returns when the body of the response has been
+// read.
 func (c *connection) Send(ctx context.Context) Response {
 	req, err := http.NewRequestWithContext(ctx, c.class.Method, c.url, bytes.NewReader(c.payload))
 	if err != nil {
@@ -60,7 +62,8 @@
 	return Response{Status: res.StatusCode, Outcome: res.Header.Get("Bambooscale-Outcome")}
 }
 
-// failure names the kind of an error, so that a report has few of them.
+// errorKind returns the kind of an error. Reports count errors by kind, so that
+// they contain few different ones.
 func errorKind(err error) string {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,7 +11,8 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// stalling answers after a millisecond, but after a second while it stalls.
+// stallingConnection responds after 1 ms. Requests between from and until are
+// delayed to until.
 type stallingConnection struct{ from, until time.Time }
 
 func (s stallingConnection) Send(ctx context.Context) Response {
@@ -25,13 +26,14 @@
 }
 func (stallingConnection) Close() {}
 
+// planOf returns a plan with one class.
 func planOf(c Class) Plan {
 	c.Name, c.Path = "reads", "/"
 	return Plan{Target: "http://127.0.0.1:1", Seed: 1, Classes: []Class{c}}
 }
 
-// Guards against a closed loop, in which a stall of a second delays one
-// request a connection and is hidden from the percentiles.
+// Guards against a closed loop, in which a stall of one second delays only one
+// request per connection, so that the percentiles do not show it.
 func TestStallIsNotHidden(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := planOf(Class{Connections: 1, DeadlineMs: 500, Phases: []Phase{{Seconds: 10, From: 100}}})
@@ -48,7 +50,8 @@
 	})
 }
 
-// Guards against a run without an end, or more requests than were allowed.
+// Guards against a run that does not end while the target does not respond, and
+// against more requests than the plan allows.
 func TestRunIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := planOf(Class{Phases: []Phase{{Seconds: 60, From: 100}}})
@@ -66,7 +69,7 @@
 	})
 }
 
-// Guards against a crest whose rate is not the one of the plan.
+// Guards against a schedule whose rates differ from those of the plan's phases.
 func TestScheduleFollowsPhases(t *testing.T) {
 	s := newSchedule(Class{Phases: []Phase{{Seconds: 10, From: 10}, {Seconds: 10, From: 0, To: 1000}, {Seconds: 10, From: 0}, {Seconds: 10, From: 500}}}, 7, 0)
 	var counts [4]int
@@ -79,7 +82,7 @@
 	require.InDelta(t, 5000, counts[3], 300)
 }
 
-// Guards against a plan that is refused with only its first defect.
+// Guards against a check that reports only the first finding of a plan.
 func TestPlanFindings(t *testing.T) {
 	p := Plan{Target: "127.0.0.1:8080", Classes: []Class{{Name: "a", Path: "x"}, {Name: "a", Path: "/", Connections: -1, Phases: []Phase{{Seconds: 1e9, From: -1}}}}}
 	require.Len(t, p.Check(), 7)
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,6 +1,6 @@
-// Package load measures a running system with an open loop: requests start by
-// a schedule that does not depend on the answers, and latency counts from the
-// intended start, so that a stall of the system is not hidden.
+// Package load measures a running system with an open loop: requests start on a
+// schedule that does not depend on the responses. Latency is measured from the
+// intended start, so that a stall of the system shows in it.
 package load
 
 import (
@@ -15,19 +15,19 @@
 // Bounds of a plan.
 const (
 	maxDuration    = time.Hour
-	maxRate        = 50_000 // requests a second
+	maxRate        = 50_000 // requests/s
 	maxClasses     = 32
-	maxConnections = 1024
-	maxBytes       = 1 << 20
-	// MaxRequests bounds the requests of a run.
+	maxConnections = 1024    // of a class
+	maxBytes       = 1 << 20 // of a request body
+	// MaxRequests is the largest number of requests in a run.
 	MaxRequests = 10_000_000
 )
 
-// Plan says what is sent.
+// Plan describes the requests of a run.
 type Plan struct {
 	Target   string  `json:"target"`   // URL of an entry's callers' listener
-	Seed     uint64  `json:"seed"`     // of the arrivals
-	Requests int     `json:"requests"` // largest number in all
+	Seed     uint64  `json:"seed"`     // of the random intervals between requests
+	Requests int     `json:"requests"` // largest number of requests of all classes together
 	Classes  []Class `json:"classes"`
 }
 
@@ -38,19 +38,19 @@
 	Path        string  `json:"path"`
 	Service     string  `json:"service,omitempty"`     // header Bambooscale-Service
 	Tenant      string  `json:"tenant,omitempty"`      // header Bambooscale-Tenant
-	DeadlineMs  int     `json:"deadlineMs,omitempty"`  // header Bambooscale-Deadline-Ms; answers after it count as late
+	DeadlineMs  int     `json:"deadlineMs,omitempty"`  // header Bambooscale-Deadline-Ms; later responses count as late
 	Bytes       int     `json:"bytes,omitempty"`       // size of the body
 	Connections int     `json:"connections,omitempty"` // default 64
 	Phases      []Phase `json:"phases"`
 }
 
-// Phase is a part of a class's schedule. The rate goes linearly from From to
-// To; a To of 0 keeps From, unless Ramp is set.
+// Phase is a part of the schedule of a class. The rate changes linearly from
+// From to To. If To is 0 and Ramp is not set, the rate stays at From.
 type Phase struct {
 	Seconds float64 `json:"seconds"`
-	From    float64 `json:"from"` // requests a second
-	To      float64 `json:"to,omitempty"`
-	Ramp    bool    `json:"ramp,omitempty"` // To is meant even when it is 0
+	From    float64 `json:"from"`           // requests/s
+	To      float64 `json:"to,omitempty"`   // requests/s
+	Ramp    bool    `json:"ramp,omitempty"` // To is used even when it is 0
 }
 
 func (p Phase) endRate() float64 {
@@ -70,7 +70,7 @@
 	return d
 }
 
-// Duration is the length of the longest class.
+// Duration returns the duration of the longest class.
 func (p Plan) Duration() time.Duration {
 	var d time.Duration
 	for _, c := range p.Classes {
@@ -79,7 +79,7 @@
 	return d
 }
 
-// Check fills in defaults and reports every finding.
+// Check sets the defaults of the plan and returns every finding.
 func (p *Plan) Check() finding.List {
 	var findings finding.List
 	add := func(where, format string, args ...any) { findings.Add("plan", 0, where, format, args...) }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	maxLatency              = 10 * time.Minute // larger ones are recorded as this
-	significantDigits       = 3
-	windowSignificantDigits = 2
-	// maxWindows bounds the points of a plot, and the memory of the windows'
-	// histograms, about 25 KB each.
+	maxLatency              = 10 * time.Minute // longer latencies are recorded as this one
+	significantDigits       = 3                // of latencies of a class
+	windowSignificantDigits = 2                // of latencies of a window
+	// maxWindows bounds the points of a plot and the memory for the histograms of
+	// the windows, about 25 KB each.
 	maxWindows = 300
 )
 
@@ -25,8 +25,8 @@
 	Classes []ClassReport `json:"classes"`
 }
 
-// ClassReport is the result of one class. Latencies count from the intended
-// start.
+// ClassReport is the result of one class. Latencies are measured from the
+// intended start of a request.
 type ClassReport struct {
 	Class
 	Sent       int            `json:"sent"`
@@ -34,16 +34,16 @@
 	Late       int            `json:"late"`       // done, but after the deadline
 	Refused    int            `json:"refused"`    // outcome not-run
 	Unsent     int            `json:"unsent"`     // no connection was free and the backlog was full
-	Unfinished int            `json:"unfinished"` // without an answer when the run ended
+	Unfinished int            `json:"unfinished"` // no response when the run ended
 	Statuses   map[string]int `json:"statuses"`
 	Outcomes   map[string]int `json:"outcomes"` // header Bambooscale-Outcome, "none" without it
 	Errors     map[string]int `json:"errors,omitempty"`
-	Latency    Latency        `json:"latency"` // of requests that are done
+	Latency    Latency        `json:"latency"` // of done requests
 	Curve      []Point        `json:"curve"`
 	Windows    []Window       `json:"windows"`
 }
 
-// Latency sums up a distribution, in milliseconds.
+// Latency summarises a distribution of latencies, in milliseconds.
 type Latency struct {
 	P50  float64 `json:"p50Ms"`
 	P99  float64 `json:"p99Ms"`
@@ -51,35 +51,36 @@
 	Max  float64 `json:"maxMs"`
 }
 
-// Point is one point of a distribution.
+// Point is one percentile of a distribution, in milliseconds.
 type Point struct {
 	Percentile float64 `json:"percentile"`
 	Ms         float64 `json:"ms"`
 }
 
-// Window is the requests whose intended start was in one window of time.
+// Window is the result of the requests whose intended start is in one window of
+// time.
 type Window struct {
-	Second  float64 `json:"second"` // start, from the start of the run
+	Second  float64 `json:"second"` // start of the window, from the start of the run
 	Done    int     `json:"done"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
 	Latency Latency `json:"latency"`
 }
 
-// sample is the end of one request.
+// sample is the result of one request.
 type sample struct {
 	intended time.Duration // from the start of the run
 	latency  time.Duration // from the intended start
-	status   int           // 0: no answer
+	status   int           // 0: no response
 	outcome  string
-	failure  string // kind of error, when there was no answer
+	failure  string // kind of error if there was no response
 }
 
-// recorder collects the samples of a class. It belongs to one actor.
+// recorder collects the samples of a class. One actor owns it.
 type recorder struct {
 	report      ClassReport
 	latency     *hdrhistogram.Histogram
-	windowWidth time.Duration // of a window
+	windowWidth time.Duration
 	windows     []window
 }
 
@@ -100,7 +101,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is inside the histogram's range, so recording cannot fail.
+	// RecordValue fails only for values outside the range of the histogram.
 	_ = h.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
 }
 
@@ -134,6 +135,7 @@
 	}
 }
 
+// window returns the window of an intended start. It creates missing ones.
 func (r *recorder) window(intended time.Duration) *window {
 	i := int(intended / r.windowWidth)
 	for len(r.windows) <= i {
@@ -148,6 +150,7 @@
 	return Latency{P50: quantile(50), P99: quantile(99), P999: quantile(99.9), Max: ms(h.Max())}
 }
 
+// ms converts microseconds to milliseconds.
 func ms(micros int64) float64 { return float64(micros) / 1000 }
 
 func (r *recorder) finish() ClassReport {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,12 +10,15 @@
 const (
 	// maxBacklog bounds the requests of a class that wait for a connection.
 	maxBacklog = 100_000
-	// answerTime is how long a request may take beyond its deadline before its
-	// connection gives it up, and how long the run waits after the last start.
-	responseGrace   = 5 * time.Second
+	// responseGrace is the time after the deadline of a request at which its
+	// connection aborts it.
+	responseGrace = 5 * time.Second
+	// defaultDeadline applies to requests of classes without a deadline.
 	defaultDeadline = 30 * time.Second
 )
 
+// timeout is how long a connection waits for a response, and how long the run
+// waits for responses after the last request has started.
 func (c Class) timeout() time.Duration {
 	if c.DeadlineMs > 0 {
 		return time.Duration(c.DeadlineMs)*time.Millisecond + responseGrace
@@ -23,26 +26,26 @@
 	return defaultDeadline + responseGrace
 }
 
-// Answer is what a connection got for a request.
+// Response is the result of a request on a connection.
 type Response struct {
-	Status  int    // 0: none
+	Status  int    // HTTP status; 0: no response
 	Outcome string // header Bambooscale-Outcome
-	Failure string // kind of error, when there was no answer
+	Failure string // kind of error if there was no response
 }
 
-// Connection sends one request at a time.
+// Connection sends requests, one at a time. One actor owns it.
 type Connection interface {
 	Send(ctx context.Context) Response
 	Close()
 }
 
-// message is what the owner of a class receives.
+// message is a message to the actor that owns a class.
 type message interface{ isMessage() }
 
 type (
-	// begin gives the owner its own address.
+	// begin starts the actor and contains its own address.
 	begin struct{ self actor.Address[message] }
-	// ended is the end of a request on a connection.
+	// requestEnded reports the result of a request on a connection.
 	requestEnded struct {
 		connection int
 		sample     sample
@@ -52,8 +55,8 @@
 func (begin) isMessage()        {}
 func (requestEnded) isMessage() {}
 
-// Run runs a checked plan with connections that dial makes, and returns when
-// every class has ended. It also ends, with what was measured, when ctx does.
+// Run runs a checked plan with connections that dial creates, and returns when
+// every class has ended. When ctx ends it returns the results up to then.
 func Run(ctx context.Context, p Plan, dial func(Class) Connection) Report {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
@@ -71,7 +74,7 @@
 		l.start(g, dial, reply)
 	}
 	for _, r := range replies {
-		// Loaders reply when ctx ends, too, so this always returns.
+		// Loaders also reply when ctx ends, so Get always returns.
 		c, _ := r.Get(context.WithoutCancel(ctx))
 		report.Classes = append(report.Classes, c)
 	}
@@ -79,20 +82,22 @@
 	return report
 }
 
-// loader is the state of the actor that owns a class: its schedule, its
-// backlog and its measurements.
+// loader is the state of the actor that owns a class: its schedule, its backlog
+// and its results.
 type loader struct {
 	class           Class
 	startedAt       time.Time
 	schedule        *schedule
-	mayStart        func() bool // false: the run has sent all its requests
+	mayStart        func() bool // false: the run has started all the requests of the plan
 	recorder        *recorder
 	connections     []actor.Address[time.Duration]
 	idleConnections []int
-	backlog         []time.Duration // intended starts
+	backlog         []time.Duration // intended starts of requests that wait for a connection
 	inFlight        int
 }
 
+// start starts the actor. It puts the report of the class into reply when the
+// class or the context of g ends.
 func (l *loader) start(g *actor.Group, dial func(Class) Connection, reply actor.Reply[ClassReport]) {
 	owner := actor.Spawn(g, actor.Spec[message]{Name: "load class", Mailbox: l.class.Connections,
 		Run: func(ctx context.Context, in <-chan message) error {
@@ -107,12 +112,12 @@
 			}
 			return nil
 		}})
-	// The mailbox is empty, so that the message always has room.
+	// TrySend cannot fail because the mailbox is empty.
 	owner.TrySend(begin{owner})
 }
 
-// spawn starts a connection, which owns its socket and receives the intended
-// starts of the requests that it sends.
+// spawnConnection starts the actor of a connection. It owns the connection and
+// receives the intended starts of the requests that it sends.
 func (l *loader) spawnConnection(g *actor.Group, owner actor.Address[message], c Connection, i int) {
 	startedAt, timeout := l.startedAt, l.class.timeout()
 	l.connections = append(l.connections, actor.Spawn(g, actor.Spec[time.Duration]{Name: "load connection", Mailbox: 1,
@@ -137,13 +142,14 @@
 	l.idleConnections = append(l.idleConnections, i)
 }
 
-// run starts requests by the schedule until it ends, then waits for answers.
+// run starts requests on the schedule until it ends, and then waits for the
+// responses.
 func (l *loader) run(ctx context.Context, in <-chan message) {
 	defer func() { l.recorder.report.Unfinished = l.inFlight + len(l.backlog) }()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	nextStart, more := l.schedule.next()
-	draining := false // the timer bounds the wait for answers
+	draining := false // all requests have started; the timer bounds the wait for responses
 	for {
 		now := time.Since(l.startedAt)
 		for more && nextStart <= now {
@@ -176,7 +182,8 @@
 	}
 }
 
-// arrive sends a request on an idle connection, or keeps it for the next one.
+// sendOrQueue sends a request on an idle connection, or queues it. A request that
+// exceeds the backlog counts as unsent.
 func (l *loader) sendOrQueue(intended time.Duration) {
 	switch {
 	case len(l.idleConnections) > 0:
@@ -193,7 +200,7 @@
 func (l *loader) send(connection int, intended time.Duration) {
 	l.inFlight++
 	l.recorder.report.Sent++
-	// The connection is idle, so that its mailbox has room.
+	// TrySend cannot fail because an idle connection has an empty mailbox.
 	l.connections[connection].TrySend(intended)
 }
 
