--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -7,45 +7,46 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// connMessage is one order for a connection: one of the fields but done is
-// set.
+// connCommand is a command to a connection. Exactly one of set, reset and
+// halfOpen is given.
 type connCommand struct {
 	set      *setFaults
 	reset    bool
 	halfOpen *Side
-	done     actor.Reply[struct{}]
+	reply    actor.Reply[struct{}]
 }
 
-// conn is the state of a connection's actor, which owns both sockets. Its
-// group holds the actors of the two directions.
+// conn is the state of the actor of a connection, which owns both sockets. Its
+// group contains the actors of the two directions.
 type conn struct {
-	group     *actor.Group
-	upstream  string
-	faults    [directions]Faults
-	sockets   [2]*net.TCPConn // the server's is nil until it is dialled
-	dialling  bool
-	dialled   chan *net.TCPConn // nil value: the dial failed
-	injectors [directions]actor.Address[setFaults]
-	ended     chan endReason
-	open      int // directions that have not ended in order
+	group          *actor.Group
+	upstream       string
+	faults         [directions]Faults
+	sockets        [2]*net.TCPConn // by Side; the server's is nil until it is connected
+	dialling       bool
+	dialled        chan *net.TCPConn // result of the dial; nil: it failed
+	injectors      [directions]actor.Address[setFaults]
+	ended          chan endReason
+	openDirections int // directions in which the end of the stream has not passed
 }
 
-// ending says how a direction ended.
+// endReason is the reason why a direction ended.
 type endReason uint8
 
 const (
 	endedByEOF   endReason = iota // the end of the stream has passed
-	endedByReset                  // a side reset the connection, or took no bytes
+	endedByReset                  // a side reset the connection, or a write failed
 	endedByTruncation
 )
 
 func newConn(g *actor.Group, client *net.TCPConn, upstream string, faults [directions]Faults) *conn {
 	return &conn{
 		group: g, upstream: upstream, faults: faults, sockets: [2]*net.TCPConn{Client: client},
-		dialled: make(chan *net.TCPConn, 1), ended: make(chan endReason, directions), open: int(directions),
+		dialled: make(chan *net.TCPConn, 1), ended: make(chan endReason, directions), openDirections: int(directions),
 	}
 }
 
+// run handles commands and events until the connection or ctx ends.
 func (c *conn) run(ctx context.Context, in <-chan connCommand) error {
 	defer c.close()
 	c.dial()
@@ -53,7 +54,7 @@
 		select {
 		case m := <-in:
 			open := c.handle(ctx, m)
-			m.done.Put(struct{}{})
+			m.reply.Put(struct{}{})
 			if !open {
 				return nil
 			}
@@ -71,7 +72,8 @@
 	}
 }
 
-// close ends the sockets first, so that the readers and writers return.
+// close closes the sockets and then waits for the actors of the group. Readers
+// and writers return only when their sockets are closed.
 func (c *conn) close() {
 	c.group.Cancel()
 	for _, s := range c.sockets {
@@ -89,8 +91,8 @@
 	}
 }
 
-// dial connects to the server, unless a direction has a hole: then neither
-// the request for a connection nor the answer to it would pass.
+// dial starts to connect to the server, unless a direction is blackholed. Across
+// such a fault a TCP handshake would not complete.
 func (c *conn) dial() {
 	if c.dialling || c.group.Context().Err() != nil || c.faults[ToServer].Blackhole || c.faults[ToClient].Blackhole {
 		return
@@ -108,8 +110,8 @@
 	})
 }
 
-// connect starts both directions. It reports whether the connection goes on:
-// the client of a server that refuses is reset.
+// connect starts both directions. It reports whether the connection continues:
+// when the dial failed, it resets the connection to the client.
 func (c *conn) connect(server *net.TCPConn) bool {
 	if server == nil {
 		c.abort(Client)
@@ -121,7 +123,8 @@
 	return true
 }
 
-// settle waits for a dial in progress, so that an order finds both sockets.
+// awaitDial waits for a dial in progress, so that a command applies to both
+// sockets. It reports whether the connection continues.
 func (c *conn) awaitDial() bool {
 	if !c.dialling || c.sockets[Server] != nil {
 		return true
@@ -129,7 +132,7 @@
 	return c.connect(<-c.dialled)
 }
 
-// handle reports whether the connection goes on.
+// handle executes a command. It reports whether the connection continues.
 func (c *conn) handle(ctx context.Context, m connCommand) bool {
 	switch {
 	case !c.awaitDial():
@@ -139,7 +142,7 @@
 		c.abort(Server)
 		return false
 	case m.halfOpen != nil:
-		c.group.Cancel() // the directions end without a sign to the other side
+		c.group.Cancel() // the directions end; the other side is not notified
 		c.abort(*m.halfOpen)
 		return c.sockets[1-*m.halfOpen] != nil
 	case m.set != nil:
@@ -152,7 +155,7 @@
 	return true
 }
 
-// abort resets the connection to one side.
+// abort resets the connection to one side by closing the socket without linger.
 func (c *conn) abort(side Side) {
 	if s := c.sockets[side]; s != nil {
 		_ = s.SetLinger(0)
@@ -160,7 +163,8 @@
 	}
 }
 
-// directionEnded reports whether the connection goes on.
+// directionEnded handles the end of a direction. It reports whether the
+// connection continues.
 func (c *conn) directionEnded(reason endReason) bool {
 	if c.group.Context().Err() != nil {
 		return true // half open
@@ -173,6 +177,6 @@
 	case endedByTruncation:
 		return false
 	}
-	c.open--
-	return c.open > 0
+	c.openDirections--
+	return c.openDirections > 0
 }
--- a/internal/faultproxy/injector_test.go
+++ b/internal/faultproxy/injector_test.go
@@ -12,8 +12,8 @@
 	"github.com/bambooscale/bambooscale/internal/actor"
 )
 
-// paced runs a pacer in virtual time. The test writes to read and reads from
-// out what passes.
+// injectorFixture runs a fault injector in virtual time. The test sends chunks to
+// read and receives from out the chunks that pass.
 type injectorFixture struct {
 	t       *testing.T
 	read    chan chunk
@@ -21,7 +21,9 @@
 	address actor.Address[setFaults]
 }
 
-func inVirtualTime(t *testing.T, faults Faults, test func(p injectorFixture)) {
+// inVirtualTime runs test with a fault injector that starts with the given
+// faults.
+func inVirtualTime(t *testing.T, faults Faults, test func(f injectorFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := injectorFixture{t: t, read: make(chan chunk), out: make(chan chunk)}
@@ -37,22 +39,24 @@
 
 func (f injectorFixture) set(faults Faults) {
 	_, err := actor.Ask(f.t.Context(), f.address, func(r actor.Reply[struct{}]) setFaults {
-		return setFaults{faults: faults, done: r}
+		return setFaults{faults: faults, reply: r}
 	})
 	require.NoError(f.t, err)
 }
 
-// requireSilence checks that nothing passes for an hour.
+// requireNothingPasses checks that no chunk passes within an hour of virtual
+// time.
 func (f injectorFixture) requireNothingPasses() {
 	f.t.Helper()
 	select {
 	case c := <-f.out:
-		require.Fail(f.t, "passed", "%q", c.data)
+		require.Fail(f.t, "a chunk passed the fault injector", "%q", c.data)
 	case <-time.After(time.Hour):
 	}
 }
 
-// Guards against a delay that is not kept, or that reorders bytes.
+// Guards against chunks that pass before their delay is over, and against a
+// change of the delay that reorders bytes.
 func TestDelay(t *testing.T) {
 	inVirtualTime(t, Faults{Delay: 40 * time.Millisecond}, func(f injectorFixture) {
 		start := time.Now()
@@ -70,8 +74,8 @@
 	})
 }
 
-// Guards against a hole that lets bytes or the end of the stream through, or
-// that loses what was sent.
+// Guards against a blackhole that passes bytes or the end of the stream, and
+// against bytes that are lost after the fault is removed.
 func TestBlackhole(t *testing.T) {
 	inVirtualTime(t, Faults{}, func(f injectorFixture) {
 		f.send("a")
@@ -88,7 +92,7 @@
 	})
 }
 
-// Guards against a hole that takes bytes without bound.
+// Guards against a blackhole that queues bytes without bound.
 func TestBlackholeIsBounded(t *testing.T) {
 	inVirtualTime(t, Faults{Blackhole: true}, func(f injectorFixture) {
 		for range maxQueued {
@@ -96,13 +100,13 @@
 		}
 		select {
 		case f.read <- chunk{}:
-			require.Fail(t, "the pacer took a chunk above its bound")
+			require.Fail(t, "the fault injector accepted more than maxQueued chunks")
 		case <-time.After(time.Hour):
 		}
 	})
 }
 
-// Guards against a truncation at another byte than the one asked for.
+// Guards against a truncation after a wrong number of bytes.
 func TestTruncationCountsBytes(t *testing.T) {
 	inVirtualTime(t, Faults{}, func(f injectorFixture) {
 		f.send("before")
@@ -119,14 +123,15 @@
 	})
 }
 
-// Guards against a connection that stays open although nothing more may pass.
+// Guards against a connection that stays open when the truncation allows no more
+// bytes.
 func TestTruncationAtOnce(t *testing.T) {
 	inVirtualTime(t, Faults{Truncate: true}, func(f injectorFixture) {
 		require.Equal(t, endedByTruncation, (<-f.out).end)
 	})
 }
 
-// Guards against a pacer that outlives its connection.
+// Guards against a fault injector that does not end with its connection.
 func TestInjectorEndsWithItsGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := actor.NewGroup(context.Background(), nil)
@@ -136,6 +141,7 @@
 	})
 }
 
+// withoutDue returns the chunk without its time, for comparisons.
 func withoutDue(c chunk) chunk {
 	c.due = time.Time{}
 	return c
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,9 +1,9 @@
-// Package faultproxy is a TCP proxy for tests that injects faults between
-// real processes. It is used by tests only.
+// Package faultproxy is a TCP proxy that injects faults between real processes.
+// Only tests use it.
 //
-// Actors: the proxy holds the faults in force and the list of connections; an
-// acceptor owns the listening socket; each connection has an actor that owns
-// both sockets, and per direction a reader, a pacer and a writer.
+// The actor of the proxy owns the current faults and the list of connections. An
+// acceptor owns the listening socket. The actor of each connection owns both
+// sockets; each direction has a reader, a fault injector and a writer.
 package faultproxy
 
 import (
@@ -24,31 +24,31 @@
 	directions
 )
 
-// Side is one of the two processes.
+// Side is one of the two processes that the proxy connects.
 type Side uint8
 
-// Sides.
+// Sides. The client is the process that connects to the proxy.
 const (
 	Client Side = iota
 	Server
 )
 
-// Faults are the faults of one direction. The zero value passes everything.
+// Faults are the faults of one direction. The zero value is no fault.
 type Faults struct {
-	Delay time.Duration // added to everything that is read from now on
-	// Blackhole stops the direction without a sign to either side, including the
-	// end of the stream. What is sent waits, as TCP would send it again, and
-	// passes once the hole is gone. The sender blocks when the buffers are full.
+	Delay time.Duration // delays all bytes that are read after the change
+	// Blackhole stops all bytes and the end of the stream without notifying
+	// either side. They are queued and pass after the fault is removed, as TCP
+	// would retransmit them. The sender blocks when the buffers are full.
 	Blackhole bool
-	// Truncate lets After more bytes pass on each connection and then closes
-	// the connection in order.
+	// Truncate passes After more bytes on each connection and then closes the
+	// connection without a reset.
 	Truncate bool
-	After    int64
+	After    int64 // bytes
 }
 
-// Proxy is the handle of a running proxy. Its methods wait until a change is
-// in force on every connection; bytes that the proxy has begun to write may
-// still arrive.
+// Proxy is a handle of a running proxy. Any goroutine may call its methods. They
+// wait until a change is in effect on every connection; bytes that the proxy is
+// already writing may still arrive.
 type Proxy struct {
 	group    *actor.Group
 	address  string
@@ -84,16 +84,16 @@
 	return p, nil
 }
 
-// Addr is the address to connect to instead of the upstream's.
+// Addr returns the address to connect to instead of the upstream.
 func (p *Proxy) Addr() string { return p.address }
 
 // Close ends every connection and waits for the actors.
 func (p *Proxy) Close() { p.group.Stop() }
 
-// Set replaces the faults of a direction on present and later connections.
+// Set replaces the faults of a direction on current and later connections.
 func (p *Proxy) Set(d Direction, f Faults) { p.ask(message{set: &setFaults{direction: d, faults: f}}) }
 
-// Partition stops both directions with Blackhole.
+// Partition sets Blackhole as the only fault of both directions.
 func (p *Proxy) Partition() {
 	p.Set(ToServer, Faults{Blackhole: true})
 	p.Set(ToClient, Faults{Blackhole: true})
@@ -105,47 +105,48 @@
 	p.Set(ToClient, Faults{})
 }
 
-// Reset resets every present connection on both sides.
+// Reset resets every current connection on both sides.
 func (p *Proxy) Reset() { p.ask(message{command: connCommand{reset: true}}) }
 
-// HalfOpen resets every present connection towards the side lost and leaves
-// the other side's connection open and silent.
+// HalfOpen resets every current connection to resetSide. The connection to the
+// other side stays open, and no bytes pass on it.
 func (p *Proxy) HalfOpen(resetSide Side) { p.ask(message{command: connCommand{halfOpen: &resetSide}}) }
 
-// SetUpstream changes the address for later connections, such as of a
-// restarted process.
+// SetUpstream changes the address to which later connections are forwarded, for
+// example after a restart of the server.
 func (p *Proxy) SetUpstream(address string) { p.ask(message{upstream: address}) }
 
 // Connections returns the number of connections that are open on either side.
 func (p *Proxy) Connections() int { return p.ask(message{}) }
 
-// ask waits for the answer, which is the number of connections.
+// ask sends m to the actor of the proxy and returns its reply, the number of open
+// connections, or 0 when the proxy has ended.
 func (p *Proxy) ask(m message) int {
 	n, _ := actor.Ask(p.group.Context(), p.commands, func(r actor.Reply[int]) message {
-		m.done = r
+		m.reply = r
 		return m
 	})
 	return n
 }
 
-// message is one order for the proxy's actor: at most one of the fields but
-// done is set.
+// message is a message to the actor of the proxy. At most one field other than
+// reply is set. Without one it only queries the number of connections.
 type message struct {
 	accepted *net.TCPConn
-	ended    uint64 // connection
+	ended    uint64 // ID of a connection that has ended
 	set      *setFaults
 	command  connCommand
 	upstream string
-	done     actor.Reply[int]
+	reply    actor.Reply[int]
 }
 
 type setFaults struct {
 	direction Direction
 	faults    Faults
-	done      actor.Reply[struct{}]
+	reply     actor.Reply[struct{}]
 }
 
-// state is the state of the proxy's actor.
+// proxyState is the state of the actor of the proxy.
 type proxyState struct {
 	group    *actor.Group
 	self     actor.Address[message]
@@ -160,7 +161,7 @@
 		select {
 		case m := <-in:
 			s.handle(ctx, m)
-			m.done.Put(len(s.conns))
+			m.reply.Put(len(s.conns))
 		case <-ctx.Done():
 			return nil
 		}
@@ -183,11 +184,11 @@
 	}
 }
 
-// tell sends an order to every connection and waits until it is in force.
+// broadcast sends a command to every connection and waits until it is in effect.
 func (s *proxyState) broadcast(ctx context.Context, command connCommand) {
 	for _, c := range s.conns {
 		_, _ = actor.Ask(ctx, c, func(r actor.Reply[struct{}]) connCommand {
-			command.done = r
+			command.reply = r
 			return command
 		})
 	}
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a proxy in front of a listener of the test.
+// fixture is a proxy in front of a listener that the test owns.
 type fixture struct {
 	t        *testing.T
 	proxy    *Proxy
@@ -74,7 +74,8 @@
 	require.Equal(f.t, want, string(got))
 }
 
-// requireReset checks that a connection ends in a reset, not in order.
+// requireReset checks that a connection ends with a reset instead of the end of
+// the stream, and without further bytes.
 func (f fixture) requireReset(c net.Conn) {
 	f.t.Helper()
 	rest, err := io.ReadAll(c)
@@ -82,8 +83,8 @@
 	require.Empty(f.t, rest)
 }
 
-// Guards against a proxy without faults that is not transparent: bytes in
-// both directions, and a half-closed connection.
+// Guards against a proxy that changes the stream although no fault is set: in
+// either direction, or when one side closes its write half.
 func TestTransparentWithoutFaults(t *testing.T) {
 	f := newFixture(t)
 	client, server := f.dial(), f.accept()
@@ -99,8 +100,8 @@
 	require.Equal(t, "passes", string(got))
 }
 
-// Guards against a reset of one process that the other sees as an orderly
-// end.
+// Guards against a reset by one process that the other process receives as the
+// end of the stream.
 func TestResetIsPassedOn(t *testing.T) {
 	f := newFixture(t)
 	client, server := f.dial(), f.accept()
@@ -109,7 +110,8 @@
 	f.requireReset(client)
 }
 
-// Guards against a reset that reaches one side only, or later connections.
+// Guards against a reset of one side only, and against a reset of connections
+// that are opened later.
 func TestReset(t *testing.T) {
 	f := newFixture(t)
 	client, server := f.dial(), f.accept()
@@ -121,7 +123,7 @@
 	f.requireRead(server, "again")
 }
 
-// Guards against a half-open connection that both sides notice, or neither.
+// Guards against a half-open fault that resets both sides or neither.
 func TestHalfOpen(t *testing.T) {
 	for resetSide, name := range map[Side]string{Client: "client", Server: "server"} {
 		t.Run(name, func(t *testing.T) {
@@ -136,16 +138,16 @@
 			}
 			f.requireReset(reset)
 			require.Equal(t, 1, f.proxy.Connections())
-			f.write(open, "into the void")
-			f.proxy.Set(ToServer, Faults{}) // has no effect on it
+			f.write(open, "unread")
+			f.proxy.Set(ToServer, Faults{}) // must have no effect on the open side
 			f.proxy.Reset()
 			f.requireReset(open)
 		})
 	}
 }
 
-// Guards against a hole in one direction that stops the other one too, or
-// that loses what was sent.
+// Guards against a blackhole in one direction that also stops the other one, and
+// against bytes that are lost after the fault is removed.
 func TestBlackholeOfOneDirection(t *testing.T) {
 	f := newFixture(t)
 	client, server := f.dial(), f.accept()
@@ -159,7 +161,7 @@
 	f.requireRead(client, "held")
 }
 
-// Guards against bytes that pass a hole which is reset before it is healed.
+// Guards against queued bytes that pass when a blackholed connection is reset.
 func TestBlackholeWithholdsBytes(t *testing.T) {
 	f := newFixture(t)
 	client, server := f.dial(), f.accept()
@@ -171,7 +173,7 @@
 	f.requireReset(client)
 }
 
-// Guards against a connection that reaches the server across a partition.
+// Guards against a new connection that reaches the server during a partition.
 func TestPartitionHoldsNewConnections(t *testing.T) {
 	f := newFixture(t)
 	f.proxy.Partition()
@@ -180,13 +182,13 @@
 	other, err := net.Dial("tcp", f.upstream.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = other.Close() }()
-	require.Equal(t, other.LocalAddr().String(), f.accept().RemoteAddr().String(), "the first connection to arrive")
+	require.Equal(t, other.LocalAddr().String(), f.accept().RemoteAddr().String(), "the first accepted connection must not come from the proxy")
 	f.proxy.Heal()
 	f.requireRead(f.accept(), "early")
 }
 
-// Guards against a truncation that passes more or fewer bytes than asked for,
-// or that applies to the other direction.
+// Guards against a truncation after a wrong number of bytes or of the wrong
+// direction.
 func TestTruncation(t *testing.T) {
 	f := newFixture(t)
 	f.proxy.Set(ToClient, Faults{Truncate: true, After: 5})
@@ -199,9 +201,9 @@
 	require.Equal(t, "respo", string(got))
 }
 
-// Guards against a client that is kept waiting when its server is gone, and
-// against a restarted server that is not reached.
-func TestUpstreamThatIsGone(t *testing.T) {
+// Guards against a client that waits although its server refuses connections,
+// and against a server with a new address that is not reached.
+func TestUnreachableUpstream(t *testing.T) {
 	f := newFixture(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -219,8 +221,8 @@
 	f.requireRead(f.accept(), "back")
 }
 
-// Guards against a fault on one link that ends another link of the process,
-// or that passes for the orderly end of a response.
+// Guards against a fault on one link that ends another link of the process, and
+// against a truncation that a stream reports as the regular end of a response.
 func TestLinkThroughTheProxy(t *testing.T) {
 	g := actor.NewGroup(context.Background(), nil)
 	defer g.Stop()
@@ -242,7 +244,7 @@
 	in, err := agent.AcceptStream(t.Context())
 	require.NoError(t, err)
 	proxy.Set(ToServer, Faults{Truncate: true, After: 100})
-	_ = in.Send(&msg.BodyChunk{Data: make([]byte, 1000)}) // fails when the end of the link arrives first
+	_ = in.Send(&msg.BodyChunk{Data: make([]byte, 1000)}) // fails if the link has already ended
 	_, err = out.Receive()
 	require.ErrorIs(t, err, link.ErrClosed)
 	_, err = agent.Receive()
--- a/internal/faultproxy/pump.go
+++ b/internal/faultproxy/pump.go
@@ -13,19 +13,20 @@
 
 const (
 	chunkSize = 16 << 10 // bytes
-	// maxQueued bounds the chunks that a delay or hole holds, 1 MiB in all.
+	// maxQueued bounds the chunks that are queued because of a delay or a
+	// blackhole, to 1 MiB.
 	maxQueued = 64
 )
 
-// chunk is what a reader has read, or the end of the stream when data is nil.
+// chunk is a piece of the stream, or its end when data is nil.
 type chunk struct {
 	data []byte
-	end  endReason
-	due  time.Time
+	end  endReason // used when data is nil
+	due  time.Time // time from which the chunk may pass
 }
 
-// pump starts the actors of one direction and returns the pacer. The one that
-// finds the end of the direction reports it once on ended.
+// pump starts the actors of one direction and returns the fault injector. The
+// writer sends the reason for the end of the direction to ended once.
 func pump(g *actor.Group, from, to *net.TCPConn, f Faults, ended chan<- endReason) actor.Address[setFaults] {
 	read, out := make(chan chunk), make(chan chunk)
 	actor.Go(g, "fault-proxy-reader", func(ctx context.Context) error {
@@ -40,8 +41,8 @@
 	return actor.Spawn(g, actor.Spec[setFaults]{Name: "fault-proxy-pacer", Mailbox: 4, Run: injector.run})
 }
 
-// readAll owns the read half of a socket. It ends with the chunk for the end
-// of the stream.
+// readAll reads from until the end of the stream and sends a chunk for the end
+// last. It owns the read half of the socket.
 func readAll(ctx context.Context, from *net.TCPConn, out chan<- chunk) {
 	for {
 		buf := make([]byte, chunkSize)
@@ -60,6 +61,7 @@
 	}
 }
 
+// sendChunk reports false when ctx ends before the receiver accepts the chunk.
 func sendChunk(ctx context.Context, out chan<- chunk, c chunk) bool {
 	select {
 	case out <- c:
@@ -69,7 +71,8 @@
 	}
 }
 
-// writeAll owns the write half of a socket.
+// writeAll writes the chunks of in and returns the reason for the end of the
+// direction. It owns the write half of the socket.
 func writeAll(ctx context.Context, to *net.TCPConn, in <-chan chunk) endReason {
 	for {
 		select {
@@ -89,8 +92,8 @@
 	}
 }
 
-// pacer is the state of the actor that applies the faults of one direction.
-// It never waits on a socket, so that faults can be changed at any time.
+// faultInjector is the state of the actor that applies the faults of one
+// direction. It never waits for a socket, so that faults can change at any time.
 type faultInjector struct {
 	faults Faults
 	read   <-chan chunk
@@ -110,7 +113,7 @@
 		select {
 		case m := <-in:
 			f.faults = m.faults
-			m.done.Put(struct{}{})
+			m.reply.Put(struct{}{})
 		case c := <-read:
 			c.due = time.Now().Add(f.faults.Delay)
 			f.queue = append(f.queue, c)
@@ -125,8 +128,9 @@
 	}
 }
 
-// next returns the chunk that may pass now and the channel for it. The channel
-// is nil when none may; then the timer is set if one will be due.
+// nextChunk returns the chunk that may pass now and the channel for it. When no
+// chunk may pass, the channel is nil, and the timer is set to the time at which
+// the first queued chunk is due, if a delay is the only reason.
 func (f *faultInjector) nextChunk(timer *time.Timer) (chan<- chunk, chunk) {
 	timer.Stop()
 	if f.faults.Blackhole {
@@ -149,8 +153,8 @@
 	return f.out, c
 }
 
-// sent accounts for a chunk that the writer has taken, and reports whether it
-// was the last.
+// handleSent removes a chunk that the writer has received from the queue. It
+// reports whether the chunk was the last one.
 func (f *faultInjector) handleSent(c chunk) bool {
 	if c.data == nil {
 		return true
