--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -65,6 +65,7 @@
 	return accepted
 }
 
+// placementConfig returns the part of a configuration that controllers use.
 func placementConfig(s *configstore.Snapshot) control.Configuration {
 	c := control.Configuration{
 		Quotas: s.Quotas(),
@@ -78,6 +79,7 @@
 	return c
 }
 
+// labelsOf returns the labels of every object of a kind by name.
 func labelsOf[K ~string](s *configstore.Snapshot, kind model.ConfigKind) map[K]model.Labels {
 	m := map[K]model.Labels{}
 	for _, k := range s.Keys(kind) {
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// startAgentLinks starts the actor that accepts links of agents.
 func startAgentLinks(g *actor.Group, c EntryConfig, self entry.Self, store *configstore.Store, dispatcher entry.Address, controllers *cellControllers) {
 	links := &entry.Links{
 		Self: self, Dispatcher: dispatcher, Log: c.Log,
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -31,6 +31,8 @@
 	draining       *actor.Value[bool] // set when the entry shuts down
 }
 
+// startOperator starts the operators' API and the actor that keeps v.entries
+// current.
 func startOperator(g *actor.Group, c EntryConfig, v *operatorView, store *configstore.Store, registry *metrics.Registry) *operator.API {
 	cfg := c.Settings
 	directory.Follow(g, c.Table, directoryInterval, c.Log, func(list directory.List) { v.entries.Set(&list) })
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -61,8 +61,8 @@
 	return fmt.Sprint(v)
 }
 
-// newValue returns a value that parse reads and that is stored in the field that
-// field returns.
+// newValue returns the value of a key whose text parse converts. field returns
+// the address of its field in Settings.
 func newValue[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
 	return value{
 		typ: typ,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -118,6 +118,7 @@
 // qualifiedKey returns the name of a key with its section: "[section] key".
 func qualifiedKey(section, key string) string { return "[" + section + "] " + key }
 
+// add adds a finding about a key, as "[section] key", with its line.
 func (r *reader) add(key, format string, args ...any) {
 	r.findings.Add(r.source, r.lines[key], key, format, args...)
 }
@@ -148,6 +149,8 @@
 	return strings.Join(iniLines, "\n")
 }
 
+// scanKey records line n, which sets a key, and reports repeated and unknown
+// keys.
 func (r *reader) scanKey(section, line string, n int) {
 	end := strings.IndexAny(line, "=:")
 	name := qualifiedKey(section, strings.TrimSpace(line[:end]))
