--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -13,7 +13,7 @@
 	// responseGrace is the time after the deadline of a request at which its
 	// connection aborts it.
 	responseGrace = 5 * time.Second
-	// defaultDeadline applies to requests of classes without a deadline.
+	// defaultDeadline is assumed for requests of classes without a deadline.
 	defaultDeadline = 30 * time.Second
 )
 
