--- a/cmd/bambooscaled/reload.go
+++ b/cmd/bambooscaled/reload.go
@@ -15,9 +15,10 @@
 	"github.com/bambooscale/bambooscale/internal/settings"
 )
 
-// reloadSettings reads the settings file again on SIGHUP. Log level and
-// operators' token take effect at once; an invalid file changes nothing.
-func reloadSettings(g *actor.Group, file string, started *settings.Settings, recent *daemon.Recent, d drainer) {
+// reloadSettings reloads the settings file on SIGHUP. Changes of the log level
+// and of the operators' token take effect at once. An invalid file changes
+// nothing. atStart are the settings that the process started with.
+func reloadSettings(g *actor.Group, file string, atStart *settings.Settings, recent *daemon.RecentEvents, d drainer) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	actor.Go(g, "settings reload", func(ctx context.Context) error {
@@ -27,13 +28,13 @@
 			case <-ctx.Done():
 				return nil
 			case <-hup:
-				reload(file, started, recent, d)
+				reload(file, atStart, recent, d)
 			}
 		}
 	})
 }
 
-func reload(file string, started *settings.Settings, recent *daemon.Recent, d drainer) {
+func reload(file string, atStart *settings.Settings, recent *daemon.RecentEvents, d drainer) {
 	next, err := settings.Load(file)
 	if err != nil {
 		event.Log(log.Log, event.SettingsRejected, log.Fields{"file": file, "findings": err.Error()})
@@ -43,10 +44,10 @@
 		e.SetOperatorToken(next.Entry.OperatorToken)
 	}
 	fields := log.Fields{"file": file}
-	if keys := started.NeedRestart(next); len(keys) > 0 {
+	if keys := atStart.NeedRestart(next); len(keys) > 0 {
 		fields["need_restart"] = strings.Join(keys, ", ")
 	}
-	recent.SetLevel(log.InfoLevel) // whoever raises the level still sees that it was read
+	recent.SetLevel(log.InfoLevel) // so that the event is logged at any new or old level
 	event.Log(log.Log, event.SettingsReloaded, fields)
 	recent.SetLevel(next.Daemon.LogLevel)
 }
--- a/cmd/bambooscaled/run.go
+++ b/cmd/bambooscaled/run.go
@@ -27,9 +27,9 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// shutdownTime bounds a graceful shutdown. Requests end by their own
-// deadlines before that; only very long ones are cut off.
-const shutdownTime = 30 * time.Minute
+// shutdownTimeout bounds a graceful shutdown. It exceeds the deadlines of all but
+// very long requests, which are aborted.
+const shutdownTimeout = 30 * time.Minute
 
 func runCommand() *cobra.Command {
 	var file string
@@ -42,7 +42,7 @@
 			s, err := settings.Load(file)
 			switch {
 			case errors.Is(err, fs.ErrNotExist):
-				return fmt.Errorf("%w; name the settings file with --settings", err)
+				return fmt.Errorf("%w; set the settings file with --settings", err)
 			case err != nil:
 				return err
 			case check:
@@ -57,17 +57,19 @@
 	return cmd
 }
 
-// lameDuck covers two health checks of a balancer that asks every 2 s.
-const lameDuck = 5 * time.Second
+// drainDelay is long enough for two health checks of a balancer that checks
+// every 2 s.
+const drainDelay = 5 * time.Second
 
-// drainer stops a role in order.
+// drainer is a running entry or agent. Drain shuts it down gracefully and returns
+// an error when ctx ends first.
 type drainer interface{ Drain(context.Context) error }
 
 func run(cmd *cobra.Command, file string, s *settings.Settings) error {
-	log.SetLevel(log.DebugLevel) // the handler drops lower levels than the one set
+	log.SetLevel(log.DebugLevel) // the handler drops events below the level of the settings
 	g := daemon.NewGroup(context.WithoutCancel(cmd.Context()), log.Log)
 	defer g.Stop()
-	recent := keepRecent(g) // before anything logs
+	recent := startRecentEvents(g) // before the first event, because it replaces the log handler
 	recent.SetLevel(s.Daemon.LogLevel)
 	var d drainer
 	var err error
@@ -83,13 +85,13 @@
 	event.Log(log.Log, event.DaemonReady, log.Fields{"role": string(s.Daemon.Role), "id": s.Daemon.ID})
 	<-cmd.Context().Done()
 	event.Log(log.Log, event.DaemonStops, log.Fields{"id": s.Daemon.ID})
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), shutdownTimeout)
 	defer cancel()
 	return d.Drain(ctx)
 }
 
-// linkConfig loads the keys for mutual TLS, if the settings name any, and
-// reads them again on SIGHUP.
+// linkConfig loads the keys for mutual TLS, if the settings contain any, and
+// starts an actor that reloads them on SIGHUP.
 func linkConfig(g *actor.Group, s *settings.Settings) (link.Config, error) {
 	if !s.TLS.Enabled() {
 		return link.Config{}, nil
@@ -120,14 +122,15 @@
 	return link.Config{Keys: keys}, nil
 }
 
-// keepRecent keeps the newest log events of the process for diagnostics.
-func keepRecent(g *actor.Group) *daemon.Recent {
-	r := daemon.StartRecent(g, logfmt.New(os.Stderr))
+// startRecentEvents replaces the log handler of the process by one that also
+// keeps the newest events for diagnostics.
+func startRecentEvents(g *actor.Group) *daemon.RecentEvents {
+	r := daemon.StartRecentEvents(g, logfmt.New(os.Stderr))
 	log.SetHandler(r)
 	return r
 }
 
-// listen opens a listener; its error names the setting with the address.
+// listen opens a TCP listener. Its error contains the name of the setting.
 func listen(setting, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -136,9 +139,9 @@
 	return l, nil
 }
 
-func platformConfig(u *url.URL) storage.HTTPConfig { return storage.HTTPConfig{URL: u.String()} }
+func storageConfig(u *url.URL) storage.HTTPConfig { return storage.HTTPConfig{URL: u.String()} }
 
-func runEntry(cmd *cobra.Command, g *actor.Group, s *settings.Settings, recent *daemon.Recent) (drainer, error) {
+func runEntry(cmd *cobra.Command, g *actor.Group, s *settings.Settings, recent *daemon.RecentEvents) (drainer, error) {
 	callers, err := listen("[entry] listen", s.Entry.Listen)
 	if err != nil {
 		return nil, err
@@ -157,9 +160,9 @@
 	}
 	e := daemon.StartEntry(g, daemon.EntryConfig{
 		Settings: s, Build: version,
-		Table:   storage.NewHTTPTable(platformConfig(s.Daemon.Table)),
-		Objects: storage.NewHTTPObjects(platformConfig(s.Daemon.Objects)),
-		Began:   time.Now(), LameDuck: lameDuck, Callers: callers, Agents: agents, Operator: operator, Log: log.Log, Recent: recent,
+		Table:     storage.NewHTTPTable(storageConfig(s.Daemon.Table)),
+		Objects:   storage.NewHTTPObjects(storageConfig(s.Daemon.Objects)),
+		StartedAt: time.Now(), DrainDelay: drainDelay, Callers: callers, Agents: agents, Operator: operator, Log: log.Log, RecentEvents: recent,
 	})
 	fmt.Fprintf(cmd.OutOrStdout(), "ready callers=%s operators=%s agents=%s\n", callers.Addr(), operator.Addr(), agents.Addr())
 	return e, nil
@@ -181,35 +184,37 @@
 		Announce: announce, Dialer: link.NewDialer(g, links), Log: log.Log,
 	}
 	if s.Daemon.Table != nil {
-		c.Table = storage.NewHTTPTable(platformConfig(s.Daemon.Table))
+		c.Table = storage.NewHTTPTable(storageConfig(s.Daemon.Table))
 	}
 	if s.Agent.Worker != nil {
-		host := taskagent.NewHTTPWorkerClient(s.Agent.Worker.String(), http.DefaultClient)
-		if err := describeWorker(cmd.Context(), host, &c.Worker); err != nil {
+		client := taskagent.NewHTTPWorkerClient(s.Agent.Worker.String(), http.DefaultClient)
+		if err := fillCapacity(cmd.Context(), client, &c.Worker); err != nil {
 			return nil, err
 		}
-		c.WorkerClient = host
+		c.WorkerClient = client
 	}
 	a := daemon.StartAgent(g, c)
 	fmt.Fprintf(cmd.OutOrStdout(), "ready announce=%s\n", announce.Addr())
 	return a, nil
 }
 
-// describeTimeout bounds one question to the worker, whose answer may be lost.
+// describeTimeout bounds one Describe call to the worker, whose response may be
+// lost.
 const describeTimeout = 5 * time.Second
 
-// describeWorker fills in the capacity that the settings leave open. The
-// worker may start after its agent, so it is asked until it answers.
-func describeWorker(ctx context.Context, host taskagent.WorkerClient, w *model.Worker) error {
+// fillCapacity sets the resources of w that the settings do not set to those that
+// the worker reports. The worker may start after its agent, so the call is
+// repeated until it succeeds or ctx ends.
+func fillCapacity(ctx context.Context, client taskagent.WorkerClient, w *model.Worker) error {
 	for w.Capacity.CPU == 0 || w.Capacity.Memory == 0 {
-		limited, cancel := context.WithTimeout(ctx, describeTimeout)
-		found, err := host.Describe(limited)
+		callCtx, cancel := context.WithTimeout(ctx, describeTimeout)
+		reported, err := client.Describe(callCtx)
 		cancel()
 		if err == nil {
-			w.Capacity = fill(w.Capacity, found.Capacity)
+			w.Capacity = withDefaults(w.Capacity, reported.Capacity)
 			break
 		}
-		log.WithError(err).Warn("the worker does not answer yet")
+		log.WithError(err).Warn("worker did not report its capacity; retrying")
 		if !actor.Sleep(ctx, time.Second) {
 			return ctx.Err()
 		}
@@ -217,15 +222,17 @@
 	return nil
 }
 
-func fill(set, found model.Resources) model.Resources {
-	if set.CPU == 0 {
-		set.CPU = found.CPU
+// withDefaults returns configured with the resources that are zero replaced by
+// the reported ones.
+func withDefaults(configured, reported model.Resources) model.Resources {
+	if configured.CPU == 0 {
+		configured.CPU = reported.CPU
 	}
-	if set.Memory == 0 {
-		set.Memory = found.Memory
+	if configured.Memory == 0 {
+		configured.Memory = reported.Memory
 	}
-	if set.Accelerators == 0 {
-		set.Accelerators = found.Accelerators
+	if configured.Accelerators == 0 {
+		configured.Accelerators = reported.Accelerators
 	}
-	return set
+	return configured
 }
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -17,15 +17,16 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// cells are the controllers of the cells that an entry contends for. The map
-// is not changed after start.
-type cells struct {
+// cellControllers holds the controllers of the cells whose ownership an entry
+// contends for. The map does not change after start. Address.Send fails only
+// when the process ends, so its errors are ignored.
+type cellControllers struct {
 	ctx         context.Context
 	controllers map[model.Cell]actor.Address[control.Message]
 }
 
-func startCells(g *actor.Group, names []model.Cell, self entry.Self, address string, table storage.Table, l log.Interface) *cells {
-	c := &cells{ctx: g.Context(), controllers: map[model.Cell]actor.Address[control.Message]{}}
+func startCellControllers(g *actor.Group, names []model.Cell, self entry.Self, address string, table storage.Table, l log.Interface) *cellControllers {
+	c := &cellControllers{ctx: g.Context(), controllers: map[model.Cell]actor.Address[control.Message]{}}
 	for _, name := range names {
 		c.controllers[name] = control.Start(g, control.Config{
 			Options: control.Options{Cell: name, Entry: self.Entry, Boot: self.Boot, Address: address},
@@ -35,37 +36,36 @@
 	return c
 }
 
-// The sends below fail only when the process ends.
-
 // AgentUp implements entry.Subscriber.
-func (c *cells) AgentUp(hello msg.AgentHello, out peer.Out) {
+func (c *cellControllers) AgentUp(hello msg.AgentHello, out peer.Out) {
 	_ = c.controllers[hello.Cell].Send(c.ctx, control.AgentUp{Worker: hello.Worker, Cell: hello.Cell, Boot: hello.Boot, Link: out})
 }
 
 // AgentDown implements entry.Subscriber.
-func (c *cells) AgentDown(hello msg.AgentHello, out peer.Out) {
+func (c *cellControllers) AgentDown(hello msg.AgentHello, out peer.Out) {
 	_ = c.controllers[hello.Cell].Send(c.ctx, control.AgentDown{Worker: hello.Worker.ID, Link: out})
 }
 
 // FromAgent implements entry.Subscriber.
-func (c *cells) FromAgent(hello msg.AgentHello, m msg.Control) {
+func (c *cellControllers) FromAgent(hello msg.AgentHello, m msg.Control) {
 	switch m.(type) {
 	case *msg.TaskReport, *msg.Inventory, *msg.LeaseAck, *msg.UsageReport, *msg.BackendState:
 		_ = c.controllers[hello.Cell].Send(c.ctx, control.FromAgent{Worker: hello.Worker.ID, Msg: m})
 	}
 }
 
-// configure passes the configuration in force to every controller. It reports
-// whether all have taken it.
-func (c *cells) configure(s *configstore.Snapshot) bool {
+// setConfig sends the configuration in use to every controller. It reports
+// whether every mailbox accepted the message.
+func (c *cellControllers) setConfig(s *configstore.Snapshot) bool {
 	m := control.ConfigChanged{Config: placementConfig(s)}
-	all := true
-	for _, to := range c.controllers {
-		all = to.TrySend(m) && all
+	accepted := true
+	for _, controller := range c.controllers {
+		accepted = controller.TrySend(m) && accepted
 	}
-	return all
+	return accepted
 }
 
+// placementConfig returns the part of a configuration that controllers use.
 func placementConfig(s *configstore.Snapshot) control.Configuration {
 	c := control.Configuration{
 		Quotas: s.Quotas(),
@@ -79,6 +79,7 @@
 	return c
 }
 
+// labelsOf returns the labels of every object of a kind by name.
 func labelsOf[K ~string](s *configstore.Snapshot, kind model.ConfigKind) map[K]model.Labels {
 	m := map[K]model.Labels{}
 	for _, k := range s.Keys(kind) {
@@ -87,38 +88,40 @@
 	return m
 }
 
-func (c *cells) status(ctx context.Context) ([]model.CellStatus, error) {
+func (c *cellControllers) status(ctx context.Context) ([]model.CellStatus, error) {
 	var list []model.CellStatus
-	for _, to := range c.controllers {
-		st, err := actor.Ask(ctx, to, func(r actor.Reply[model.CellStatus]) control.Message {
+	for _, controller := range c.controllers {
+		status, err := actor.Ask(ctx, controller, func(r actor.Reply[model.CellStatus]) control.Message {
 			return control.StatusQuery{Reply: r}
 		})
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, st)
+		list = append(list, status)
 	}
 	return list, nil
 }
 
-// explainJob asks the controllers about a job; the one that knows it answers.
-func (c *cells) explainJob(ctx context.Context, id model.JobID) (any, error) {
-	for _, to := range c.controllers {
-		e, err := actor.Ask(ctx, to, func(r actor.Reply[control.Explanation]) control.Message {
+// explainJob returns the explanation of the controller that knows the job, or
+// storage.ErrNotFound.
+func (c *cellControllers) explainJob(ctx context.Context, id model.JobID) (any, error) {
+	for _, controller := range c.controllers {
+		explanation, err := actor.Ask(ctx, controller, func(r actor.Reply[control.Explanation]) control.Message {
 			return control.ExplainQuery{Job: id, Reply: r}
 		})
 		if err != nil {
 			return nil, err
 		}
-		if e.Known {
-			return e, nil
+		if explanation.Known {
+			return explanation, nil
 		}
 	}
 	return nil, storage.ErrNotFound
 }
 
-// matcher parses a label selector for the operators' API.
-func matcher(text string) (func(model.Labels) bool, error) {
+// parseSelector parses a label selector for the operators' API and returns the
+// function that matches labels against it.
+func parseSelector(text string) (func(model.Labels) bool, error) {
 	s, err := labels.Parse(text)
 	if err != nil {
 		return nil, err
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,9 +1,9 @@
-// Package faultproxy is a TCP proxy for tests that injects faults between
-// real processes. It is used by tests only.
+// Package faultproxy is a TCP proxy that injects faults between real processes.
+// Only tests use it.
 //
-// Actors: the proxy holds the faults in force and the list of connections; an
-// acceptor owns the listening socket; each connection has an actor that owns
-// both sockets, and per direction a reader, a pacer and a writer.
+// The actor of the proxy owns the current faults and the list of connections. An
+// acceptor owns the listening socket. The actor of each connection owns both
+// sockets; each direction has a reader, a fault injector and a writer.
 package faultproxy
 
 import (
@@ -24,35 +24,35 @@
 	directions
 )
 
-// Side is one of the two processes.
+// Side is one of the two processes that the proxy connects.
 type Side uint8
 
-// Sides.
+// Sides. The client is the process that connects to the proxy.
 const (
 	Client Side = iota
 	Server
 )
 
-// Faults are the faults of one direction. The zero value passes everything.
+// Faults are the faults of one direction. The zero value is no fault.
 type Faults struct {
-	Delay time.Duration // added to everything that is read from now on
-	// Blackhole stops the direction without a sign to either side, including the
-	// end of the stream. What is sent waits, as TCP would send it again, and
-	// passes once the hole is gone. The sender blocks when the buffers are full.
+	Delay time.Duration // delays all bytes that are read after the change
+	// Blackhole stops all bytes and the end of the stream without notifying
+	// either side. They are queued and pass after the fault is removed, as TCP
+	// would retransmit them. The sender blocks when the buffers are full.
 	Blackhole bool
-	// Truncate lets After more bytes pass on each connection and then closes
-	// the connection in order.
+	// Truncate passes After more bytes on each connection and then closes the
+	// connection without a reset.
 	Truncate bool
-	After    int64
+	After    int64 // bytes
 }
 
-// Proxy is the handle of a running proxy. Its methods wait until a change is
-// in force on every connection; bytes that the proxy has begun to write may
-// still arrive.
+// Proxy is a handle of a running proxy. Any goroutine may call its methods. They
+// wait until a change is in effect on every connection; bytes that the proxy is
+// already writing may still arrive.
 type Proxy struct {
-	group   *actor.Group
-	address string
-	main    actor.Address[message]
+	group    *actor.Group
+	address  string
+	commands actor.Address[message]
 }
 
 // Start listens on a free port of the loopback interface and forwards each
@@ -63,9 +63,9 @@
 		return nil, err
 	}
 	p := &Proxy{group: g.Sub(), address: sock.Addr().String()}
-	s := &state{group: p.group, upstream: upstream, conns: map[uint64]actor.Address[connMessage]{}}
-	p.main = actor.Spawn(p.group, actor.Spec[message]{Name: "fault-proxy", Mailbox: 16, Run: s.run})
-	s.self = p.main
+	s := &proxyState{group: p.group, upstream: upstream, conns: map[uint64]actor.Address[connCommand]{}}
+	p.commands = actor.Spawn(p.group, actor.Spec[message]{Name: "fault-proxy", Mailbox: 16, Run: s.run})
+	s.self = p.commands
 	actor.Go(p.group, "fault-proxy-closer", func(ctx context.Context) error {
 		<-ctx.Done()
 		return sock.Close()
@@ -76,7 +76,7 @@
 			if err != nil {
 				return nil // closed
 			}
-			if p.main.Send(ctx, message{accepted: c.(*net.TCPConn)}) != nil {
+			if p.commands.Send(ctx, message{accepted: c.(*net.TCPConn)}) != nil {
 				_ = c.Close()
 			}
 		}
@@ -84,16 +84,16 @@
 	return p, nil
 }
 
-// Addr is the address to connect to instead of the upstream's.
+// Addr returns the address to connect to instead of the upstream.
 func (p *Proxy) Addr() string { return p.address }
 
 // Close ends every connection and waits for the actors.
 func (p *Proxy) Close() { p.group.Stop() }
 
-// Set replaces the faults of a direction on present and later connections.
+// Set replaces the faults of a direction on current and later connections.
 func (p *Proxy) Set(d Direction, f Faults) { p.ask(message{set: &setFaults{direction: d, faults: f}}) }
 
-// Partition stops both directions with Blackhole.
+// Partition sets Blackhole as the only fault of both directions.
 func (p *Proxy) Partition() {
 	p.Set(ToServer, Faults{Blackhole: true})
 	p.Set(ToClient, Faults{Blackhole: true})
@@ -105,69 +105,70 @@
 	p.Set(ToClient, Faults{})
 }
 
-// Reset resets every present connection on both sides.
-func (p *Proxy) Reset() { p.ask(message{order: connMessage{reset: true}}) }
+// Reset resets every current connection on both sides.
+func (p *Proxy) Reset() { p.ask(message{command: connCommand{reset: true}}) }
 
-// HalfOpen resets every present connection towards the side lost and leaves
-// the other side's connection open and silent.
-func (p *Proxy) HalfOpen(lost Side) { p.ask(message{order: connMessage{halfOpen: &lost}}) }
+// HalfOpen resets every current connection to resetSide. The connection to the
+// other side stays open, and no bytes pass on it.
+func (p *Proxy) HalfOpen(resetSide Side) { p.ask(message{command: connCommand{halfOpen: &resetSide}}) }
 
-// SetUpstream changes the address for later connections, such as of a
-// restarted process.
+// SetUpstream changes the address to which later connections are forwarded, for
+// example after a restart of the server.
 func (p *Proxy) SetUpstream(address string) { p.ask(message{upstream: address}) }
 
 // Connections returns the number of connections that are open on either side.
 func (p *Proxy) Connections() int { return p.ask(message{}) }
 
-// ask waits for the answer, which is the number of connections.
+// ask sends m to the actor of the proxy and returns its reply, the number of open
+// connections, or 0 when the proxy has ended.
 func (p *Proxy) ask(m message) int {
-	n, _ := actor.Ask(p.group.Context(), p.main, func(r actor.Reply[int]) message {
-		m.done = r
+	n, _ := actor.Ask(p.group.Context(), p.commands, func(r actor.Reply[int]) message {
+		m.reply = r
 		return m
 	})
 	return n
 }
 
-// message is one order for the proxy's actor: at most one of the fields but
-// done is set.
+// message is a message to the actor of the proxy. At most one field other than
+// reply is set. Without one it only queries the number of connections.
 type message struct {
 	accepted *net.TCPConn
-	ended    uint64 // connection
+	ended    uint64 // ID of a connection that has ended
 	set      *setFaults
-	order    connMessage
+	command  connCommand
 	upstream string
-	done     actor.Reply[int]
+	reply    actor.Reply[int]
 }
 
 type setFaults struct {
 	direction Direction
 	faults    Faults
-	done      actor.Reply[struct{}]
+	reply     actor.Reply[struct{}]
 }
 
-// state is the state of the proxy's actor.
-type state struct {
+// proxyState is the state of the actor of the proxy.
+type proxyState struct {
 	group    *actor.Group
 	self     actor.Address[message]
 	upstream string
 	faults   [directions]Faults
-	conns    map[uint64]actor.Address[connMessage]
-	last     uint64
+	conns    map[uint64]actor.Address[connCommand]
+	lastID   uint64
 }
 
-func (s *state) run(ctx context.Context, in <-chan message) error {
+func (s *proxyState) run(ctx context.Context, in <-chan message) error {
 	for {
 		select {
 		case m := <-in:
 			s.handle(ctx, m)
-			m.done.Put(len(s.conns))
+			m.reply.Put(len(s.conns))
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-func (s *state) handle(ctx context.Context, m message) {
+func (s *proxyState) handle(ctx context.Context, m message) {
 	switch {
 	case m.accepted != nil:
 		s.accept(m.accepted)
@@ -177,27 +178,27 @@
 		s.upstream = m.upstream
 	case m.set != nil:
 		s.faults[m.set.direction] = m.set.faults
-		s.tell(ctx, connMessage{set: m.set})
-	case m.order.reset || m.order.halfOpen != nil:
-		s.tell(ctx, m.order)
+		s.broadcast(ctx, connCommand{set: m.set})
+	case m.command.reset || m.command.halfOpen != nil:
+		s.broadcast(ctx, m.command)
 	}
 }
 
-// tell sends an order to every connection and waits until it is in force.
-func (s *state) tell(ctx context.Context, order connMessage) {
+// broadcast sends a command to every connection and waits until it is in effect.
+func (s *proxyState) broadcast(ctx context.Context, command connCommand) {
 	for _, c := range s.conns {
-		_, _ = actor.Ask(ctx, c, func(r actor.Reply[struct{}]) connMessage {
-			order.done = r
-			return order
+		_, _ = actor.Ask(ctx, c, func(r actor.Reply[struct{}]) connCommand {
+			command.reply = r
+			return command
 		})
 	}
 }
 
-func (s *state) accept(sock *net.TCPConn) {
-	s.last++
-	id := s.last
+func (s *proxyState) accept(sock *net.TCPConn) {
+	s.lastID++
+	id := s.lastID
 	c := newConn(s.group.Sub(), sock, s.upstream, s.faults)
-	s.conns[id] = actor.Spawn(s.group, actor.Spec[connMessage]{
+	s.conns[id] = actor.Spawn(s.group, actor.Spec[connCommand]{
 		Name: "fault-proxy-connection", Mailbox: 4, Run: c.run,
 		OnExit: func(error) { _ = s.self.Send(s.group.Context(), message{ended: id}) },
 	})
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,89 +10,94 @@
 const (
 	// maxBacklog bounds the requests of a class that wait for a connection.
 	maxBacklog = 100_000
-	// answerTime is how long a request may take beyond its deadline before its
-	// connection gives it up, and how long the run waits after the last start.
-	answerTime      = 5 * time.Second
+	// responseGrace is the time after the deadline of a request at which its
+	// connection aborts it.
+	responseGrace = 5 * time.Second
+	// defaultDeadline is assumed for requests of classes without a deadline.
 	defaultDeadline = 30 * time.Second
 )
 
+// timeout is how long a connection waits for a response, and how long the run
+// waits for responses after the last request has started.
 func (c Class) timeout() time.Duration {
 	if c.DeadlineMs > 0 {
-		return time.Duration(c.DeadlineMs)*time.Millisecond + answerTime
+		return time.Duration(c.DeadlineMs)*time.Millisecond + responseGrace
 	}
-	return defaultDeadline + answerTime
+	return defaultDeadline + responseGrace
 }
 
-// Answer is what a connection got for a request.
-type Answer struct {
-	Status  int    // 0: none
+// Response is the result of a request on a connection.
+type Response struct {
+	Status  int    // HTTP status; 0: no response
 	Outcome string // header Bambooscale-Outcome
-	Failure string // kind of error, when there was no answer
+	Failure string // kind of error if there was no response
 }
 
-// Connection sends one request at a time.
+// Connection sends requests, one at a time. One actor owns it.
 type Connection interface {
-	Send(ctx context.Context) Answer
+	Send(ctx context.Context) Response
 	Close()
 }
 
-// message is what the owner of a class receives.
+// message is a message to the actor that owns a class.
 type message interface{ isMessage() }
 
 type (
-	// begin gives the owner its own address.
+	// begin starts the actor and contains its own address.
 	begin struct{ self actor.Address[message] }
-	// ended is the end of a request on a connection.
-	ended struct {
+	// requestEnded reports the result of a request on a connection.
+	requestEnded struct {
 		connection int
 		sample     sample
 	}
 )
 
-func (begin) isMessage() {}
-func (ended) isMessage() {}
+func (begin) isMessage()        {}
+func (requestEnded) isMessage() {}
 
-// Run runs a checked plan with connections that dial makes, and returns when
-// every class has ended. It also ends, with what was measured, when ctx does.
+// Run runs a checked plan with connections that dial creates, and returns when
+// every class has ended. When ctx ends it returns the results up to then.
 func Run(ctx context.Context, p Plan, dial func(Class) Connection) Report {
 	g := actor.NewGroup(ctx, nil)
 	defer g.Stop()
-	began := time.Now()
-	report := Report{Target: p.Target, Started: began, Seed: p.Seed}
-	budget := &actor.Counter{}
+	startedAt := time.Now()
+	report := Report{Target: p.Target, Started: startedAt, Seed: p.Seed}
+	requestCount := &actor.Counter{}
 	var replies []actor.Reply[ClassReport]
 	for i, c := range p.Classes {
 		reply := actor.NewReply[ClassReport]()
 		replies = append(replies, reply)
 		l := &loader{
-			class: c, began: began, schedule: newSchedule(c, p.Seed, i), recorder: newRecorder(c),
-			allow: func() bool { return budget.Next() <= uint64(p.Requests) },
+			class: c, startedAt: startedAt, schedule: newSchedule(c, p.Seed, i), recorder: newRecorder(c),
+			mayStart: func() bool { return requestCount.Next() <= uint64(p.Requests) },
 		}
 		l.start(g, dial, reply)
 	}
 	for _, r := range replies {
-		// Loaders reply when ctx ends, too, so this always returns.
+		// Loaders also reply when ctx ends, so Get always returns.
 		c, _ := r.Get(context.WithoutCancel(ctx))
 		report.Classes = append(report.Classes, c)
 	}
-	report.Seconds = time.Since(began).Seconds()
+	report.Seconds = time.Since(startedAt).Seconds()
 	return report
 }
 
-// loader is the state of the actor that owns a class: its schedule, its
-// backlog and its measurements.
+// loader is the state of the actor that owns a class: its schedule, its backlog
+// and its results.
 type loader struct {
-	class       Class
-	began       time.Time
-	schedule    *schedule
-	allow       func() bool // false: the run has sent all its requests
-	recorder    *recorder
-	connections []actor.Address[time.Duration]
-	idle        []int
-	backlog     []time.Duration // intended starts
-	running     int
+	class           Class
+	startedAt       time.Time
+	schedule        *schedule
+	mayStart        func() bool // false: the run has started all the requests of the plan
+	recorder        *recorder
+	connections     []actor.Address[time.Duration]
+	idleConnections []int
+	backlog         []time.Duration // intended starts of requests that wait for a connection
+	inFlight        int
 }
 
+// start starts the actor. It puts the report of the class into reply when the
+// class or the context of g ends.
 func (l *loader) start(g *actor.Group, dial func(Class) Connection, reply actor.Reply[ClassReport]) {
 	owner := actor.Spawn(g, actor.Spec[message]{Name: "load class", Mailbox: l.class.Connections,
 		Run: func(ctx context.Context, in <-chan message) error {
@@ -100,21 +105,21 @@
 			select {
 			case m := <-in:
 				for i := range l.class.Connections {
-					l.spawn(g, m.(begin).self, dial(l.class), i)
+					l.spawnConnection(g, m.(begin).self, dial(l.class), i)
 				}
 				l.run(ctx, in)
 			case <-ctx.Done():
 			}
 			return nil
 		}})
-	// The mailbox is empty, so that the message always has room.
+	// TrySend cannot fail because the mailbox is empty.
 	owner.TrySend(begin{owner})
 }
 
-// spawn starts a connection, which owns its socket and receives the intended
-// starts of the requests that it sends.
-func (l *loader) spawn(g *actor.Group, owner actor.Address[message], c Connection, i int) {
-	began, timeout := l.began, l.class.timeout()
+// spawnConnection starts the actor of a connection. It owns the connection and
+// receives the intended starts of the requests that it sends.
+func (l *loader) spawnConnection(g *actor.Group, owner actor.Address[message], c Connection, i int) {
+	startedAt, timeout := l.startedAt, l.class.timeout()
 	l.connections = append(l.connections, actor.Spawn(g, actor.Spec[time.Duration]{Name: "load connection", Mailbox: 1,
 		Run: func(ctx context.Context, in <-chan time.Duration) error {
 			defer c.Close()
@@ -123,65 +128,67 @@
 				case <-ctx.Done():
 					return nil
 				case intended := <-in:
-					sending, cancel := context.WithTimeout(ctx, timeout)
-					a := c.Send(sending)
+					requestCtx, cancel := context.WithTimeout(ctx, timeout)
+					response := c.Send(requestCtx)
 					cancel()
-					err := owner.Send(ctx, ended{i, sample{intended: intended, latency: time.Since(began) - intended,
-						status: a.Status, outcome: a.Outcome, failure: a.Failure}})
+					err := owner.Send(ctx, requestEnded{i, sample{intended: intended, latency: time.Since(startedAt) - intended,
+						status: response.Status, outcome: response.Outcome, failure: response.Failure}})
 					if err != nil {
 						return nil // the class has ended
 					}
 				}
 			}
 		}}))
-	l.idle = append(l.idle, i)
+	l.idleConnections = append(l.idleConnections, i)
 }
 
-// run starts requests by the schedule until it ends, then waits for answers.
+// run starts requests on the schedule until it ends, and then waits for the
+// responses.
 func (l *loader) run(ctx context.Context, in <-chan message) {
-	defer func() { l.recorder.report.Unfinished = l.running + len(l.backlog) }()
+	defer func() { l.recorder.report.Unfinished = l.inFlight + len(l.backlog) }()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	next, more := l.schedule.next()
-	last := false // the timer bounds the wait for answers
+	nextStart, more := l.schedule.next()
+	draining := false // all requests have started; the timer bounds the wait for responses
 	for {
-		now := time.Since(l.began)
-		for more && next <= now {
-			if more = l.allow(); more {
-				l.arrive(next)
-				next, more = l.schedule.next()
+		now := time.Since(l.startedAt)
+		for more && nextStart <= now {
+			if more = l.mayStart(); more {
+				l.sendOrQueue(nextStart)
+				nextStart, more = l.schedule.next()
 			}
 		}
 		switch {
 		case more:
-			timer.Reset(next - now)
-		case l.running == 0:
+			timer.Reset(nextStart - now)
+		case l.inFlight == 0:
 			return
-		case !last:
-			last = true
+		case !draining:
+			draining = true
 			timer.Reset(l.class.timeout())
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			if last {
+			if draining {
 				return
 			}
 		case m := <-in:
-			if e, ok := m.(ended); ok {
-				l.onEnded(e)
+			if e, ok := m.(requestEnded); ok {
+				l.handleEnded(e)
 			}
 		}
 	}
 }
 
-// arrive sends a request on an idle connection, or keeps it for the next one.
-func (l *loader) arrive(intended time.Duration) {
+// sendOrQueue sends a request on an idle connection, or queues it. A request that
+// exceeds the backlog counts as unsent.
+func (l *loader) sendOrQueue(intended time.Duration) {
 	switch {
-	case len(l.idle) > 0:
-		i := l.idle[len(l.idle)-1]
-		l.idle = l.idle[:len(l.idle)-1]
+	case len(l.idleConnections) > 0:
+		i := l.idleConnections[len(l.idleConnections)-1]
+		l.idleConnections = l.idleConnections[:len(l.idleConnections)-1]
 		l.send(i, intended)
 	case len(l.backlog) < maxBacklog:
 		l.backlog = append(l.backlog, intended)
@@ -191,17 +198,17 @@
 }
 
 func (l *loader) send(connection int, intended time.Duration) {
-	l.running++
+	l.inFlight++
 	l.recorder.report.Sent++
-	// The connection is idle, so that its mailbox has room.
+	// TrySend cannot fail because an idle connection has an empty mailbox.
 	l.connections[connection].TrySend(intended)
 }
 
-func (l *loader) onEnded(e ended) {
-	l.running--
+func (l *loader) handleEnded(e requestEnded) {
+	l.inFlight--
 	l.recorder.add(e.sample)
 	if len(l.backlog) == 0 {
-		l.idle = append(l.idle, e.connection)
+		l.idleConnections = append(l.idleConnections, e.connection)
 		return
 	}
 	intended := l.backlog[0]
--- a/internal/settings/job.go
+++ b/internal/settings/job.go
@@ -18,83 +18,88 @@
 	IP         string
 	DataCentre string
 	LinkPort   int
-	Callers    string // entry: address for submitters
-	Readiness  string // entry: address for the balancer's checks
-	Registry   string // agent: address for the backend server's announcements
-	Backend    string // agent: address of the backend server
-	MaxLease   time.Duration
-	Seeds      []string // hosts on which entries may be found
-	Store      string
+	Callers    string        // entry: address on which jobs are submitted
+	Readiness  string        // entry: address for the balancer's health checks
+	Registry   string        // agent: address for the backend server's announcements
+	Backend    string        // agent: address of the backend server
+	MaxLease   time.Duration // agent: how long runs continue after the last grant of their owner
+	Seeds      []string      // host:port of hosts on which entries may run
+	Store      string        // address of the store
 }
 
-// LinkAddress is where the process accepts links.
-func (n *JobDaemon) LinkAddress() string { return n.linkTo(n.IP) }
+// LinkAddress returns the address on which the process accepts links.
+func (d *JobDaemon) LinkAddress() string { return d.linkAddressAt(d.IP) }
 
-func (n *JobDaemon) linkTo(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(n.LinkPort)) }
+func (d *JobDaemon) linkAddressAt(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(d.LinkPort))
+}
 
-// SeedLinks returns the addresses of the links at the seeds.
-func (n *JobDaemon) SeedLinks() []string {
+// SeedLinks returns the addresses on which the hosts of the seeds accept links:
+// LinkPort replaces the port of each seed. Seeds without a port are ignored.
+func (d *JobDaemon) SeedLinks() []string {
 	var list []string
-	for _, s := range n.Seeds {
+	for _, s := range d.Seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
-			list = append(list, n.linkTo(host))
+			list = append(list, d.linkAddressAt(host))
 		}
 	}
 	return list
 }
 
-// LoadJobDaemon reads and checks a settings file for a role, entry or agent.
-// The error lists every finding.
+// LoadJobDaemon reads and checks a settings file for a role, "entry" or
+// "agent". The error is a finding.List with every finding, unless the file
+// cannot be read or the role is unknown.
 func LoadJobDaemon(file, role string) (*JobDaemon, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: true}, file)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := jobNodeReader{file: file, ini: f}
-	n := &JobDaemon{
+	r := jobDaemonReader{file: file, ini: f}
+	d := &JobDaemon{
 		Name: r.text("node", "name"), IP: r.text("node", "ip"), DataCentre: r.text("node", "data-centre"),
 		LinkPort: r.number("node", "link-port"), Store: r.text("store", "address"),
 		Seeds: f.Section("links").Key("seeds").Strings(","),
 	}
 	switch role {
 	case "entry":
-		n.Callers, n.Readiness = r.text("entry", "callers"), r.text("entry", "readiness")
+		d.Callers, d.Readiness = r.text("entry", "callers"), r.text("entry", "readiness")
 	case "agent":
-		n.Registry, n.Backend = r.text("agent", "registry"), r.text("agent", "backend")
-		n.MaxLease = r.duration("agent", "max-lease")
+		d.Registry, d.Backend = r.text("agent", "registry"), r.text("agent", "backend")
+		d.MaxLease = r.duration("agent", "max-lease")
 	default:
 		return nil, errors.New("role must be entry or agent")
 	}
-	return n, r.found.Err()
+	return d, r.findings.Err()
 }
 
-// jobNodeReader collects what is wrong with the keys that it reads.
-type jobNodeReader struct {
-	file  string
-	ini   *ini.File
-	found finding.List
+// jobDaemonReader reads keys and collects findings about missing and invalid
+// values.
+type jobDaemonReader struct {
+	file     string
+	ini      *ini.File
+	findings finding.List
 }
 
-func (r *jobNodeReader) text(section, key string) string {
+func (r *jobDaemonReader) text(section, key string) string {
 	v := r.ini.Section(section).Key(key).String()
 	if v == "" {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is missing")
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is missing")
 	}
 	return v
 }
 
-func (r *jobNodeReader) number(section, key string) int {
+func (r *jobDaemonReader) number(section, key string) int {
 	v, err := strconv.Atoi(r.text(section, key))
 	if err != nil {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is not a number: %v", err)
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is not a number: %v", err)
 	}
 	return v
 }
 
-func (r *jobNodeReader) duration(section, key string) time.Duration {
+func (r *jobDaemonReader) duration(section, key string) time.Duration {
 	v, err := time.ParseDuration(r.text(section, key))
 	if err != nil || v <= 0 {
-		r.found.Add(r.file, 0, "["+section+"] "+key, "is not a positive duration: %v", err)
+		r.findings.Add(r.file, 0, "["+section+"] "+key, "is not a positive duration: %v", err)
 	}
 	return v
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,58 +8,62 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// anyRole marks a key that every role needs.
+// anyRole marks a key that every role requires.
 const anyRole Role = "*"
 
-// key is one row of the table that checks and documents the settings.
+// key describes one key of the file. The checks and the reference derive from
+// it.
 type key struct {
 	section, name string
-	def           string // text of the default; empty: none
-	needed        Role   // role that needs the key set; anyRole, or empty for optional
-	meaning       string
+	defaultText   string // default value as text; empty: none
+	requiredBy    Role   // role that requires the key, or anyRole; empty: optional
+	description   string
 	value
 }
 
-// value ties a key to its field and its type.
+// value parses and formats the value of a key and binds it to its field of
+// Settings.
 type value struct {
-	typ    string
-	set    func(*Settings, string) error
-	empty  func(*Settings) bool
-	shown  func(*Settings) string
-	secret bool // its value is never shown
+	typ     string // name of the type in the reference
+	set     func(*Settings, string) error
+	isEmpty func(*Settings) bool
+	text    func(*Settings) string // the value for diagnostics
+	secret  bool                   // diagnostics do not contain the value
 }
 
-// hidden marks a value as secret.
-func hidden(v value) value {
+// markSecret returns v marked as secret.
+func markSecret(v value) value {
 	v.secret = true
 	return v
 }
 
-// Public returns the settings by key as text for diagnostics. Secrets, and
-// passwords in URLs, are replaced.
+// Public returns the values that are set, as text for diagnostics, by
+// "[section] key". Secrets and passwords in URLs are replaced.
 func (s *Settings) Public() map[string]string {
 	m := map[string]string{}
 	for _, k := range keys {
 		switch {
-		case k.empty(s):
+		case k.isEmpty(s):
 		case k.secret:
-			m[place(k.section, k.name)] = "(secret)"
+			m[qualifiedKey(k.section, k.name)] = "(secret)"
 		default:
-			m[place(k.section, k.name)] = k.shown(s)
+			m[qualifiedKey(k.section, k.name)] = k.text(s)
 		}
 	}
 	return m
 }
 
-func shownText(v any) string {
+// publicText formats a value without the password of a URL.
+func publicText(v any) string {
 	if u, ok := v.(*url.URL); ok && u != nil {
 		return u.Redacted()
 	}
 	return fmt.Sprint(v)
 }
 
-// of makes a value of the type that parse reads, kept in field.
-func of[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
+// newValue returns the value of a key whose text parse converts. field returns
+// the address of its field in Settings.
+func newValue[T any](typ string, parse func(string) (T, error), isEmpty func(T) bool, field func(*Settings) *T) value {
 	return value{
 		typ: typ,
 		set: func(s *Settings, text string) error {
@@ -69,30 +73,30 @@
 			}
 			return err
 		},
-		empty: func(s *Settings) bool { return isEmpty(*field(s)) },
-		shown: func(s *Settings) string { return shownText(*field(s)) },
+		isEmpty: func(s *Settings) bool { return isEmpty(*field(s)) },
+		text:    func(s *Settings) string { return publicText(*field(s)) },
 	}
 }
 
-func zero[T comparable](v T) bool { var z T; return v == z }
+func isZero[T comparable](v T) bool { var z T; return v == z }
 
 func text[T ~string](field func(*Settings) *T) value {
-	return of("text", parseText[T], zero[T], field)
+	return newValue("text", parseText[T], isZero[T], field)
 }
 
 func list[T ~string](field func(*Settings) *[]T) value {
-	return of("comma-separated list", parseList[T], func(v []T) bool { return len(v) == 0 }, field)
+	return newValue("comma-separated list", parseList[T], func(v []T) bool { return len(v) == 0 }, field)
 }
 
 func address(field func(*Settings) *string) value {
-	return of("host:port", parseAddress, zero[string], field)
+	return newValue("host:port", parseAddress, isZero[string], field)
 }
 
 func size(field func(*Settings) *model.Bytes) value {
-	return of("size, such as 64KiB or 10MiB", ParseBytes, zero[model.Bytes], field)
+	return newValue("size, such as 64KiB or 10MiB", ParseBytes, isZero[model.Bytes], field)
 }
 
-// keys is every key of the file, in the order of the reference.
+// keys holds every key of the file, in the order of the reference.
 var keys = func() []key {
 	table := append(daemonKeys(), entryKeys()...)
 	return append(append(table, agentKeys()...), tlsKeys()...)
@@ -100,20 +104,20 @@
 
 func daemonKeys() []key {
 	return []key{
-		{"daemon", "role", "", anyRole, "What the process does: `entry` serves callers and operators, `agent` is the authority for one worker.",
-			of("entry or agent", parseRole, zero[Role], func(s *Settings) *Role { return &s.Daemon.Role })},
+		{"daemon", "role", "", anyRole, "What the process does: `entry` serves callers and operators, `agent` manages one worker.",
+			newValue("entry or agent", parseRole, isZero[Role], func(s *Settings) *Role { return &s.Daemon.Role })},
 		{"daemon", "id", "", anyRole, "Name of the process: the entry's id, or the worker's id for an agent. It is unique in the system.",
 			text(func(s *Settings) *string { return &s.Daemon.ID })},
 		{"daemon", "data-centre", "", anyRole, "Data centre of the host.",
 			text(func(s *Settings) *model.DataCentre { return &s.Daemon.DataCentre })},
 		{"daemon", "region", "default", "", "Region of the host. Agents connect to the entries of their region only.",
 			text(func(s *Settings) *model.Region { return &s.Daemon.Region })},
-		{"daemon", "log-level", "info", "", "Lowest level that is logged.",
-			of("debug, info, warn or error", parseLevel, func(l logLevel) bool { return false }, func(s *Settings) *logLevel { return &s.Daemon.LogLevel })},
+		{"daemon", "log-level", "info", "", "Lowest level of the events that are logged.",
+			newValue("debug, info, warn or error", parseLevel, func(l logLevel) bool { return false }, func(s *Settings) *logLevel { return &s.Daemon.LogLevel })},
 		{"daemon", "table", "", RoleEntry, "Base URL of the table service.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Table })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Table })},
 		{"daemon", "objects", "", RoleEntry, "Base URL of the object store.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Objects })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Daemon.Objects })},
 	}
 }
 
@@ -126,7 +130,7 @@
 		{"entry", "operator-listen", "127.0.0.1:8081", RoleEntry, "Address of the operators' API.",
 			address(func(s *Settings) *string { return &s.Entry.OperatorListen })},
 		{"entry", "operator-token", "", "", "Bearer token that the operators' API requires. Without it the API is open to everyone who can connect.",
-			hidden(text(func(s *Settings) *string { return &s.Entry.OperatorToken }))},
+			markSecret(text(func(s *Settings) *string { return &s.Entry.OperatorToken }))},
 		{"entry", "cells", "", "", "Cells whose ownership this entry contends for.",
 			list(func(s *Settings) *[]model.Cell { return &s.Entry.Cells })},
 		{"entry", "default-cell", "", "", "Cell of jobs that are submitted without one; by default the first of `cells`.",
@@ -137,17 +141,17 @@
 			size(func(s *Settings) *model.Bytes { return &s.Entry.MaxBody })},
 		{"entry", "max-header", "64KiB", "", "Largest header of a caller's request; larger ones are answered 431.",
 			size(func(s *Settings) *model.Bytes { return &s.Entry.MaxHeader })},
-		{"entry", "max-callers", "10000", "", "Largest number of callers' connections open at the same time.",
-			of("number", parseCount, zero[int], func(s *Settings) *int { return &s.Entry.MaxCallers })},
+		{"entry", "max-callers", "10000", "", "Largest number of callers' requests in progress at the same time, queued ones included; further ones are answered 503.",
+			newValue("number", parseCount, isZero[int], func(s *Settings) *int { return &s.Entry.MaxCallers })},
 		{"entry", "request-deadline", "30s", "", "Deadline of requests whose class has no `deadline-ms` label.",
-			of("duration, such as 500ms or 30s", parseDuration, isZeroDuration, func(s *Settings) *durationValue { return &s.Entry.RequestDeadline })},
+			newValue("duration, such as 500ms or 30s", parseDuration, isZeroDuration, func(s *Settings) *durationValue { return &s.Entry.RequestDeadline })},
 	}
 }
 
 func agentKeys() []key {
 	return []key{
-		{"agent", "entries", "", RoleAgent, "Addresses of entries to connect to first; the table lists the others.",
-			of("list of host:port", parseAddresses, func(v []string) bool { return len(v) == 0 }, func(s *Settings) *[]string { return &s.Agent.Entries })},
+		{"agent", "entries", "", RoleAgent, "Addresses of entries to which the agent always connects; it reads the addresses of the others from the table.",
+			newValue("list of host:port", parseAddresses, func(v []string) bool { return len(v) == 0 }, func(s *Settings) *[]string { return &s.Agent.Entries })},
 		{"agent", "cell", "", RoleAgent, "Cell that schedules the worker.",
 			text(func(s *Settings) *model.Cell { return &s.Agent.Cell })},
 		{"agent", "rack", "", "", "Rack of the worker.",
@@ -155,17 +159,17 @@
 		{"agent", "announce-listen", "127.0.0.1:8082", RoleAgent, "Address on which the backend server of the host announces itself.",
 			address(func(s *Settings) *string { return &s.Agent.AnnounceListen })},
 		{"agent", "worker", "", "", "Base URL of the host's worker; without it the host runs no tasks.",
-			of("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Agent.Worker })},
+			newValue("URL", parseURL, isNil, func(s *Settings) *urlValue { return &s.Agent.Worker })},
 		{"agent", "processors", "", "", "Processors that tasks may use; by default what the worker reports.",
-			of("cores, such as 32 or 500m", ParseCPU, zero[model.MilliCPU], func(s *Settings) *model.MilliCPU { return &s.Agent.Capacity.CPU })},
+			newValue("cores, such as 32 or 500m", ParseCPU, isZero[model.MilliCPU], func(s *Settings) *model.MilliCPU { return &s.Agent.Capacity.CPU })},
 		{"agent", "memory", "", "", "Memory that tasks may use; by default what the worker reports.",
 			size(func(s *Settings) *model.Bytes { return &s.Agent.Capacity.Memory })},
 		{"agent", "accelerators", "", "", "Accelerators that tasks may use; by default what the worker reports.",
-			of("number", parseAccelerators, zero[int64], func(s *Settings) *int64 { return &s.Agent.Capacity.Accelerators })},
+			newValue("number", parseAccelerators, isZero[int64], func(s *Settings) *int64 { return &s.Agent.Capacity.Accelerators })},
 		{"agent", "labels", "", "", "Labels that the worker announces; labels set by operators take precedence.",
-			of("list of key=value", parseLabels, func(v labelsValue) bool { return len(v) == 0 }, func(s *Settings) *labelsValue { return &s.Agent.Labels })},
-		{"agent", "config", "required", "", "`required`: no task starts before the agent holds a configuration. `optional`: tasks start without one.",
-			of("required or optional", parseRequired, func(bool) bool { return false }, func(s *Settings) *bool { return &s.Agent.ConfigRequired })},
+			newValue("list of key=value", parseLabels, func(v labelsValue) bool { return len(v) == 0 }, func(s *Settings) *labelsValue { return &s.Agent.Labels })},
+		{"agent", "config", "required", "", "`required`: no task starts before the agent has received a configuration. `optional`: tasks start without one.",
+			newValue("required or optional", parseRequired, func(bool) bool { return false }, func(s *Settings) *bool { return &s.Agent.ConfigRequired })},
 	}
 }
 
@@ -175,33 +179,35 @@
 			text(func(s *Settings) *string { return &s.TLS.Certificate })},
 		{"tls", "key", "", "", "File with the certificate's private key in PEM.",
 			text(func(s *Settings) *string { return &s.TLS.Key })},
-		{"tls", "authority", "", "", "File with the certificates, in PEM, that sign the peers' certificates.",
+		{"tls", "authority", "", "", "File with the certificates, in PEM, of the authorities that sign the peers' certificates.",
 			text(func(s *Settings) *string { return &s.TLS.Authority })},
 	}
 }
 
-func lookup(where string) *key {
+// findKey returns the key with the name "[section] key", or nil.
+func findKey(name string) *key {
 	for i := range keys {
-		if place(keys[i].section, keys[i].name) == where {
+		if qualifiedKey(keys[i].section, keys[i].name) == name {
 			return &keys[i]
 		}
 	}
 	return nil
 }
 
-// nearest returns the place of the known key with the smallest edit distance.
-func nearest(where string) string {
-	best, least := "", len(where)+100
+// nearestKey returns the known key, as "[section] key", with the smallest edit
+// distance to name.
+func nearestKey(name string) string {
+	nearest, minDistance := "", len(name)+100
 	for _, k := range keys {
-		known := place(k.section, k.name)
-		if d := distance(where, known); d < least {
-			best, least = known, d
+		known := qualifiedKey(k.section, k.name)
+		if d := distance(name, known); d < minDistance {
+			nearest, minDistance = known, d
 		}
 	}
-	return best
+	return nearest
 }
 
-// distance is the Levenshtein distance of two ASCII strings.
+// distance returns the Levenshtein distance of two ASCII strings.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -233,14 +239,14 @@
 		}
 		def := "none"
 		switch {
-		case k.def != "":
-			def = "`" + k.def + "`"
-		case k.needed == anyRole:
+		case k.defaultText != "":
+			def = "`" + k.defaultText + "`"
+		case k.requiredBy == anyRole:
 			def = "must be set"
-		case k.needed != "":
-			def = "must be set for role " + string(k.needed)
+		case k.requiredBy != "":
+			def = "must be set for role " + string(k.requiredBy)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.name, k.typ, def, k.meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.name, k.typ, def, k.description)
 	}
 	return strings.TrimPrefix(b.String(), "\n")
 }
