--- a/internal/jobs/core.go
+++ b/internal/jobs/core.go
@@ -73,7 +73,7 @@
 	dirty            map[*job]struct{} // jobs whose row has to be written
 	removals         []workload.JobID  // jobs whose rows have to be deleted
 	pendingBatch     *Batch            // the batch that is being written, or nil
-	recoveryDeadline time.Duration     // recovered jobs start no tasks before it; 0: no recovery
+	recoveryDeadline time.Duration     // when the recovery ends at the latest; 0: no recovery
 
 	messages  []HostMessage
 	phases    []msg.JobPhase
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// harness drives a Core as the entry does, and takes the part of the agents.
+// harness drives a Core as the entry does, and stands in for the agents.
 type harness struct {
 	t       *testing.T
 	core    *Core
@@ -41,12 +41,14 @@
 	return workload.Job{ID: workload.JobID(id), Queue: "q", Service: "desk", MaxAttempts: 2, TargetSlowdown: 2, TargetLatency: time.Second, Steps: steps}
 }
 
-// newStep returns a step of count tasks, each of cpu thousandths of a core.
+// newStep returns a step of count tasks, each of cpu thousandths of a core. It
+// may start when the steps of the numbers after are done.
 func newStep(count int, cpu int64, after ...int) workload.Step {
 	return workload.Step{Count: count, Need: workload.Resources{MilliCPU: cpu, MemoryMB: 1}, Estimate: time.Second, After: after}
 }
 
-// process plans, and records the messages and phases of the core.
+// process plans, records the messages and phases of the core, and discards its
+// decisions.
 func (h *harness) process() {
 	h.core.Plan()
 	for _, s := range h.core.Messages() {
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -12,8 +12,8 @@
 	// failingThreshold is the number of jobs that must fail on a host, with no
 	// completed run in between, before it gets no more tasks.
 	failingThreshold = 2
-	// probation is the time after the last failure at which a failing host gets
-	// a task again.
+	// probation is the time after the last failure during which a failing host
+	// gets no tasks.
 	probation = 3 * time.Second
 )
 
@@ -23,6 +23,7 @@
 	lastFailed time.Duration
 }
 
+// recordEnd counts a failed run. A completed run resets the count.
 func (h *host) recordEnd(e msg.RunEnd) {
 	switch e.Reason {
 	case workload.EndDone:
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -85,6 +85,8 @@
 }
 
 // step applies an event to the host's chart and sets the timeout of its state.
+// A running timeout is restarted only if the state changes or the claim is sent
+// again.
 func (h *host) step(e chart.Event) {
 	before := h.state
 	hostChart.Step(h, &h.state, e)
@@ -157,7 +159,8 @@
 	}
 }
 
-// evacuate stops the runs that would not end before the host shuts down.
+// evacuate stops the runs that are not expected to end before the host shuts
+// down. Runs of long-running tasks never are.
 func (h *host) evacuate() {
 	for _, r := range h.sortedRuns() {
 		if r.task.step.spec.LongRunning || r.remaining() > h.info.Remaining {
@@ -215,8 +218,8 @@
 	}
 }
 
-// adoptRun charges a run of an inventory to the host. It returns nil if the run
-// belongs to no known job, and stops such a run.
+// adoptRun charges a run of an inventory to the host. If the run belongs to no
+// known task, it stops the run and returns nil.
 func (h *host) adoptRun(s msg.RunStatus) *run {
 	if r, ok := h.runs[s.Run]; ok {
 		if !s.Unconfirmed {
@@ -232,6 +235,7 @@
 	}
 	r := h.charge(t, s.Run)
 	r.status, r.statusAt = s, h.core.now
+	// A number of this epoch must not be used for another run.
 	if s.Run.Number&numberMask > t.starts && s.Run.Number>>epochShift == h.core.epoch-1 {
 		t.starts = s.Run.Number & numberMask
 	}
--- a/internal/jobs/hostlist.go
+++ b/internal/jobs/hostlist.go
@@ -7,9 +7,9 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// hostRetention is how long nothing must have run on an unavailable host before
-// it is removed from the stored list. It keeps a host in the list whose
-// availability flaps.
+// hostRetention is how long an unavailable host must have had no runs before it
+// is removed from the stored list. A host whose availability flaps therefore
+// stays in the list.
 const hostRetention = 8 * time.Second
 
 // hostList is the stored list of the hosts that may have runs. A host is stored
--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -46,17 +46,17 @@
 // best-effort run that starts now.
 const loadLookahead = time.Second
 
-// neighbour stands for the serving tasks of one job on a host, which share the
+// servingJob stands for the serving tasks of one job on a host, which share the
 // host with its best-effort runs.
-type neighbour struct {
+type servingJob struct {
 	image  contention.Image
 	budget float64 // pressure up to which they keep their targets
 }
 
-// neighbours returns a neighbour for each job that has serving tasks on the host.
-func (h *host) neighbours() []neighbour {
+// servingJobs returns the jobs that have serving tasks on the host.
+func (h *host) servingJobs() []servingJob {
 	seen := map[workload.JobID]bool{}
-	var list []neighbour
+	var list []servingJob
 	for _, r := range h.runs {
 		spec, j := r.task.step.spec, r.task.step.job
 		if !spec.Serves() || seen[j.spec.ID] {
@@ -64,7 +64,7 @@
 		}
 		seen[j.spec.ID] = true
 		load := h.core.contention.Load(loadGroup(j), h.core.now+loadLookahead)
-		list = append(list, neighbour{contention.Image(spec.Image), contention.PressureBudget(load)})
+		list = append(list, servingJob{contention.Image(spec.Image), contention.PressureBudget(load)})
 	}
 	return list
 }
@@ -75,16 +75,16 @@
 func (h *host) bestEffortHeadroom(t *task) float64 {
 	headroom := math.Inf(1)
 	share := h.bestEffortShare(t)
-	for _, n := range h.neighbours() {
+	for _, n := range h.servingJobs() {
 		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
 		headroom = min(headroom, max(0, n.budget-h.pressureUpTo(n, coefficient))/max(minPressure, share*coefficient))
 	}
 	return headroom
 }
 
-// pressureUpTo returns the pressure on a neighbour from the best-effort runs,
-// not throttled, whose coefficient is at most limit.
-func (h *host) pressureUpTo(n neighbour, limit float64) float64 {
+// pressureUpTo returns the pressure that the best-effort runs whose coefficient
+// is at most limit put on a serving job when they are not throttled.
+func (h *host) pressureUpTo(n servingJob, limit float64) float64 {
 	sum := 0.0
 	for _, r := range h.runs {
 		if !r.task.step.spec.BestEffort {
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -112,8 +112,9 @@
 
 func (j *job) phase() workload.Phase { return workload.Phase(j.state) }
 
-// visiblePhase returns the phase that callers may see. A final phase, except
-// Cancelled, is visible only after it is stored.
+// visiblePhase returns the phase that callers may see. A final phase is visible
+// only after it is stored. Cancelled is visible at once, because the cancellation
+// was stored before the core received it.
 func (j *job) visiblePhase() msg.JobPhase {
 	p := j.phase()
 	if p.Final() && p != workload.Cancelled && j.storedPhase != p {
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -10,7 +10,7 @@
 const (
 	// throttledPercent is the CPU limit up to which a best-effort run counts as
 	// throttled.
-	throttledPercent = 25 // percent
+	throttledPercent = 25
 	// moveDelay is how long a run is throttled before it is moved, so that a
 	// short load peak of the serving tasks beside it causes no move.
 	moveDelay = 700 * time.Millisecond
@@ -19,7 +19,8 @@
 	minMoveInterval = 150 * time.Millisecond
 )
 
-// updateThrottledSince records since when the run is throttled.
+// updateThrottledSince records since when the run is throttled, from its CPU
+// limit in the reported status.
 func (r *run) updateThrottledSince(s msg.RunStatus) {
 	switch {
 	case s.CPULimitPercent > throttledPercent:
@@ -65,7 +66,7 @@
 		views[i] = h.view(r.task)
 	}
 	selection := r.task.selectionTask()
-	selection.MayWait = true
+	selection.MayWait = true // it moves only to a host where it is not slowed down as much
 	if i, _ := hostselect.Choose(selection, views); i >= 0 {
 		return others[i]
 	}
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -161,7 +161,8 @@
 }
 
 // Recover keeps the tasks of restored jobs from starting until every expected
-// host has sent its inventory or certainly has no runs.
+// host has sent its inventory or certainly has no runs, which is at most one
+// second after LeaseExpiry.
 func (c *Core) Recover() {
 	c.recoveryDeadline = c.now + LeaseExpiry + time.Second
 	c.endRecoveryIfComplete()
--- a/internal/jobs/store.go
+++ b/internal/jobs/store.go
@@ -77,6 +77,7 @@
 	n := min(len(c.removals), freeRows)
 	b.Removed = c.removals[:n]
 	c.removals = c.removals[n:]
+	// An end may be acknowledged only when every job that it changed is stored.
 	for name, h := range c.hosts {
 		if allWritten && h.endsApplied > h.endsAcknowledged {
 			b.ends[name] = appliedEnds{h.info.Instance, h.info.StartedAtMS, h.endsApplied}
@@ -125,7 +126,8 @@
 }
 
 // BatchFailed records that the pending batch was not stored. The next batches
-// repeat its rows.
+// repeat its job rows, its removals and the list of hosts. The coefficients are
+// stored again after interferenceInterval.
 func (c *Core) BatchFailed() {
 	b := c.pendingBatch
 	c.pendingBatch = nil
