--- a/internal/hostagent/backendserver.go
+++ b/internal/hostagent/backendserver.go
@@ -10,8 +10,9 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Announced applies an announcement of the backend server. Late announcements
-// of former incarnations are ignored.
+// Announced applies an announcement of the backend server. Older announcements
+// of the same incarnation are ignored, and so are those of a former incarnation
+// unless the present one has ended.
 func (c *Core) Announced(a runner.Announcement) {
 	same := a.Host.Instance == c.host.Instance && a.Host.StartedAtMS == c.host.StartedAtMS
 	switch {
@@ -64,7 +65,9 @@
 	c.inventorySent, c.inventoryAccepted = false, false
 }
 
-// endIncarnation removes all runs and announces the host as unavailable.
+// endIncarnation removes all runs, announces the host as unavailable, and sends
+// the owner a new inventory. The caller sets c.ended before, unless the same
+// incarnation may announce itself again.
 func (c *Core) endIncarnation(reason string) {
 	c.addDecision(Decision{Kind: IncarnationEnded, Detail: reason})
 	c.removeRuns()
@@ -76,7 +79,7 @@
 
 func (c *Core) removeRuns() {
 	for _, r := range c.sorted() {
-		r.step(evGone)
+		r.step(evIncarnationEnded)
 	}
 }
 
@@ -84,8 +87,9 @@
 // has not ended.
 func (c *Core) CanCall() bool { return c.host.Instance != "" && !c.ended }
 
-// leaseMS returns the lease for a call, in milliseconds of the backend server's
-// clock, or 0 if the owner's lease has expired.
+// leaseMS returns the end of the lease for a call, in milliseconds of the backend
+// server's clock, or 0 if the owner's lease has expired. It records the end in
+// sentLeaseMS.
 func (c *Core) leaseMS() int64 {
 	now := c.clock.lowerBound(c.now)
 	end := min(c.leaseEndMS, now+c.cfg.RunLease.Milliseconds())
--- a/internal/hostagent/core.go
+++ b/internal/hostagent/core.go
@@ -77,12 +77,12 @@
 
 // Kinds of decisions.
 const (
-	OwnerAdopted DecisionKind = iota
-	OwnerRefused
-	RunRefused
-	RunUnconfirmed
+	OwnerAdopted   DecisionKind = iota
+	OwnerRefused                // a message was ignored because its sender is not the owner
+	RunRefused                  // a start was refused, or a run vanished without an end
+	RunUnconfirmed              // a start was not answered
 	IncarnationStarted
-	IncarnationEnded
+	IncarnationEnded // Detail is the reason
 	RunThrottled
 )
 
@@ -233,7 +233,7 @@
 }
 
 // flushChanges sends the collected changes of the runs to the owner in one
-// message. Without an owner that has the inventory they are discarded.
+// message. They are discarded if the inventory was not sent to an owner yet.
 func (c *Core) flushChanges() {
 	m := c.changed
 	c.changed = msg.RunsChanged{}
--- a/internal/hostagent/core_test.go
+++ b/internal/hostagent/core_test.go
@@ -204,7 +204,7 @@
 	require.Zero(t, h.core.NextPoll().Request.LeaseMS, "the owner's lease has expired")
 }
 
-// Guards against tasks of a dead backend server that are never reported as
+// Guards against tasks of a crashed backend server that are never reported as
 // ended, and against reporting them before their leases have expired.
 func TestSilentBackendServerIsUnavailableWhenItsLeasesExpire(t *testing.T) {
 	h := newHarness(t)
@@ -230,7 +230,8 @@
 	require.Equal(t, workload.HostDraining, h.core.Host().State)
 }
 
-// Guards against starts on a draining backend server.
+// Guards against runs that are cut off because they start on a backend server
+// that is about to shut down.
 func TestNothingStartsOnADrainingBackendServer(t *testing.T) {
 	h := newHarness(t)
 	h.prepare()
--- a/internal/hostagent/owner.go
+++ b/internal/hostagent/owner.go
@@ -67,6 +67,8 @@
 	return false
 }
 
+// claimed applies a claim. Its sender becomes the owner unless a higher epoch has
+// been observed.
 func (c *Core) claimed(from LinkID, m *msg.OwnerClaim) {
 	if m.Owner != "" {
 		c.EpochObserved(m.Epoch) // sent by an entry that is not the owner itself
@@ -82,8 +84,8 @@
 	c.sendInventory()
 }
 
-// sendInventory sends the inventory to the owner, once the backend server was
-// polled or is known to be unavailable.
+// sendInventory sends the inventory to the owner if it has not been sent, once
+// the backend server has answered a poll or is unavailable.
 func (c *Core) sendInventory() {
 	known := c.host.Instance != "" && (c.polled || c.host.State == workload.HostUnavailable)
 	if c.owner == 0 || c.inventorySent || !known {
--- a/internal/hostagent/run.go
+++ b/internal/hostagent/run.go
@@ -10,27 +10,26 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/agentrun.scxml. A run is doubtful while it is unknown whether
-// its start took effect.
+// States of charts/agentrun.scxml, in the order of RunBinding. A run is
+// unconfirmed while it is unknown whether its start took effect.
 const (
 	runStarting chart.State = iota
-	runDoubtful
+	runUnconfirmed
 	runRunning
 	runStopping
-	runOver
+	runEnded
 )
 
-// Events of charts/agentrun.scxml. evGone: the incarnation of the backend server
-// has ended. evLate: the timeout of the state has expired. evListed, evUnlisted:
-// a poll response contains the run, or does not although it should.
+// Events of charts/agentrun.scxml, in the order of RunBinding. evListed and
+// evUnlisted: a poll response contains the run, or does not although it should.
 const (
 	evAccepted chart.Event = iota
 	evRejected
 	evUnanswered
 	evEnded
 	evStop
-	evGone
-	evLate
+	evIncarnationEnded
+	evTimeout
 	evListed
 	evUnlisted
 )
@@ -63,7 +62,7 @@
 			"raiseToken":    (*run).raiseToken,
 			"poll":          (*run).poll,
 			"requestStop":   func(r *run) { r.stopRequested = true },
-			"refresh":       func(*run) {},
+			"refresh":       func(*run) {}, // applyStatus has stored the status
 		},
 		Delays: map[string]time.Duration{"pollRetry": pollRetryInterval, "stopRetry": stopRetryInterval},
 	}
@@ -104,7 +103,7 @@
 	runChart.Step(r, &r.state, e)
 	if d, _, ok := runChart.Timeout(r.state); !ok {
 		r.timeoutAt = 0
-	} else if r.state != before || e == evLate {
+	} else if r.state != before || e == evTimeout {
 		r.timeoutAt = r.core.now + d
 	}
 	if runChart.Final(r.state) {
@@ -114,7 +113,7 @@
 
 func (r *run) tick() {
 	if r.timeoutAt != 0 && r.core.now >= r.timeoutAt {
-		r.step(evLate)
+		r.step(evTimeout)
 	}
 }
 
@@ -131,7 +130,7 @@
 	if r.cpuLimitPercent == unknownPercent {
 		s.CPULimitPercent = unlimitedPercent
 	}
-	s.Unconfirmed = r.state == runStarting || r.state == runDoubtful
+	s.Unconfirmed = r.state == runStarting || r.state == runUnconfirmed
 	return s
 }
 
@@ -140,7 +139,7 @@
 // if the response is older than the answer to the start.
 func (r *run) expectedIn(target runner.Target, response runner.PollResponse) bool {
 	switch r.state {
-	case runDoubtful:
+	case runUnconfirmed:
 		return target.Token >= r.settlingToken
 	case runRunning, runStopping:
 		return response.ClockMS > r.startAnswerMS
@@ -161,6 +160,8 @@
 	r.core.changed.Refused = append(r.core.changed.Refused, r.id)
 }
 
+// reportLost reports a run that the backend server lists neither as running nor
+// as ended. The owner handles it like a refused start.
 func (r *run) reportLost() {
 	r.core.addDecision(Decision{Kind: RunRefused, Run: r.id, Detail: "the backend server no longer reports the run"})
 	r.reportRefused()
@@ -178,6 +179,8 @@
 	r.core.addDecision(Decision{Kind: RunUnconfirmed, Run: r.id})
 }
 
+// poll polls the backend server at once. The answer shows whether the
+// unanswered start took effect.
 func (r *run) poll() {
 	r.core.addCall(Call{Poll: &runner.PollRequest{Acknowledged: r.core.acknowledged, LeaseMS: r.core.leaseMS()}})
 }
--- a/internal/hostagent/throttle.go
+++ b/internal/hostagent/throttle.go
@@ -67,7 +67,7 @@
 // servingJob stands for the serving tasks of one job on the host.
 type servingJob struct {
 	image    contention.Image
-	headroom float64 // pressure of best-effort runs that the tasks can still bear
+	headroom float64 // pressure that best-effort runs may add while the tasks meet their targets
 }
 
 // bestEffortRun is a best-effort run and its pressure on each serving job when
@@ -130,7 +130,7 @@
 			continue
 		}
 		b := &bestEffortRun{run: r, pressure: make([]float64, len(serving))}
-		share := c.processorShare(contention.UsedShare * float64(r.size.MilliCPU))
+		share := c.cpuShare(contention.UsedShare * float64(r.size.MilliCPU))
 		for i, s := range serving {
 			b.pressure[i] = share * c.throttler.model.Coefficient(contention.Pair{Serving: s.image, BestEffort: contention.Image(r.size.Image)})
 			maxDemand[b] = max(maxDemand[b], b.pressure[i]/max(s.headroom, minHeadroom))
@@ -198,15 +198,15 @@
 	shares := map[contention.Image]float64{}
 	for _, r := range c.runs {
 		if r.size.BestEffort {
-			shares[contention.Image(r.size.Image)] += c.processorShare(float64(r.latest.Usage))
+			shares[contention.Image(r.size.Image)] += c.cpuShare(float64(r.latest.Usage))
 		}
 	}
 	return shares
 }
 
-// processorShare converts thousandths of a core to a share of the host's
+// cpuShare converts thousandths of a core to a share of the host's
 // processors.
-func (c *Core) processorShare(milliCPU float64) float64 {
+func (c *Core) cpuShare(milliCPU float64) float64 {
 	return milliCPU / float64(max(1, c.host.Capacity.MilliCPU))
 }
 
