--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -28,7 +28,7 @@
 	evRead
 	evClaimed
 	evSuperseded
-	evUnknown
+	evOutcomeUnknown
 	evRetire
 )
 
@@ -64,7 +64,7 @@
 // concurrent use. Times are durations on the entry's monotonic clock.
 type Core struct {
 	self string
-	boot uint64
+	boot uint64 // distinguishes the processes of an entry
 	now  time.Duration
 
 	state       chart.State
@@ -100,8 +100,7 @@
 	}
 }
 
-// New returns the state of an entry self that starts at now. boot distinguishes
-// the processes of an entry.
+// New returns the state of an entry of the name self that starts at now.
 func New(self string, boot uint64, now time.Duration) *Core {
 	c := &Core{self: self, boot: boot, now: now, linked: map[string]bool{}, ownerSeenAt: now + startOwnerTimeout - ownerTimeout}
 	c.state = ownershipChart.Initial()
@@ -214,7 +213,7 @@
 	case table.Conflict:
 		c.step(evSuperseded)
 	default:
-		c.step(evUnknown)
+		c.step(evOutcomeUnknown)
 	}
 }
 
@@ -236,11 +235,13 @@
 // namesSelf reports whether the row names this entry.
 func (c *Core) namesSelf() bool { return c.row.Name == c.self }
 
-// mayClaim reports whether the entry may claim the jobs.
+// mayClaim reports whether the entry may claim the jobs: the row names this
+// entry, whose former process owned them, or the owner is absent.
 func (c *Core) mayClaim() bool { return c.namesSelf() || c.ownerAbsent() }
 
 // ownerAbsent reports whether the owner has been unlinked for so long that this
-// entry replaces it. Entries with lower names do so earlier.
+// entry replaces it. Entries with lower names do so earlier. An owner with the
+// name of this entry is a former process of it, and is always absent.
 func (c *Core) ownerAbsent() bool {
 	if c.namesSelf() {
 		return true
