--- a/internal/policy/contention/contention.go
+++ b/internal/policy/contention/contention.go
@@ -227,8 +227,9 @@
 	return min(maxLoad, max(minLoad, l.value+l.slope*ahead))
 }
 
-// Coefficient returns the interference coefficient of a pair: the pressure on the
-// serving task of a best-effort task that uses all processors of the host.
+// Coefficient returns the interference coefficient of a pair: the pressure that
+// a best-effort task would put on the serving task if it used all processors of
+// the host.
 func (m *Model) Coefficient(p Pair) float64 {
 	if c, ok := m.pairs[p]; ok {
 		return c.value
@@ -256,8 +257,8 @@
 	m.pair(p).variance = restoredVariance
 }
 
-// Pressure returns the pressure on a serving task of best-effort tasks that use
-// shares of the host's processors.
+// Pressure returns the pressure that best-effort tasks put on a serving task.
+// shares are the shares of the host's processors that they use, by image.
 func (m *Model) Pressure(serving Image, shares map[Image]float64) float64 {
 	sum := 0.0
 	for image, share := range shares {
