--- a/internal/policy/hostselect/hostselect.go
+++ b/internal/policy/hostselect/hostselect.go
@@ -9,8 +9,8 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// Reason is the reason why a task cannot run on a host. Operators read the texts of
-// the reasons in the detail of event 913 (task-waits), so the texts are stable.
+// Reason says why a task cannot run on a host. Operators read the texts of the
+// reasons in the detail of event 913 (task-waits), so the texts are stable.
 type Reason uint8
 
 // Reasons against a host. Fits means that the task can run there.
@@ -22,7 +22,7 @@
 	NoLabel
 	TooManyOfStep // the host has MaxPerHost tasks of the step
 	NoCapacity
-	Failing
+	Failing  // several jobs failed there in succession
 	Avoided  // the task failed there
 	LowSpeed // a best-effort task would run below minSpeed there
 )
@@ -90,6 +90,8 @@
 
 // reservedShare is the fraction of a host's processors that is reserved for tasks
 // of the first priority, so that short tasks start at once beside large ones.
+// Best-effort tasks are not charged with processor time, so the reservation does
+// not apply to them.
 const reservedShare = 0.06
 
 // Check returns why t cannot run on h, or Fits.
@@ -123,7 +125,8 @@
 	return Fits
 }
 
-// Weights of the terms of a score. The score of an empty host is 1.
+// Weights of the terms of a score. The score of an empty host for a task that is
+// not best-effort is 1.
 const (
 	suspectWeight   = 4.0
 	otherRackWeight = 0.6
