--- a/internal/jobdaemon/agent.go
+++ b/internal/jobdaemon/agent.go
@@ -227,7 +227,7 @@
 	event.Log(a.log, event.PeerLinked, log.Fields{"peer": m.hello.Member.Name, "epoch": m.hello.Epoch})
 	a.core.EpochObserved(m.hello.Epoch)
 	a.addMembers([]msg.Member{m.hello.Member})
-	a.setLinked()
+	a.publishLinked()
 	m.out.TrySend(&msg.HostAnnounced{Host: a.core.Host()})
 }
 
@@ -240,10 +240,11 @@
 	delete(a.hellos, m.id)
 	logLinkDown(a.log, hello.Member.Name, m.err)
 	a.core.Unlinked(hostagent.LinkID(m.id))
-	a.setLinked()
+	a.publishLinked()
 }
 
-func (a *agent) setLinked() {
+// publishLinked publishes the addresses of the linked entries for the dialers.
+func (a *agent) publishLinked() {
 	linked := map[string]bool{}
 	for _, h := range a.hellos {
 		linked[h.Member.Address] = true
--- a/internal/jobdaemon/controller.go
+++ b/internal/jobdaemon/controller.go
@@ -39,10 +39,10 @@
 	members     map[string]msg.Member // entries by name
 	config      *configState
 	phases      *phaseCache
-	owner       *ownership.Core
-	jobs        *jobs.Core // nil unless this entry owns the jobs
-	loading     bool       // this entry owns the jobs but has not read them yet
-	deferred    []any      // messages for the owner that arrived while loading
+	owner       *ownership.Core // which entry owns the jobs
+	jobs        *jobs.Core      // nil unless this entry owns the jobs
+	loading     bool            // this entry owns the jobs but has not read them yet
+	deferred    []any           // messages for the owner that arrived while loading
 	writer      writer
 	peerCommits peerCommits
 	ownerGroup  *actor.Group // actors that end with the ownership: they load and watch the jobs
@@ -155,7 +155,7 @@
 func (c *controller) sendToHost(s jobs.HostMessage) {
 	a := c.agents[s.Host]
 	if a == nil || a.link == nil {
-		return // the host sends its inventory when it is linked again
+		return // the agent sends its inventory when it is linked again
 	}
 	c.send(a.link, s.Message)
 }
--- a/internal/jobdaemon/controller_links.go
+++ b/internal/jobdaemon/controller_links.go
@@ -32,7 +32,7 @@
 	}
 	c.owner.PeerUp(name)
 	c.addMembers([]msg.Member{m.hello.Member})
-	c.setLinked()
+	c.publishLinked()
 	if c.config.current != nil {
 		c.send(l, &msg.ConfigAnnounced{Version: c.config.current.Version, Raw: c.config.raw})
 	}
@@ -77,10 +77,11 @@
 	if c.entryLink(name) == nil {
 		c.owner.PeerDown(name, c.now())
 	}
-	c.setLinked()
+	c.publishLinked()
 }
 
-func (c *controller) setLinked() {
+// publishLinked publishes the addresses of the linked entries for the dialers.
+func (c *controller) publishLinked() {
 	linked := map[string]bool{}
 	for _, l := range c.links {
 		if !l.hello.Agent {
@@ -124,9 +125,9 @@
 	}
 }
 
-// applyToJobs applies a message to the jobs if this entry owns them.
-// Submissions and inventories that arrive while the stored jobs are loaded are
-// deferred.
+// applyToJobs applies a message to the jobs if this entry owns them. Submissions
+// and inventories that arrive while the stored jobs are loaded are deferred. A
+// cancellation is applied at once, since it may precede its job.
 func (c *controller) applyToJobs(l *peerLink, m msg.Control) {
 	if c.jobs == nil {
 		return // the next owner reads the table and claims the hosts, so nothing is lost
--- a/internal/jobdaemon/jobhandler.go
+++ b/internal/jobdaemon/jobhandler.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// submitTimeout bounds the attempts to store a job, so that the caller has
-	// time left to ask another entry.
+	// submitTimeout bounds the attempts to store a job while none of them can
+	// have taken effect, so that the caller has time left to ask another entry.
 	submitTimeout = 500 * time.Millisecond
 	// knownOutage is the duration of an outage of the table service from which
 	// on a caller is refused after one attempt.
@@ -148,7 +148,7 @@
 	if h.controller.storeProxy.outageDuration() > knownOutage {
 		retryUntil = time.Now() // one attempt
 	}
-	unknown := false
+	unknown := false // an attempt may have taken effect
 	for {
 		r := h.controller.storeProxy.commit(ctx, txn)
 		switch r.outcome {
@@ -245,6 +245,7 @@
 	key := cancelKey(id)
 	if err := h.persist(ctx, table.Txn{Checks: []table.Check{{Key: key}}, Puts: []table.Put{{Key: key, Value: []byte{1}}}}); err != nil {
 		if errors.Is(err, jobapi.ErrNotAccepted) {
+			// ErrNotAccepted is defined for the submission of a job.
 			return fmt.Errorf("%w: %w", jobapi.ErrOutcomeUnknown, err)
 		}
 		return err
--- a/internal/jobdaemon/links.go
+++ b/internal/jobdaemon/links.go
@@ -101,6 +101,8 @@
 	linked  func(address string) bool // reports whether a link with the process is up
 }
 
+// run dials while the process at the address is not linked. The pause between
+// attempts doubles up to maxRedialInterval.
 func (d *dialer) run(ctx context.Context) error {
 	pause := minRedialInterval
 	for {
--- a/internal/jobdaemon/owner.go
+++ b/internal/jobdaemon/owner.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// startOwnership takes over the jobs: it claims every host and loads the jobs.
+// startOwnership takes over the jobs: it notifies the other entries and loads the
+// stored jobs. jobsLoaded claims the hosts.
 func (c *controller) startOwnership() {
 	epoch := c.owner.Epoch()
 	event.Log(c.log, event.OwnershipStarted, log.Fields{"epoch": epoch})
--- a/internal/jobdaemon/storeproxy.go
+++ b/internal/jobdaemon/storeproxy.go
@@ -76,8 +76,9 @@
 	return combineResults(r, p.commitViaPeer(ctx, t))
 }
 
-// combineResults returns the second result, unless the second attempt was not
-// executed and the outcome of the first is unknown.
+// combineResults returns the result of two attempts at one transaction: the
+// second, unless it was certainly not executed and the outcome of the first is
+// unknown.
 func combineResults(first, second commitResult) commitResult {
 	if second.outcome == table.Unavailable && first.outcome == table.Unknown {
 		return first
--- a/internal/jobdaemon/writer.go
+++ b/internal/jobdaemon/writer.go
@@ -169,7 +169,7 @@
 	switch r.outcome {
 	case table.Committed:
 		c.batchCommitted(m, r.revision)
-	case table.Conflict:
+	case table.Conflict: // another entry owns the jobs
 		w.committing = false
 		c.jobs.BatchFailed()
 		w.retireReply.Put(true)
@@ -196,6 +196,8 @@
 		case o == m.owner:
 			return commitResult{outcome: table.Committed, revision: row.Version}
 		case o.Name == c.writer.owner.Name && o.Boot == c.writer.owner.Boot && o.Epoch == m.epoch:
+			// The row is still this owner's, but has another version than the
+			// transaction checked: the transaction is repeated with that version.
 			c.writer.version = row.Version
 			return commitResult{outcome: table.Unknown}
 		}
