--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -10,9 +10,9 @@
 	TTL               = 30 * time.Second // lease of all attempts of a cell on an agent
 	RenewInterval     = 5 * time.Second
 	WorkerTTL         = 15 * time.Second // the worker's lease of one task
-	HeartbeatInterval = 2 * time.Second
-	StopPlacingAfter  = 4 * time.Second // after the last written heartbeat the owner starts no more attempts
-	OwnerExpiry       = 6 * time.Second // an unchanged heartbeat of this age lets a successor claim the cell
+	HeartbeatInterval = 2 * time.Second  // between two heartbeats that the owner of a cell writes
+	StopPlacingAfter  = 4 * time.Second  // after the last written heartbeat the owner starts no more attempts
+	OwnerExpiry       = 6 * time.Second  // an unchanged heartbeat of this age lets a successor claim the cell
 	// RenewalLimit and LongRenewalLimit (of long-running tasks) limit how long
 	// an owner that cannot write its heartbeat renews the leases of running
 	// tasks.
@@ -128,7 +128,9 @@
 }
 
 // Receive records a renewal that arrived at now, and reports whether it must be
-// acknowledged.
+// acknowledged. A renewal extends the lease only if its number is the next one
+// and the previous renewal was acknowledged after the last call of NewGranter or
+// Invalidate.
 func (h *Holder) Receive(now time.Duration, seq uint64, ttl, longTTL time.Duration) bool {
 	switch {
 	case seq < h.seq:
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -49,7 +49,8 @@
 }
 
 // Guards against a granter that increments the sequence number without an
-// acknowledgement: the holder would count the lease from the wrong one.
+// acknowledgement: the holder would count its lease from an acknowledgement that
+// precedes an earlier renewal.
 func TestSequenceWaitsForAck(t *testing.T) {
 	var g Grants
 	renew := func(now, ttl, long time.Duration, want uint64, fresh bool) {
