--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -37,9 +37,9 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r is at most room in every dimension.
-func (r Resources) Fits(room Resources) bool {
-	return r.MilliCPU <= room.MilliCPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
+// Fits reports whether no resource of r exceeds the same resource of free.
+func (r Resources) Fits(free Resources) bool {
+	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
 // Step is a group of tasks of a job that have the same attributes.
@@ -48,15 +48,15 @@
 	Need                Resources     // resources of each task
 	Estimate            time.Duration // estimated run time of a task
 	After               []int         // indices of earlier steps that must be completed first
-	Checkpointing       bool
-	Gang                bool // all tasks run at the same time; not supported
+	Checkpointing       bool          // a later run can resume from a checkpoint
+	Gang                bool          // all tasks run at the same time; not supported
 	SameRack            bool
-	Label               string // label that the host must have; empty: any host
-	DataRack            string // rack with the tasks' data, on which they run fastest; empty: any
-	MaxPerHost          int    // 0: no limit
-	AllowConcurrentRuns bool   // several runs of one task may run at the same time
-	LongRunning         bool   // runs until the job is cancelled
-	Image               string
+	Label               string        // label that the host must have; empty: any host
+	DataRack            string        // rack with the tasks' data, on which they run fastest; empty: any
+	MaxPerHost          int           // 0: no limit
+	AllowConcurrentRuns bool          // several runs of one task may run at the same time
+	LongRunning         bool          // runs until the job is cancelled
+	Image               string        // program that the tasks run
 	TargetLatency       time.Duration // tail latency for the users of a long-running task; 0: none
 	BestEffort          bool          // uses processor time that other tasks leave unused
 	MaxUnavailable      int           // tasks that the scheduler may stop or move at the same time
@@ -208,9 +208,9 @@
 	EndFailed
 	EndStopped
 	EndLeaseExpired
-	EndBroken
-	EndAlone
-	EndLost // the backend server ended or never started the run
+	EndBroken // reported by the backend server
+	EndAlone  // reported by the backend server
+	EndLost   // the backend server ended or never started the run
 )
 
 func (e EndReason) String() string {
@@ -283,7 +283,7 @@
 // owner, Sequence with each batch that the owner stores.
 type Owner struct {
 	Name     string // empty: the last owner has released the jobs
-	Boot     uint64
+	Boot     uint64 // distinguishes the processes of an entry
 	Epoch    uint64
 	Sequence uint64
 }
