--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -27,8 +27,13 @@
 type Handler interface {
 	// Queue returns the queue for a host and a path.
 	Queue(host, path string) (workload.Queue, error)
+	// Submit stores a job with the attributes of its queue. It succeeds without
+	// a change if a job with the same id was accepted before.
 	Submit(ctx context.Context, q workload.Queue, j workload.Job) error
+	// Phase returns the phase of a job.
 	Phase(ctx context.Context, q workload.Queue, id workload.JobID) (workload.Phase, error)
+	// Cancel stores the cancellation of a job. It succeeds without a change if
+	// the job's phase is final.
 	Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error
 	// QueueLength returns the number of accepted jobs of which no task has
 	// started.
