--- a/internal/jobs/interference.go
+++ b/internal/jobs/interference.go
@@ -75,22 +75,22 @@
 func (h *host) bestEffortHeadroom(t *task) float64 {
 	headroom := math.Inf(1)
 	share := h.bestEffortShare(t)
-	for _, n := range h.servingJobs() {
-		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(t.step.spec.Image)})
-		headroom = min(headroom, max(0, n.budget-h.pressureUpTo(n, coefficient))/max(minPressure, share*coefficient))
+	for _, serving := range h.servingJobs() {
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: serving.image, BestEffort: contention.Image(t.step.spec.Image)})
+		headroom = min(headroom, max(0, serving.budget-h.pressureUpTo(serving, coefficient))/max(minPressure, share*coefficient))
 	}
 	return headroom
 }
 
 // pressureUpTo returns the pressure that the best-effort runs whose coefficient
 // is at most limit put on a serving job when they are not throttled.
-func (h *host) pressureUpTo(n servingJob, limit float64) float64 {
+func (h *host) pressureUpTo(serving servingJob, limit float64) float64 {
 	sum := 0.0
 	for _, r := range h.runs {
 		if !r.task.step.spec.BestEffort {
 			continue
 		}
-		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: n.image, BestEffort: contention.Image(r.task.step.spec.Image)})
+		coefficient := h.core.contention.Coefficient(contention.Pair{Serving: serving.image, BestEffort: contention.Image(r.task.step.spec.Image)})
 		if coefficient <= limit {
 			sum += coefficient * h.bestEffortShare(r.task)
 		}
--- a/internal/jobs/move.go
+++ b/internal/jobs/move.go
@@ -66,7 +66,7 @@
 		views[i] = h.view(r.task)
 	}
 	selection := r.task.selectionTask()
-	selection.MayWait = true // it moves only to a host where it is not slowed down as much
+	selection.MayWait = true // excludes hosts on which it would be throttled as much
 	if i, _ := hostselect.Choose(selection, views); i >= 0 {
 		return others[i]
 	}
