--- a/internal/hostagent/core.go
+++ b/internal/hostagent/core.go
@@ -79,7 +79,7 @@
 const (
 	OwnerAdopted   DecisionKind = iota
 	OwnerRefused                // a message was ignored because its sender is not the owner
-	RunRefused                  // a start was refused, or a run vanished without an end
+	RunRefused                  // a start was refused, or a run is no longer listed and no end was reported
 	RunUnconfirmed              // a start was not answered
 	IncarnationStarted
 	IncarnationEnded // Detail is the reason
--- a/internal/hostagent/throttle.go
+++ b/internal/hostagent/throttle.go
@@ -124,7 +124,7 @@
 // the headroom of the serving jobs, and then in order of arrival.
 func (c *Core) bestEffortRuns(serving []servingJob) []*bestEffortRun {
 	var list []*bestEffortRun
-	maxDemand := map[*bestEffortRun]float64{}
+	relativePressure := map[*bestEffortRun]float64{} // maximum over the serving jobs
 	for _, r := range c.sorted() {
 		if !r.size.BestEffort {
 			continue
@@ -133,15 +133,15 @@
 		share := c.cpuShare(contention.UsedShare * float64(r.size.MilliCPU))
 		for i, s := range serving {
 			b.pressure[i] = share * c.throttler.model.Coefficient(contention.Pair{Serving: s.image, BestEffort: contention.Image(r.size.Image)})
-			maxDemand[b] = max(maxDemand[b], b.pressure[i]/max(s.headroom, minHeadroom))
+			relativePressure[b] = max(relativePressure[b], b.pressure[i]/max(s.headroom, minHeadroom))
 		}
 		list = append(list, b)
 	}
 	slices.SortStableFunc(list, func(a, b *bestEffortRun) int {
 		switch {
-		case maxDemand[a] < maxDemand[b]:
+		case relativePressure[a] < relativePressure[b]:
 			return -1
-		case maxDemand[a] > maxDemand[b]:
+		case relativePressure[a] > relativePressure[b]:
 			return 1
 		}
 		return 0
@@ -149,8 +149,8 @@
 	return list
 }
 
-// minHeadroom bounds the divisor of the order of bestEffortRuns, so that a
-// serving job without headroom does not determine the order alone.
+// minHeadroom bounds the divisor of the relative pressure in bestEffortRuns, so
+// that a serving job without headroom does not determine the order alone.
 const minHeadroom = 0.02
 
 // servingJobs returns the jobs with serving tasks that have reported a latency,
