--- a/internal/workload/validate.go
+++ b/internal/workload/validate.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if s.Need.MilliCPU < 0 || s.Need.MemoryMB < 0 || s.Need.Accelerators < 0 {
-		found = append(found, fmt.Errorf("step %d: a size is negative", i))
+		found = append(found, fmt.Errorf("step %d: a required resource is negative", i))
 	}
 	if s.Gang {
 		found = append(found, fmt.Errorf("step %d: gang: %w", i, ErrUnsupported))
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -50,7 +50,7 @@
 	After               []int         // indices of earlier steps that must be completed first
 	Checkpointing       bool          // a later run can resume from a checkpoint
 	Gang                bool          // all tasks run at the same time; not supported
-	SameRack            bool
+	SameRack            bool          // stored; has no effect on the choice of hosts
 	Label               string        // label that the host must have; empty: any host
 	DataRack            string        // rack with the tasks' data, on which they run fastest; empty: any
 	MaxPerHost          int           // 0: no limit
@@ -59,7 +59,9 @@
 	Image               string        // program that the tasks run
 	TargetLatency       time.Duration // tail latency for the users of a long-running task; 0: none
 	BestEffort          bool          // uses processor time that other tasks leave unused
-	MaxUnavailable      int           // tasks that the scheduler may stop or move at the same time
+	// MaxUnavailable is how many tasks may be unavailable at once through the
+	// scheduler's actions. It is stored, and not enforced.
+	MaxUnavailable int
 }
 
 // Charge returns the resources that a run of the step is charged with on its
@@ -208,8 +210,8 @@
 	EndFailed
 	EndStopped
 	EndLeaseExpired
-	EndBroken // reported by the backend server
-	EndAlone  // reported by the backend server
+	EndBroken // reported by the backend server as "broken"
+	EndAlone  // reported by the backend server as "alone"
 	EndLost   // the backend server ended or never started the run
 )
 
@@ -234,8 +236,8 @@
 // ServiceConfig is the configuration of a service.
 type ServiceConfig struct {
 	Name           Service
-	AdmissionCheck bool // its backend servers reject runs that exceed their capacity
-	PoweredOff     bool // its hosts are switched off
+	AdmissionCheck bool // its backend servers reject runs that exceed their capacity; informational
+	PoweredOff     bool // its hosts are switched off; informational
 }
 
 // Config is one version of the operators' configuration.
