--- a/internal/entry/response.go
+++ b/internal/entry/response.go
@@ -27,15 +27,15 @@
 	case c.refusal == dispatch.RefusedFull:
 		return "too many requests wait for the service; try again later"
 	case c.refusal == dispatch.RefusedLate:
-		return "the queued requests leave no time for this one before its deadline; try again later"
+		return "the requests that wait leave no time for this one before its deadline; try again later"
 	case c.agentRefusal == msg.RefusedDraining:
-		return "the chosen backend server is draining; try again"
+		return "the backend server that was chosen is leaving; try again"
 	case c.agentRefusal == msg.RefusedDown:
-		return "the chosen backend server cannot be reached; try again"
+		return "the backend server that was chosen cannot be reached; try again"
 	case c.agentRefusal == msg.RefusedNoCredit:
-		return "no chosen backend server had a slot for the request; try again"
+		return "every backend server that was chosen had lent its slots to others; try again"
 	}
-	return "no capacity for the request; try again later"
+	return "no room for the request; try again later"
 }
 
 // answerRun sends the caller the outcome "run" for a request whose response is
