--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -125,7 +125,7 @@
 // pass lets d pass.
 func (c *controller) pass(d time.Duration) {
 	for end := c.now + d; c.now < end; {
-		next := min(max(c.core.Next(), c.now+time.Microsecond), end)
+		next := min(max(c.core.NextTick(), c.now+time.Microsecond), end)
 		if len(c.ends) > 0 {
 			next = min(next, c.ends[0].at)
 		}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -45,7 +45,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for end := now + time.Second; now < end; {
-			now = min(end, max(c.Next(), now+time.Millisecond))
+			now = min(end, max(c.NextTick(), now+time.Millisecond))
 			for _, effect := range c.Step(now, Tick{}) {
 				applyAnswer(c, now, effect)
 			}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -190,7 +190,7 @@
 		c.apply(PeerUp{Worker: up.Worker, Boot: up.Boot})
 	}
 	return actor.Loop[Message, Event]{
-		Now: c.now, NextTick: c.core.Next, Apply: c.apply,
+		Now: c.now, NextTick: c.core.NextTick, Apply: c.apply,
 		Translate: func(m Message) (Event, bool) {
 			e := c.translate(m)
 			return e, e != nil
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// Next returns the time at which the next timer is due. A timer whose work
+// NextTick returns the time at which the next timer is due. A timer whose work
 // waits for an answer does not count, so the time is later than the last step.
-func (c *Core) Next() time.Duration {
+func (c *Core) NextTick() time.Duration {
 	next := c.now + maxSleep
 	due := func(at time.Duration, armed bool) {
 		if armed {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -191,10 +191,10 @@
 	for _, e := range inbox {
 		w.stepController(i, e)
 	}
-	if c.core.Next() <= w.now {
+	if c.core.NextTick() <= w.now {
 		w.stepController(i, control.Tick{})
 	}
-	if c.core.Next() <= w.now && w.failure == "" {
+	if c.core.NextTick() <= w.now && w.failure == "" {
 		w.failure = "a controller's timer stays due: its actor would spin"
 	}
 }
