--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -17,7 +17,7 @@
 	Boot    model.Boot
 	Cell    model.Cell
 	Region  model.Region
-	Version model.ConfigVersion // configuration in force at the agent
+	Version model.ConfigVersion // configuration in use at the agent
 }
 
 // EntryHello is the first message of an entry on a link.
@@ -42,8 +42,7 @@
 	Connections int
 }
 
-// CreditGrant lends credits to an entry. Count may be more than one, or zero
-// when only Long changed.
+// CreditGrant grants credits to an entry. Count is zero if only MaxLong changed.
 type CreditGrant struct {
 	Backend    model.BackendID
 	Generation uint64
@@ -58,7 +57,7 @@
 	Count      int
 }
 
-// CreditReturn gives idle credits back.
+// CreditReturn returns idle credits to the agent.
 type CreditReturn struct {
 	Backend    model.BackendID
 	Generation uint64
@@ -111,7 +110,7 @@
 // side may send it.
 type ConfigRequest struct{ Have model.ConfigVersion }
 
-// ConfigApplied reports the version in force at the sender.
+// ConfigApplied reports the configuration version in use at the sender.
 type ConfigApplied struct{ Version model.ConfigVersion }
 
 func (*AgentHello) isControl()    {}
--- a/internal/msg/task.go
+++ b/internal/msg/task.go
@@ -59,8 +59,8 @@
 	Percent int // 100 removes the limit
 }
 
-// TaskAck acknowledges the final TaskReport of an attempt; the agent forgets
-// the attempt.
+// TaskAck acknowledges the final TaskReport of an attempt; the agent deletes
+// its record of the attempt.
 type TaskAck struct {
 	Command
 	Attempt model.AttemptID
