--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -103,9 +103,9 @@
 
 // Outcomes of a request.
 const (
-	OutcomeUnknown Outcome = iota
-	OutcomeNotRun          // the request was not started and never will be
-	OutcomeRun             // a backend server started it
+	OutcomeUnknown Outcome = iota // the request may have run, or may still run
+	OutcomeNotRun                 // the request was not started and never will be
+	OutcomeRun                    // a backend server started it
 )
 
 // OutcomeHeader is the header field with the outcome, on responses that the
--- a/internal/model/status.go
+++ b/internal/model/status.go
@@ -78,7 +78,7 @@
 	Tasks    int       `json:"tasks"`
 }
 
-// AppliedVersion is the configuration version in force at a daemon.
+// AppliedVersion is the configuration version in use at a daemon.
 type AppliedVersion struct {
 	Daemon  string        `json:"daemon"`
 	Version ConfigVersion `json:"version"`
