--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -15,7 +15,8 @@
 	Text    string `json:"text"`            // what is wrong and what to do
 }
 
-// String formats a finding as "source:line: where: text".
+// String formats a finding as "source:line: element: text", without the parts
+// that are empty.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.Source)
@@ -31,12 +32,13 @@
 	return b.String()
 }
 
-// List is the findings of one input. It is an error when it is not empty.
+// List holds the findings of one input. Use Err to return it as an error: an
+// empty List is not a nil error.
 type List []Finding
 
-// Add appends a finding.
-func (l *List) Add(source string, line int, where, format string, args ...any) {
-	*l = append(*l, Finding{Source: source, Line: line, Element: where, Text: fmt.Sprintf(format, args...)})
+// Add appends a finding with a text formatted as by fmt.Sprintf.
+func (l *List) Add(source string, line int, element, format string, args ...any) {
+	*l = append(*l, Finding{Source: source, Line: line, Element: element, Text: fmt.Sprintf(format, args...)})
 }
 
 // Err returns the list as an error, or nil when it is empty.
