--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -98,7 +98,8 @@
 	return false
 }
 
-// Done is closed when the actor has ended.
+// Done returns a channel that is closed when the actor has ended. It is nil for
+// the zero Address.
 func (a Address[M]) Done() <-chan struct{} { return a.done }
 
 // Exit reports the end of one Run of an actor.
