--- a/internal/chart/check.go
+++ b/internal/chart/check.go
@@ -10,8 +10,8 @@
 const maxStatesOrEvents = 256
 
 // Check reports the defects that can be found without a binding: an undefined
-// initial state or target, a duplicate or unreachable state, a wait state
-// without a timeout, a timeout event without a transition, a final state with
+// initial state or target, a duplicate or unreachable state, a state that is
+// neither final nor marked rest="true" and has no timeout, a timeout event without a transition, a final state with
 // transitions, and too many states or events.
 func (d *Document) Check() finding.List {
 	var findings finding.List
--- a/internal/chart/document.go
+++ b/internal/chart/document.go
@@ -22,18 +22,18 @@
 type Document struct {
 	File    string // used in findings
 	Name    string
-	Initial string // name of the initial state
-	States  []StateNode
+	Initial string      // name of the initial state
+	States  []StateNode // in document order
 }
 
-// StateNode is one state of a Document in document order.
+// StateNode is one state of a Document.
 type StateNode struct {
 	ID          string
 	Line        int
 	Final       bool
-	Rest        bool // needs no timeout
+	Rest        bool // an instance may stay in the state for any time, so no timeout is required
 	Timeout     *TimeoutNode
-	Transitions []TransitionNode
+	Transitions []TransitionNode // in document order
 }
 
 // TimeoutNode is the delayed event that a state sends to itself on entry.
@@ -43,7 +43,7 @@
 	Delay string // name of a bound duration
 }
 
-// TransitionNode is one transition in document order.
+// TransitionNode is one transition of a state.
 type TransitionNode struct {
 	Line    int
 	Event   string
@@ -54,7 +54,8 @@
 }
 
 // Parse reads the chart name+".scxml" from fsys. The error is a finding.List
-// with every syntax error, unless the file cannot be read.
+// of the defects found, unless the file cannot be read. Parsing stops at
+// the first place that is not well-formed XML.
 func Parse(fsys fs.FS, name string) (*Document, error) {
 	file := name + ".scxml"
 	raw, err := fs.ReadFile(fsys, file)
@@ -64,7 +65,8 @@
 	return ParseBytes(file, raw)
 }
 
-// ParseBytes parses a chart held in memory; file is used in findings.
+// ParseBytes parses a chart held in memory; file is used in findings. The error
+// is a finding.List, as in Parse.
 func ParseBytes(file string, raw []byte) (*Document, error) {
 	p := &parser{dec: xml.NewDecoder(bytes.NewReader(raw)), doc: &Document{File: file}}
 	p.parse()
@@ -114,8 +116,8 @@
 	return line
 }
 
-func (p *parser) report(where, format string, args ...any) {
-	p.findings.Add(p.doc.File, p.line(), where, format, args...)
+func (p *parser) report(element, format string, args ...any) {
+	p.findings.Add(p.doc.File, p.line(), element, format, args...)
 }
 
 // requiredParent maps an element to the element that must contain it.
--- a/internal/chart/machine.go
+++ b/internal/chart/machine.go
@@ -49,7 +49,7 @@
 	changesState bool
 	target       State
 	actions      []func(*T)
-	next         int // index of the next transition of the same state and event, or -1
+	next         int // in Machine.transitions: index of the next transition of the same state and event, or -1
 }
 
 // MustCompile is Compile for charts that are embedded in the program; it
@@ -138,16 +138,17 @@
 	return index
 }
 
+// compiler binds the names of a Document and collects the findings.
 type compiler[T any] struct {
 	doc            *Document
 	binding        Binding[T]
 	findings       finding.List
-	states, events map[string]int
+	states, events map[string]int  // index in the binding, by name
 	used           map[string]bool // "kind name" of every name in the file
 }
 
-func (c *compiler[T]) report(line int, where, format string, args ...any) {
-	c.findings.Add(c.doc.File, line, where, format, args...)
+func (c *compiler[T]) report(line int, element, format string, args ...any) {
+	c.findings.Add(c.doc.File, line, element, format, args...)
 }
 
 func (c *compiler[T]) compileMachine() *Machine[T] {
