--- a/internal/labels/parse.go
+++ b/internal/labels/parse.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// accept skips blanks and then token, if it follows, and reports whether it did.
 func (p *parser) accept(token string) bool {
 	p.skipBlanks()
 	if !strings.HasPrefix(p.text[p.pos:], token) {
@@ -73,7 +74,8 @@
 	return true
 }
 
-// word reads a run of the characters that keys and values consist of.
+// word skips blanks and reads a run of the characters that keys and values
+// consist of. It returns the run, which may be empty, and its position.
 func (p *parser) word() (string, int) {
 	p.skipBlanks()
 	start := p.pos
@@ -126,8 +128,8 @@
 	return r, err
 }
 
-// parseSet reads "in (a,b)" or "notin (a,b)" if either follows. If neither
-// does, r stays as it is.
+// parseSet reads "in (a,b)" or "notin (a,b)" into r. It leaves r unchanged if
+// no word follows; any other word is an error.
 func (p *parser) parseSet(r *Requirement) error {
 	word, start := p.word()
 	switch word {
--- a/internal/labels/selector.go
+++ b/internal/labels/selector.go
@@ -11,20 +11,19 @@
 // Operator is the comparison that a requirement makes.
 type Operator uint8
 
-// Operators. NotIn, as in other label-selector implementations, also holds
-// when the label is absent.
+// Operators.
 const (
-	In Operator = iota
-	NotIn
-	Exists
-	Absent
+	In     Operator = iota // the label has one of the values
+	NotIn                  // the label has none of the values or, as in other label-selector implementations, is absent
+	Exists                 // the label is present
+	Absent                 // the label is not present
 )
 
 // Requirement is one condition on one label.
 type Requirement struct {
 	Key      string
 	Operator Operator
-	Values   []string // of In and NotIn
+	Values   []string // for In and NotIn
 }
 
 // Selector is a parsed selector: all its requirements must hold. The zero
--- a/internal/labels/validate.go
+++ b/internal/labels/validate.go
@@ -91,6 +91,8 @@
 	return nameDefect(name, maxNameBytes)
 }
 
+// valueDefect describes what is wrong with a value. It returns "" for a valid
+// value, which may be empty.
 func valueDefect(value string) string {
 	if value == "" {
 		return ""
@@ -98,9 +100,11 @@
 	return nameDefect(value, maxNameBytes)
 }
 
-func nameDefect(name string, limit int) string {
-	if len(name) > limit {
-		return fmt.Sprintf("is longer than %d bytes", limit)
+// nameDefect describes what is wrong with a name, prefix or value, which must
+// not be empty. It returns "" for a valid one.
+func nameDefect(name string, maxBytes int) string {
+	if len(name) > maxBytes {
+		return fmt.Sprintf("is longer than %d bytes", maxBytes)
 	}
 	if !isAlphanumeric(name[0]) || !isAlphanumeric(name[len(name)-1]) {
 		return "must begin and end with a letter or digit"
