--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -17,21 +17,22 @@
 const (
 	queueCapacity = 2048 // entries
 	// maxPerSecond bounds the entries written per second. Entries of the level
-	// warn and above are written beyond it.
+	// warn and above are written beyond it; only the queue bounds them.
 	maxPerSecond = 1000
 	// flushDelay lets entries that arrive together share a write.
 	flushDelay = 20 * time.Millisecond
 )
 
 // Sink is a log.Handler that passes entries to an actor. Any goroutine may use
-// it.
+// it. If a write to the output fails the actor ends, and later entries are
+// discarded.
 type Sink struct{ addr actor.Address[*log.Entry] }
 
-// Start starts the actor of a sink in g. The entries are formatted by the
-// handler that handler returns for a buffered writer to w.
-func Start(g *actor.Group, w io.Writer, handler func(io.Writer) log.Handler) *Sink {
+// Start starts the actor of a sink in g. newHandler returns the handler that
+// formats the entries; its argument is a buffered writer to w.
+func Start(g *actor.Group, w io.Writer, newHandler func(io.Writer) log.Handler) *Sink {
 	s := &logWriter{out: bufio.NewWriter(w)}
-	s.handler = handler(s.out)
+	s.handler = newHandler(s.out)
 	overflow := make(chan struct{}, queueCapacity)
 	s.overflow = overflow
 	return &Sink{actor.Spawn(g, actor.Spec[*log.Entry]{Name: "log sink", Mailbox: queueCapacity, Run: s.run, Overflow: overflow})}
@@ -47,10 +48,10 @@
 type logWriter struct {
 	out             *bufio.Writer
 	handler         log.Handler
-	overflow        <-chan struct{}
-	currentSecond   int64 // Unix time of the newest entry
-	writtenInSecond int
-	dropped         int
+	overflow        <-chan struct{} // receives a value for each entry that exceeded the queue
+	currentSecond   int64           // Unix time of the newest entry, in seconds
+	writtenInSecond int             // entries written in currentSecond
+	dropped         int             // entries dropped and not reported yet
 }
 
 func (s *logWriter) run(ctx context.Context, in <-chan *log.Entry) error {
@@ -94,6 +95,7 @@
 	}
 }
 
+// write formats an entry into the buffer, or drops it if it exceeds the rate.
 func (s *logWriter) write(e *log.Entry) error {
 	if now := e.Timestamp.Unix(); now != s.currentSecond {
 		s.currentSecond, s.writtenInSecond = now, 0
@@ -106,6 +108,7 @@
 	return s.handler.HandleLog(e)
 }
 
+// flush logs the number of dropped entries, if any, and writes the buffer.
 func (s *logWriter) flush() error {
 	if s.dropped > 0 {
 		e := log.NewEntry(log.Log.(*log.Logger)).WithFields(log.Fields{"event": event.LogDropped.ID, "dropped": s.dropped})
