--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -89,7 +89,7 @@
 		name    string
 		tags    map[string]string
 		buckets []float64 // upper bounds, the last is +Inf
-		upper   float64
+		upper   float64   // upper bound of the bucket that the samples belong to
 		samples int64
 	}
 	renderRequest struct{ answer actor.Reply[[]byte] }
--- a/internal/metrics/windows.go
+++ b/internal/metrics/windows.go
@@ -29,8 +29,8 @@
 	P50, P99, P999         time.Duration // of requests that were not refused
 }
 
-// RecentRequests is an actor that records recent requests by service, class
-// and tenant. Any goroutine may use it.
+// RecentRequests is the handle of an actor that records recent requests by
+// service, class and tenant. Any goroutine may use it.
 type RecentRequests struct{ addr actor.Address[windowMessage] }
 
 // windowMessage is an observation, or a request for all statistics if reply is
@@ -45,8 +45,8 @@
 // windowSeries holds the current window and the one before it.
 type windowSeries struct{ current, previous windowCount }
 
-// windowCount holds the requests of one window. latency leaves out the refused
-// requests and is in microseconds.
+// windowCount counts the requests of one window. latency is in microseconds and
+// excludes refused requests.
 type windowCount struct {
 	latency           *hdrhistogram.Histogram
 	requests, refused int64
@@ -87,6 +87,8 @@
 
 type windowSet map[windowKey]*windowSeries
 
+// add records a request. Beyond maxWindowSeries series, a request that would
+// need another one is counted under overflowTenant.
 func (w windowSet) add(o Observation) {
 	k := windowKey{o.Service, o.Class, o.Tenant}
 	if w[k] == nil && len(w) >= maxWindowSeries {
@@ -130,10 +132,10 @@
 		merged := newWindowCount().latency
 		merged.Merge(s.previous.latency)
 		merged.Merge(s.current.latency)
-		quantile := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q)) * time.Microsecond }
+		percentile := func(p float64) time.Duration { return time.Duration(merged.ValueAtQuantile(p)) * time.Microsecond }
 		list = append(list, RequestStats{Service: k.service, Class: k.class, Tenant: k.tenant,
 			Requests: s.previous.requests + s.current.requests, Refused: s.previous.refused + s.current.refused,
-			P50: quantile(50), P99: quantile(99), P999: quantile(99.9)})
+			P50: percentile(50), P99: percentile(99), P999: percentile(99.9)})
 	}
 	slices.SortFunc(list, func(a, b RequestStats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
