--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -11,7 +11,7 @@
 )
 
 // AppendControl appends the envelope of m to dst. It returns ErrTooLarge for a
-// payload above MaxControl.
+// payload above MaxControl. After an error the result must not be sent.
 func AppendControl(dst []byte, m msg.Control) ([]byte, error) {
 	p, err := controlToProto(m)
 	if err != nil {
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -17,7 +17,7 @@
 // AppendFrame appends the envelope of f to dst and returns the result as head.
 // The data of a BodyChunk is not copied: it is returned as body, which the
 // caller sends after head. AppendFrame returns ErrTooLarge for a payload above
-// MaxFrame.
+// MaxFrame. After an error the result must not be sent.
 func AppendFrame(dst []byte, f msg.Frame) (head, body []byte, err error) {
 	start := len(dst)
 	dst = appendEmptyHeader(dst)
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -24,7 +24,8 @@
 	})
 }
 
-// hasNaN reports whether m contains NaN, with which m is not equal to itself.
+// hasNaN reports whether m is a UsageReport with NaN in Busy. NaN is not equal to
+// itself, so such a message cannot be compared.
 func hasNaN(m msg.Control) bool {
 	u, ok := m.(*msg.UsageReport)
 	if !ok {
