--- a/internal/settings/job.go
+++ b/internal/settings/job.go
@@ -15,9 +15,9 @@
 // JobDaemon holds the settings of a bamboojobd process.
 type JobDaemon struct {
 	Name       string
-	IP         string
+	IP         string // address of the process, for links and metrics
 	DataCentre string
-	LinkPort   int
+	LinkPort   int           // port on which the process accepts links
 	Callers    string        // entry: address on which jobs are submitted
 	Readiness  string        // entry: address for the balancer's health checks
 	Registry   string        // agent: address for the backend server's announcements
@@ -47,8 +47,9 @@
 }
 
 // LoadJobDaemon reads and checks a settings file for a role, "entry" or
-// "agent". The error is a finding.List with every finding, unless the file
-// cannot be read or the role is unknown.
+// "agent". Unknown keys and lines that are no settings are ignored. Every key
+// that the role reads must be set, except seeds. The error is a finding.List with
+// every finding, unless the file cannot be read or the role is unknown.
 func LoadJobDaemon(file, role string) (*JobDaemon, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: true}, file)
 	if err != nil {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -197,7 +197,7 @@
 // nearestKey returns the known key, as "[section] key", with the smallest edit
 // distance to name.
 func nearestKey(name string) string {
-	nearest, minDistance := "", len(name)+100
+	nearest, minDistance := "", len(name)+100 // above any distance: known keys are shorter than 100 bytes
 	for _, k := range keys {
 		known := qualifiedKey(k.section, k.name)
 		if d := distance(name, known); d < minDistance {
@@ -207,7 +207,8 @@
 	return nearest
 }
 
-// distance returns the Levenshtein distance of two ASCII strings.
+// distance returns the Levenshtein distance of two ASCII strings. It keeps one
+// row of the matrix.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -54,6 +54,8 @@
 	return 0, fmt.Errorf("unknown level %q; use debug, info, warn or error", s)
 }
 
+// parseAddress checks an address of the form host:port. Port 0, any free port,
+// is accepted only for 127.0.0.0/8.
 func parseAddress(s string) (string, error) {
 	_, port, err := net.SplitHostPort(s)
 	var addrErr *net.AddrError
@@ -95,6 +97,8 @@
 	return u, nil
 }
 
+// sizeUnits holds the suffixes of sizes. A suffix comes before every shorter
+// one that it ends with, such as KiB before B.
 var sizeUnits = []struct {
 	suffix string
 	factor int64
@@ -139,7 +143,8 @@
 	return n, nil
 }
 
-// ParseCPU reads a positive number of processors, such as 32 or 500m.
+// ParseCPU reads a positive number of cores, such as 32, or of thousandths of a
+// core, such as 500m.
 func ParseCPU(s string) (model.MilliCPU, error) {
 	digits, factor := s, int64(1000)
 	if d, ok := strings.CutSuffix(s, "m"); ok {
@@ -176,6 +181,7 @@
 	return out, nil
 }
 
+// parseRequired reads the value of [agent] config.
 func parseRequired(s string) (bool, error) {
 	switch s {
 	case "required":
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,7 +34,8 @@
 	TLS    TLS
 }
 
-// Daemon is the [daemon] section, which every role reads.
+// Daemon is the [daemon] section, which every role reads. The table of keys
+// documents the fields of this section and of the others.
 type Daemon struct {
 	Role       Role
 	ID         string
