--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -37,7 +37,7 @@
 // Agent is a running agent.
 type Agent struct {
 	group *actor.Group
-	slots agent.Address
+	slots agent.Address // of the actor that owns the slots of the backend server
 }
 
 const (
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -18,8 +18,9 @@
 )
 
 // cellControllers holds the controllers of the cells whose ownership an entry
-// contends for. The map does not change after start. Address.Send fails only
-// when the process ends, so its errors are ignored.
+// contends for. The map does not change after start. A message about another
+// cell goes to the zero Address, which refuses it. Otherwise Send fails only when
+// the process ends, so its errors are ignored.
 type cellControllers struct {
 	ctx         context.Context
 	controllers map[model.Cell]actor.Address[control.Message]
@@ -88,6 +89,7 @@
 	return m
 }
 
+// status returns the status of every cell, in no particular order.
 func (c *cellControllers) status(ctx context.Context) ([]model.CellStatus, error) {
 	var list []model.CellStatus
 	for _, controller := range c.controllers {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -45,7 +45,8 @@
 	anyLoopbackPort = "127.0.0.1:0"
 )
 
-// StartDev starts the system in g. It fails when an address is in use.
+// StartDev starts the system in g. It fails when it cannot listen on an address,
+// for example because the address is in use.
 func StartDev(g *actor.Group, c DevConfig) (*Dev, error) {
 	callersListener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -86,7 +86,8 @@
 }
 
 // requestObserver returns a function that passes the result of a request to the
-// observers as a measurement.
+// observers. The outcome is "done" for a response of a backend server, "aborted"
+// without a response, and that of the entry's own response otherwise.
 func requestObserver(observers ...func(metrics.Observation)) func(entry.Result) {
 	return func(r entry.Result) {
 		outcome := "done"
