--- a/internal/metrics/requests.go
+++ b/internal/metrics/requests.go
@@ -17,7 +17,7 @@
 // Observation describes a request that has ended.
 type Observation struct {
 	Service, Class, Tenant string
-	Outcome                string // a short constant word, such as done, refused or failed
+	Outcome                string // one of a few constant words; not-run: the request was refused
 	Duration               time.Duration
 }
 
@@ -81,8 +81,8 @@
 	}
 }
 
-// Observe records the end of a request. Outcome is a short constant word,
-// such as done, refused or failed.
+// Observe records the end of a request. outcome is one of a few constant words,
+// because each value has series of its own.
 func (r *Requests) Observe(class, tenant, outcome string, duration time.Duration) {
 	if !r.tenants[tenant] {
 		if len(r.tenants) >= maxTenants {
