--- a/internal/msg/fleet.go
+++ b/internal/msg/fleet.go
@@ -141,7 +141,7 @@
 	Epoch        uint64
 	StartedAtMS  int64
 	ClockMS      int64
-	Interference []Interference
+	Interference []Interference // for the images that serve on the host; empty if it has no serving or no best-effort runs
 }
 
 // EndsAcknowledged tells an agent that the ends of runs up to LastNumber are
