--- a/internal/msg/request.go
+++ b/internal/msg/request.go
@@ -59,7 +59,7 @@
 	RefusedDraining                           // the backend server is draining
 	RefusedDown                               // the backend server is down, or the connection to it failed
 	RefusedDeadline                           // the deadline passed before a slot was free
-	RefusedCancelled                          // the entry cancelled it, or recorded a tombstone
+	RefusedCancelled                          // it was cancelled, or its outcome was queried, before it started; or its ID is a duplicate or too old for the agent's records
 )
 
 // ResponseHead starts a response.
--- a/internal/msg/task.go
+++ b/internal/msg/task.go
@@ -94,8 +94,9 @@
 	Sequence uint64
 }
 
-// UsageReport carries the measured usage of a worker. Age is how old the
-// measurement was when it was sent.
+// UsageReport carries the measured usage of a worker, either of its tasks or of
+// its backend server: a report with Services has no other field but Worker. Age is
+// how old the measurement was when it was sent.
 type UsageReport struct {
 	Worker   model.WorkerID
 	Capacity model.Resources
