--- a/internal/msg/task.go
+++ b/internal/msg/task.go
@@ -59,8 +59,8 @@
 	Percent int // 100 removes the limit
 }
 
-// TaskAck acknowledges the final TaskReport of an attempt; the agent forgets
-// the attempt.
+// TaskAck acknowledges the final TaskReport of an attempt; the agent deletes
+// its record of the attempt.
 type TaskAck struct {
 	Command
 	Attempt model.AttemptID
@@ -94,8 +94,9 @@
 	Sequence uint64
 }
 
-// UsageReport carries the measured usage of a worker. Age is how old the
-// measurement was when it was sent.
+// UsageReport carries the measured usage of a worker, either of its tasks or of
+// its backend server: a report with Services has no other field but Worker. Age is
+// how old the measurement was when it was sent.
 type UsageReport struct {
 	Worker   model.WorkerID
 	Capacity model.Resources
