--- a/test/calls_test.go
+++ b/test/calls_test.go
@@ -22,18 +22,18 @@
 
 // request sends a caller's request in the background.
 func (s *system) request(key, entry, method, path, body string) {
-	c := history.Call{Key: key, Method: method, Entry: entry, Want: wanted(method, path, body), Sent: time.Now().UnixNano()}
-	p := &pendingCall{key: key, done: make(chan history.Call, 1)}
-	s.pending = append(s.pending, p)
+	record := history.Call{Key: key, Method: method, Entry: entry, Want: expectedBody(method, path, body), Sent: time.Now().UnixNano()}
+	pending := &pendingCall{key: key, done: make(chan history.Call, 1)}
+	s.pendingCalls = append(s.pendingCalls, pending)
 	address, ctx := s.addr("caller>"+entry), s.group.Context()
 	go func() {
-		send(ctx, &c, "http://"+address+path, body)
-		p.done <- c
+		sendRequest(ctx, &record, "http://"+address+path, body)
+		pending.done <- record
 	}()
 }
 
 // wanted is the body of a whole answer. Each key of /count is posted to once.
-func wanted(method, path, body string) string {
+func expectedBody(method, path, body string) string {
 	u, err := url.Parse(path)
 	switch {
 	case err != nil:
@@ -46,46 +46,46 @@
 	return body
 }
 
-func send(ctx context.Context, c *history.Call, target, body string) {
-	defer func() { c.Ended = time.Now().UnixNano() }()
+func sendRequest(ctx context.Context, record *history.Call, target, body string) {
+	defer func() { record.Ended = time.Now().UnixNano() }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	req, err := http.NewRequestWithContext(ctx, c.Method, target, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, record.Method, target, strings.NewReader(body))
 	if err != nil {
-		c.Error = err.Error()
+		record.Error = err.Error()
 		return
 	}
-	req.Header.Set(standin.KeyHeader, c.Key)
+	req.Header.Set(standin.KeyHeader, record.Key)
 	resp, err := client.Do(req)
 	if err != nil {
-		c.Error = err.Error()
+		record.Error = err.Error()
 		return
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
-	c.Status, c.Outcome, c.Body = resp.StatusCode, resp.Header.Get(model.OutcomeHeader), string(raw)
+	record.Status, record.Outcome, record.Body = resp.StatusCode, resp.Header.Get(model.OutcomeHeader), string(raw)
 	if err != nil {
-		c.Error = err.Error()
+		record.Error = err.Error()
 	}
 }
 
 // await waits for the calls whose keys begin with prefix and returns them.
-func (s *system) await(prefix string) ([]history.Call, error) {
+func (s *system) awaitCalls(prefix string) ([]history.Call, error) {
 	var ended []history.Call
-	rest := s.pending[:0:0]
-	limit := time.After(patience)
-	for _, p := range s.pending {
+	remaining := s.pendingCalls[:0:0]
+	timeout := time.After(waitTimeout)
+	for _, p := range s.pendingCalls {
 		if !strings.HasPrefix(p.key, prefix) {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		select {
 		case c := <-p.done:
 			ended = append(ended, c)
-		case <-limit:
-			return nil, fmt.Errorf("request %s has not ended after %v", p.key, patience)
+		case <-timeout:
+			return nil, fmt.Errorf("request %s has not ended after %v", p.key, waitTimeout)
 		}
 	}
-	s.pending, s.past = rest, append(s.past, ended...)
+	s.pendingCalls, s.endedCalls = remaining, append(s.endedCalls, ended...)
 	if len(ended) == 0 {
 		return nil, fmt.Errorf("no request %s* was sent", prefix)
 	}
@@ -106,14 +106,14 @@
 	spec := model.JobSpec{ID: model.JobID(id), Team: "team-1", Class: "batch", Program: program,
 		Resources: model.Resources{CPU: 1000, Memory: 1 << 30}}
 	return waitUntil("job "+id+" is accepted", func() (bool, error) {
-		err := call(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/jobs", spec, nil)
+		err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/jobs", spec, nil)
 		return err == nil, err
 	})
 }
 
 // version is the configuration's version in force at an entry.
-func (s *system) version(entry string) (uint64, error) {
+func (s *system) configVersion(entry string) (uint64, error) {
 	var view struct{ Version uint64 }
-	err := call(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", nil, &view)
+	err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", nil, &view)
 	return view.Version, err
 }
--- a/test/edits_test.go
+++ b/test/edits_test.go
@@ -19,7 +19,7 @@
 // sendEdit sends an edit once and records its acceptance.
 func (s *system) sendEdit(entry string, edit map[string]any) (accepted history.Edit, err error) {
 	var answer struct{ Version uint64 }
-	err = call(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", edit, &answer)
+	err = callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", edit, &answer)
 	return history.Edit{ID: edit["id"].(string), Version: answer.Version, At: time.Now().UnixNano()}, err
 }
 
@@ -35,12 +35,12 @@
 // acceptEdit repeats an edit, which is safe, until it is accepted. It does not
 // change the system's state; any goroutine may use it.
 func (s *system) acceptEdit(entry, id, kind, name, key, value string) (accepted history.Edit, err error) {
-	base, based := uint64(0), false
+	base, hasBase := uint64(0), false
 	err = waitUntil("edit "+id+" is accepted", func() (bool, error) {
 		var err error
-		if !based {
-			base, err = s.version(entry)
-			based = err == nil
+		if !hasBase {
+			base, err = s.configVersion(entry)
+			hasBase = err == nil
 		}
 		if err == nil {
 			accepted, err = s.sendEdit(entry, labelEdit(id, base, kind, name, key, value))
@@ -52,8 +52,8 @@
 
 // verbRaceEdits sends two edits with the same base at the same time, one to
 // each entry: of the same key one is refused, of different keys none.
-func verbRaceEdits(s *system, a []string) error {
-	base, err := s.version("entry-1")
+func cmdRaceEdits(s *system, args []string) error {
+	base, err := s.configVersion("entry-1")
 	if err != nil {
 		return err
 	}
@@ -62,25 +62,25 @@
 		err  error
 	}
 	results := make(chan outcome, entryCount)
-	for n, e := range names("entry", entryCount) {
+	for n, e := range processNames("entry", entryCount) {
 		name := "raced"
-		if a[0] == "different" {
+		if args[0] == "different" {
 			name += e
 		}
 		go func() {
-			id := fmt.Sprintf("race-%s-%d-%d", a[0], base, n)
+			id := fmt.Sprintf("race-%s-%d-%d", args[0], base, n)
 			edit, err := s.sendEdit(e, labelEdit(id, base, "team", name, "by", e))
 			results <- outcome{edit, err}
 		}()
 	}
-	want, accepted := map[string]int{"same": 1, "different": entryCount}[a[0]], 0
+	want, accepted := map[string]int{"same": 1, "different": entryCount}[args[0]], 0
 	var last error
 	for range entryCount {
-		if r := <-results; r.err != nil {
-			last = r.err
+		if result := <-results; result.err != nil {
+			last = result.err
 		} else {
 			accepted++
-			s.record.Edits = append(s.record.Edits, r.edit)
+			s.record.Edits = append(s.record.Edits, result.edit)
 		}
 	}
 	if accepted != want {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -12,97 +12,97 @@
 )
 
 func (s *system) kill(name string) {
-	s.begin("kill " + name)
-	s.procs[name].kill()
+	s.beginFault("kill " + name)
+	s.processes[name].kill()
 }
 
 func (s *system) terminate(name string) error {
 	s.record.Shutdowns = append(s.record.Shutdowns, history.Shutdown{Process: name, At: time.Now().UnixNano()})
-	s.procs[name].signal(syscall.SIGTERM)
+	s.processes[name].signal(syscall.SIGTERM)
 	return nil
 }
 
 func (s *system) waitExit(name string) error {
-	p := s.procs[name]
+	p := s.processes[name]
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
-		return fmt.Errorf("%s has not ended after %v", name, patience)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("%s has not ended after %v", name, waitTimeout)
 	}
-	for i, d := range s.record.Shutdowns {
-		if d.Process == name && d.Ended == 0 {
+	for i, shutdown := range s.record.Shutdowns {
+		if shutdown.Process == name && shutdown.Ended == 0 {
 			s.record.Shutdowns[i].Ended = time.Now().UnixNano()
 		}
 	}
-	s.begin("kill " + name) // until it is started again
-	return p.err
+	s.beginFault("kill " + name) // until it is started again
+	return p.exitErr
 }
 
 func (s *system) freeze(name string) error {
-	s.begin("freeze " + name)
-	s.procs[name].signal(syscall.SIGSTOP)
+	s.beginFault("freeze " + name)
+	s.processes[name].signal(syscall.SIGSTOP)
 	return nil
 }
 
 func (s *system) resume(name string) error {
-	s.procs[name].signal(syscall.SIGCONT)
-	s.end("freeze " + name)
+	s.processes[name].signal(syscall.SIGCONT)
+	s.endFault("freeze " + name)
 	return nil
 }
 
 // each calls f for every link that matches a pattern.
-func (s *system) each(pattern string, f func(name string, p *faultproxy.Proxy)) error {
-	found := false
+func (s *system) forEachLink(pattern string, apply func(name string, p *faultproxy.Proxy)) error {
+	matched := false
 	for name, p := range s.links {
 		if ok, err := path.Match(pattern, name); ok && err == nil {
-			found = true
-			f(name, p)
+			matched = true
+			apply(name, p)
 		}
 	}
-	if !found {
+	if !matched {
 		return fmt.Errorf("no link matches %q", pattern)
 	}
 	return nil
 }
 
 func (s *system) cut(pattern, direction string) error {
-	hole := faultproxy.Faults{Blackhole: true}
-	return s.each(pattern, func(name string, p *faultproxy.Proxy) {
-		s.begin("cut " + name)
+	blackhole := faultproxy.Faults{Blackhole: true}
+	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
+		s.beginFault("cut " + name)
 		if direction != "to-client" {
-			p.Set(faultproxy.ToServer, hole)
+			p.Set(faultproxy.ToServer, blackhole)
 		}
 		if direction != "to-server" {
-			p.Set(faultproxy.ToClient, hole)
+			p.Set(faultproxy.ToClient, blackhole)
 		}
 	})
 }
 
 func (s *system) heal(pattern string) error {
-	return s.each(pattern, func(name string, p *faultproxy.Proxy) {
+	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
 		p.Heal()
-		s.end("cut " + name)
+		s.endFault("cut " + name)
 	})
 }
 
 func (s *system) reset(pattern string) error {
-	return s.each(pattern, func(name string, p *faultproxy.Proxy) {
-		s.begin("reset " + name)
+	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
+		s.beginFault("reset " + name)
 		p.Reset()
-		s.end("reset " + name)
+		s.endFault("reset " + name)
 	})
 }
 
 // storeFault sets the faults of a store. A frozen one goes on first: it could
 // not be told.
-func (s *system) storeFault(store string, f standin.StoreFaults) error {
+func (s *system) storeFault(store string, faults standin.StoreFaults) error {
 	if err := s.resume(store); err != nil {
 		return err
 	}
-	if f != (standin.StoreFaults{}) {
-		s.begin("fault of " + store)
+	if faults != (standin.StoreFaults{}) {
+		s.beginFault("fault of " + store)
 	} else {
-		defer s.end("fault of " + store)
+		defer s.endFault("fault of " + store)
 	}
-	return s.control(store, "/control", f, nil)
+	return s.callSimulator(store, "/control", faults, nil)
 }
--- /dev/null
+++ b/test/history_test.go
@@ -0,0 +1,55 @@
+package test
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/bambooscale/bambooscale/internal/history"
+	"github.com/bambooscale/bambooscale/internal/storage"
+)
+
+// save keeps a history with the logs of the processes.
+func (s *system) saveHistory(saved history.History) error {
+	for i := range saved.Commits {
+		saved.Commits[i].Checks = nil
+		var kept []storage.Put
+		for _, put := range saved.Commits[i].Puts {
+			if strings.HasPrefix(put.Key, "job/") || strings.HasPrefix(put.Key, "config/") {
+				kept = append(kept, put)
+			}
+		}
+		saved.Commits[i].Puts = kept
+	}
+	raw, err := json.Marshal(saved)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(s.dir, "history.json"), raw, 0o644)
+}
+
+// summary counts what a history holds, so that a run without findings can be
+// told from one in which nothing happened.
+func summarize(recorded history.History) string {
+	answers, attempts, resumed := map[string]int{}, 0, 0
+	for _, call := range recorded.Calls {
+		switch {
+		case call.Error != "":
+			answers["broken"]++
+		default:
+			answers[strings.TrimSpace(fmt.Sprintf("%d %s", call.Status, call.Outcome))]++
+		}
+	}
+	for _, worker := range recorded.Workers {
+		attempts += len(worker.Runs)
+		for _, span := range worker.Runs {
+			if span.FromStep > 0 {
+				resumed++
+			}
+		}
+	}
+	return fmt.Sprintf("calls %v; %d jobs accepted, %d runs of attempts, %d of them resumed; %d edits; %d transactions; %d faults",
+		answers, len(recorded.Accepted), attempts, resumed, len(recorded.Edits), len(recorded.Commits), len(recorded.Faults))
+}
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -13,11 +13,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var buildFlags, programs = []string(nil), ""
+var buildFlags, programsDir = []string(nil), ""
 
 // systems bounds the systems that run at once: each has 13 processes, which
 // with the race detector take about 0.7 GiB.
-var systems = make(chan struct{}, 3)
+var systemSlots = make(chan struct{}, 3)
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
@@ -28,7 +28,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	programs = dir
+	programsDir = dir
 	args := append(append([]string{"build"}, buildFlags...), "-o", dir+string(filepath.Separator), "../cmd/...")
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
@@ -45,10 +45,10 @@
 		Dir:                 "testdata",
 		RequireExplicitExec: true,
 		Setup: func(env *testscript.Env) error {
-			env.Setenv("PATH", programs+string(os.PathListSeparator)+env.Getenv("PATH"))
+			env.Setenv("PATH", programsDir+string(os.PathListSeparator)+env.Getenv("PATH"))
 			env.Values[systemKey{}] = &system{}
 			return nil
 		},
-		Cmds: verbs,
+		Cmds: commands,
 	})
 }
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -15,15 +15,15 @@
 )
 
 // control calls a simulator's control interface, past the proxies.
-func (s *system) control(name, path string, in, out any) error {
-	address := s.procs[name].ready["address"]
-	return call(context.Background(), "http://"+address+path, in, out)
+func (s *system) callSimulator(name, path string, in, out any) error {
+	address := s.processes[name].addresses["address"]
+	return callJSON(context.Background(), "http://"+address+path, in, out)
 }
 
 var controlClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // call gets url, or posts in to it, and decodes the answer into out.
-func call(ctx context.Context, url string, in, out any) error {
+func callJSON(ctx context.Context, url string, in, out any) error {
 	method, body := http.MethodGet, ""
 	if in != nil {
 		raw, err := json.Marshal(in)
@@ -51,72 +51,72 @@
 }
 
 // collect reads every log.
-func (s *system) collect() (history.History, error) {
-	h := s.record
-	h.Calls, h.Steps = s.past, map[string]int{}
-	for _, list := range s.watchers {
+func (s *system) collectHistory() (history.History, error) {
+	collected := s.record
+	collected.Calls, collected.Steps = s.endedCalls, map[string]int{}
+	for _, watcher := range s.versionWatchers {
 		reply := make(chan []history.ConfigView)
-		list <- reply
-		h.Views = append(h.Views, <-reply...)
+		watcher <- reply
+		collected.Views = append(collected.Views, <-reply...)
 	}
-	if err := s.control("table", "/control/history", nil, &h.Commits); err != nil {
-		return h, err
+	if err := s.callSimulator("table", "/control/history", nil, &collected.Commits); err != nil {
+		return collected, err
 	}
-	for _, name := range names("worker", agentCount) {
-		w := history.Worker{ID: name, Capacity: model.Resources{CPU: 4000, Memory: 8 << 30}}
-		if err := s.control(name, "/control/log", nil, &w.Runs); err != nil {
-			return h, err
+	for _, name := range processNames("worker", agentCount) {
+		worker := history.Worker{ID: name, Capacity: model.Resources{CPU: 4000, Memory: 8 << 30}}
+		if err := s.callSimulator(name, "/control/log", nil, &worker.Runs); err != nil {
+			return collected, err
 		}
-		h.Workers = append(h.Workers, w)
+		collected.Workers = append(collected.Workers, worker)
 	}
-	for n, name := range names("backend", agentCount) {
-		b := history.Backend{ID: name, Agent: number("agent", n+1), Drained: s.drained[name]}
-		if err := s.control(name, "/control/log", nil, &b.Records); err != nil {
-			return h, err
+	for n, name := range processNames("backend", agentCount) {
+		backend := history.Backend{ID: name, Agent: processName("agent", n+1), Drained: s.drainAcceptedAt[name]}
+		if err := s.callSimulator(name, "/control/log", nil, &backend.Records); err != nil {
+			return collected, err
 		}
-		h.Backends = append(h.Backends, b)
+		collected.Backends = append(collected.Backends, backend)
 	}
-	return h, s.collectSteps(h.Steps)
+	return collected, s.collectSteps(collected.Steps)
 }
 
 func (s *system) collectSteps(steps map[string]int) error {
 	var objects []string
-	if err := s.control("objects", "/control/names", nil, &objects); err != nil {
+	if err := s.callSimulator("objects", "/control/names", nil, &objects); err != nil {
 		return err
 	}
 	for _, name := range objects {
 		if !strings.HasPrefix(name, "checkpoint/") {
 			continue
 		}
-		var c struct{ Step int }
-		if err := s.control("objects", "/v1/objects/"+name, nil, &c); err != nil {
+		var checkpoint struct{ Step int }
+		if err := s.callSimulator("objects", "/v1/objects/"+name, nil, &checkpoint); err != nil {
 			return err
 		}
-		steps[name] = c.Step
+		steps[name] = checkpoint.Step
 	}
 	return nil
 }
 
 // rows returns the newest values of the table's rows with a prefix, also
 // during an outage.
-func (s *system) rows(prefix string) (map[string][]byte, error) {
-	var list []standin.Committed
-	if err := s.control("table", "/control/history", nil, &list); err != nil {
+func (s *system) latestRows(prefix string) (map[string][]byte, error) {
+	var commits []standin.Committed
+	if err := s.callSimulator("table", "/control/history", nil, &commits); err != nil {
 		return nil, err
 	}
 	values := map[string][]byte{}
-	for _, c := range list {
-		for _, p := range c.Puts {
-			if strings.HasPrefix(p.Key, prefix) {
-				values[p.Key] = p.Value
+	for _, commit := range commits {
+		for _, put := range commit.Puts {
+			if strings.HasPrefix(put.Key, prefix) {
+				values[put.Key] = put.Value
 			}
 		}
 	}
 	return values, nil
 }
 
-func (s *system) job(id string) (model.JobRow, error) {
-	values, err := s.rows(rows.JobKey(cell, model.JobID(id)))
+func (s *system) jobRow(id string) (model.JobRow, error) {
+	values, err := s.latestRows(rows.JobKey(cell, model.JobID(id)))
 	if err != nil {
 		return model.JobRow{}, err
 	}
@@ -125,7 +125,7 @@
 
 // owner names the entry that owns the cell.
 func (s *system) owner() (string, error) {
-	values, err := s.rows(rows.CellEpochKey(cell))
+	values, err := s.latestRows(rows.CellEpochKey(cell))
 	if err != nil {
 		return "", err
 	}
@@ -136,8 +136,8 @@
 // waitLinked waits until every entry lists every backend server and the cell
 // has an owner that knows every worker.
 func (s *system) waitLinked() error {
-	for _, e := range names("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return s.linked(e) }); err != nil {
+	for _, e := range processNames("entry", entryCount) {
+		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return s.allBackendsReady(e) }); err != nil {
 			return err
 		}
 	}
@@ -159,17 +159,17 @@
 func (s *system) status(entry string) (st statusView, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	err = call(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &st)
+	err = callJSON(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &st)
 	return st, err
 }
 
-func (s *system) linked(entry string) (bool, error) {
+func (s *system) allBackendsReady(entry string) (bool, error) {
 	st, err := s.status(entry)
 	if err != nil || len(st.Services) != 1 || len(st.Services[0].Backends) != agentCount {
 		return false, fmt.Errorf("%+v: %w", st.Services, err)
 	}
-	for _, b := range st.Services[0].Backends {
-		if b.State != "ready" {
+	for _, backend := range st.Services[0].Backends {
+		if backend.State != "ready" {
 			return false, nil
 		}
 	}
@@ -179,15 +179,15 @@
 // watchVersions follows the configuration versions that the entries report
 // for themselves and their agents.
 func (s *system) watchVersions() {
-	for _, e := range names("entry", entryCount) {
-		ask := make(chan chan []history.ConfigView)
-		s.watchers = append(s.watchers, ask)
-		go watchVersions(s.group.Context(), e, "http://"+s.addr("operator>"+e), ask)
+	for _, e := range processNames("entry", entryCount) {
+		requests := make(chan chan []history.ConfigView)
+		s.versionWatchers = append(s.versionWatchers, requests)
+		go pollVersions(s.group.Context(), e, "http://"+s.addr("operator>"+e), requests)
 	}
 }
 
-func watchVersions(ctx context.Context, entry, base string, ask <-chan chan []history.ConfigView) {
-	var seen []history.ConfigView
+func pollVersions(ctx context.Context, entry, base string, requests <-chan chan []history.ConfigView) {
+	var views []history.ConfigView
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -195,15 +195,15 @@
 		case <-tick.C:
 			var st struct{ Daemons []model.AppliedVersion }
 			limited, cancel := context.WithTimeout(ctx, time.Second)
-			asked := time.Now().UnixNano()
-			if call(limited, base+"/v1/config/status?local=true", nil, &st) == nil {
-				for _, d := range st.Daemons {
-					seen = append(seen, history.ConfigView{Process: d.Daemon, Via: entry, At: asked, Version: uint64(d.Version)})
+			requestedAt := time.Now().UnixNano()
+			if callJSON(limited, base+"/v1/config/status?local=true", nil, &st) == nil {
+				for _, daemon := range st.Daemons {
+					views = append(views, history.ConfigView{Process: daemon.Daemon, Via: entry, At: requestedAt, Version: uint64(daemon.Version)})
 				}
 			}
 			cancel()
-		case reply := <-ask:
-			reply <- append([]history.ConfigView{}, seen...)
+		case reply := <-requests:
+			reply <- append([]history.ConfigView{}, views...)
 		case <-ctx.Done():
 			return
 		}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -13,27 +13,27 @@
 
 // patience bounds every wait for a condition. It is far above any time that a
 // correct system takes, so that only a condition that never holds exceeds it.
-const patience = 90 * time.Second
+const waitTimeout = 90 * time.Second
 
 // process is a process that the test started.
 type process struct {
-	name   string
-	cmd    *exec.Cmd
-	ready  map[string]string // addresses that it printed
-	log    string
-	exited chan struct{} // closed once it has ended
-	err    error         // valid after exited
+	name      string
+	cmd       *exec.Cmd
+	addresses map[string]string // addresses that it printed
+	logFile   string
+	exited    chan struct{} // closed once it has ended
+	exitErr   error         // valid after exited
 }
 
 // startProcess waits until the process prints its addresses.
 func startProcess(dir, name string, args ...string) (*process, error) {
-	p := &process{name: name, log: filepath.Join(dir, name+".log"), exited: make(chan struct{}), ready: map[string]string{}}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	p := &process{name: name, logFile: filepath.Join(dir, name+".log"), exited: make(chan struct{}), addresses: map[string]string{}}
+	logOutput, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	p.cmd = exec.Command(filepath.Join(programs, "bambooscaled"), args...)
-	p.cmd.Stderr = out
+	p.cmd = exec.Command(filepath.Join(programsDir, "bambooscaled"), args...)
+	p.cmd.Stderr = logOutput
 	// A data race found in a process must not pass as its normal exit.
 	p.cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1", "GOMAXPROCS=2")
 	stdout, err := p.cmd.StdoutPipe()
@@ -45,33 +45,33 @@
 	}
 	line := make(chan string, 1)
 	go func() {
-		defer out.Close()
+		defer logOutput.Close()
 		r := bufio.NewReader(stdout)
 		text, _ := r.ReadString('\n')
 		line <- text
-		_, _ = r.WriteTo(out)
-		p.err = p.cmd.Wait()
+		_, _ = r.WriteTo(logOutput)
+		p.exitErr = p.cmd.Wait()
 		close(p.exited)
 	}()
 	select {
 	case text := <-line:
-		return p, p.parseReady(text)
-	case <-time.After(patience):
+		return p, p.parseReadyLine(text)
+	case <-time.After(waitTimeout):
 		p.kill()
-		return nil, fmt.Errorf("%s was not ready after %v", name, patience)
+		return nil, fmt.Errorf("%s was not ready after %v", name, waitTimeout)
 	}
 }
 
-func (p *process) parseReady(text string) error {
+func (p *process) parseReadyLine(text string) error {
 	fields := strings.Fields(text)
 	if len(fields) == 0 || fields[0] != "ready" {
 		p.kill()
-		raw, _ := os.ReadFile(p.log)
+		raw, _ := os.ReadFile(p.logFile)
 		return fmt.Errorf("%s did not become ready: %q\n%s", p.name, text, raw)
 	}
 	for _, f := range fields[1:] {
 		key, value, _ := strings.Cut(f, "=")
-		p.ready[key] = value
+		p.addresses[key] = value
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 
 // waitUntil polls a condition until it holds or patience ends.
 func waitUntil(what string, condition func() (bool, error)) error {
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -107,7 +107,7 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			return fmt.Errorf("not so after %v: %s (last error: %v)", patience, what, err)
+			return fmt.Errorf("not so after %v: %s (last error: %v)", waitTimeout, what, err)
 		}
 	}
 }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -36,8 +36,8 @@
 		require.NoError(t, err)
 		duration = d
 	}
-	systems <- struct{}{}
-	defer func() { <-systems }()
+	systemSlots <- struct{}{}
+	defer func() { <-systemSlots }()
 	dir, err := os.MkdirTemp("", "bambooscale-random-")
 	require.NoError(t, err)
 	s := &system{failed: true}
@@ -50,47 +50,47 @@
 		_ = os.RemoveAll(dir)
 	}()
 	require.NoError(t, s.start(dir))
-	l := &load{s: s, results: make(chan func(), 1<<16)}
-	require.NoError(t, l.run(t, moments(plan(rand.New(rand.NewPCG(seed, 0)), s.linkNames(), duration)), duration))
-	require.NoError(t, l.settle())
+	load := &workload{system: s, results: make(chan func(), 1<<16)}
+	require.NoError(t, load.run(t, scheduledActions(planFaults(rand.New(rand.NewPCG(seed, 0)), s.linkNames(), duration)), duration))
+	require.NoError(t, load.waitSettled())
 	err = s.checkHistory(true)
 	t.Log(s.summary)
 	require.NoError(t, err)
 }
 
-func (s *system) linkNames() (list []string) {
+func (s *system) linkNames() (names []string) {
 	for name := range s.links {
-		list = append(list, name)
+		names = append(names, name)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(names)
+	return names
 }
 
 // load is the steady work under a schedule. Submissions and edits wait in
 // goroutines of their own for their acceptance; what they found is applied by
 // the test's goroutine.
-type load struct {
-	s       *system
-	results chan func()
-	waiting int
-	sent    int
+type workload struct {
+	system     *system
+	results    chan func()
+	inProgress int
+	ticks      int
 }
 
 // run carries out the schedule under load.
-func (l *load) run(t *testing.T, schedule []moment, duration time.Duration) error {
-	began := time.Now()
-	tick := time.NewTicker(100 * time.Millisecond)
-	defer tick.Stop()
-	for len(schedule) > 0 || time.Since(began) < duration {
+func (l *workload) run(t *testing.T, schedule []scheduledAction, duration time.Duration) error {
+	startedAt := time.Now()
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for len(schedule) > 0 || time.Since(startedAt) < duration {
 		select {
-		case <-tick.C:
-			l.send()
+		case <-ticker.C:
+			l.sendTick()
 		case apply := <-l.results:
 			apply()
 		}
-		for len(schedule) > 0 && schedule[0].at <= time.Since(began) {
-			t.Logf("%6.1fs %s", time.Since(began).Seconds(), schedule[0].text)
-			if err := schedule[0].do(l.s); err != nil {
+		for len(schedule) > 0 && schedule[0].at <= time.Since(startedAt) {
+			t.Logf("%6.1fs %s", time.Since(startedAt).Seconds(), schedule[0].description)
+			if err := schedule[0].run(l.system); err != nil {
 				return err
 			}
 			schedule = schedule[1:]
@@ -101,68 +101,68 @@
 
 // send sends the work of one tick: requests each time, a job each half
 // second and an edit every 3 s.
-func (l *load) send() {
-	l.sent++
-	sent := l.sent
-	key, entry := fmt.Sprintf("random-%d", l.sent), number("entry", 1+l.sent%entryCount)
-	l.s.request("count-"+key, entry, "POST", "/count?key="+key, "")
-	l.s.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
-	l.s.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(l.sent%50)), "")
-	if l.sent%5 == 0 {
-		l.start(func() func() {
-			err := l.s.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(sent%30)))
+func (l *workload) sendTick() {
+	l.ticks++
+	tick := l.ticks
+	key, entry := fmt.Sprintf("random-%d", l.ticks), processName("entry", 1+l.ticks%entryCount)
+	l.system.request("count-"+key, entry, "POST", "/count?key="+key, "")
+	l.system.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
+	l.system.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(l.ticks%50)), "")
+	if l.ticks%5 == 0 {
+		l.startAsync(func() func() {
+			err := l.system.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(tick%30)))
 			return func() {
 				if err == nil {
-					l.s.record.Accepted = append(l.s.record.Accepted, key)
+					l.system.record.Accepted = append(l.system.record.Accepted, key)
 				}
 			}
 		})
 	}
-	if l.sent%30 == 0 {
-		l.start(func() func() {
-			accepted, err := l.s.acceptEdit(entry, key, "team", key, "by", entry)
+	if l.ticks%30 == 0 {
+		l.startAsync(func() func() {
+			accepted, err := l.system.acceptEdit(entry, key, "team", key, "by", entry)
 			return func() {
 				if err == nil {
-					l.s.record.Edits = append(l.s.record.Edits, accepted)
+					l.system.record.Edits = append(l.system.record.Edits, accepted)
 				}
 			}
 		})
 	}
 }
 
-func (l *load) start(work func() func()) {
-	l.waiting++
+func (l *workload) startAsync(work func() func()) {
+	l.inProgress++
 	go func() {
 		apply := work()
-		l.results <- func() { l.waiting--; apply() }
+		l.results <- func() { l.inProgress--; apply() }
 	}()
 }
 
 // settle waits, after the last fault, until everything accepted has ended.
-func (l *load) settle() error {
-	for l.waiting > 0 {
+func (l *workload) waitSettled() error {
+	for l.inProgress > 0 {
 		(<-l.results)()
 	}
-	for _, e := range names("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return l.s.linked(e) }); err != nil {
+	for _, e := range processNames("entry", entryCount) {
+		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return l.system.allBackendsReady(e) }); err != nil {
 			return err
 		}
 	}
-	if _, err := l.s.await(""); err != nil {
+	if _, err := l.system.awaitCalls(""); err != nil {
 		return err
 	}
-	if err := waitUntil("the newest version is everywhere", func() (bool, error) { return versionEverywhere(l.s, nil) }); err != nil {
+	if err := waitUntil("the newest version is everywhere", func() (bool, error) { return versionEverywhere(l.system, nil) }); err != nil {
 		return err
 	}
 	return waitUntil("every accepted job is done", l.jobsDone)
 }
 
-func (l *load) jobsDone() (bool, error) {
-	values, err := l.s.rows(rows.JobPrefix(cell))
+func (l *workload) jobsDone() (bool, error) {
+	values, err := l.system.latestRows(rows.JobPrefix(cell))
 	if err != nil {
 		return false, err
 	}
-	for _, id := range l.s.record.Accepted {
+	for _, id := range l.system.record.Accepted {
 		row, err := rows.Decode[model.JobRow](values[rows.JobKey(cell, model.JobID(id))])
 		if err != nil || row.Phase != "done" {
 			return false, fmt.Errorf("job %s: %+v: %v", id, row, err)
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -24,48 +24,48 @@
 // system is the processes of one scenario and the links between them. It
 // belongs to the goroutine of the scenario.
 type system struct {
-	dir      string
-	group    *actor.Group
-	procs    map[string]*process
-	links    map[string]*faultproxy.Proxy // by "client>server"
-	ports    map[string]string            // link to the address that its server printed
-	pending  []*pendingCall
-	past     []history.Call
-	record   history.History // what is known before the logs are collected
-	open     map[string]int  // fault in force to its index in record.Faults
-	summary  string          // of the history, once it was checked
-	watchers []chan chan []history.ConfigView
-	marks    map[string]string
-	failed   bool             // until the history has been checked
-	drained  map[string]int64 // backend server to when its drain was accepted
-	stop     context.CancelFunc
+	dir             string
+	group           *actor.Group
+	processes       map[string]*process
+	links           map[string]*faultproxy.Proxy // by "client>server"
+	addressKeys     map[string]string            // link to the address that its server printed
+	pendingCalls    []*pendingCall
+	endedCalls      []history.Call
+	record          history.History // what is known before the logs are collected
+	openFaults      map[string]int  // fault in force to its index in record.Faults
+	summary         string          // of the history, once it was checked
+	versionWatchers []chan chan []history.ConfigView
+	aliases         map[string]string
+	failed          bool             // until the history has been checked
+	drainAcceptedAt map[string]int64 // backend server to when its drain was accepted
+	cancel          context.CancelFunc
 }
 
-func number(kind string, n int) string { return fmt.Sprintf("%s-%d", kind, n) }
+func processName(kind string, index int) string { return fmt.Sprintf("%s-%d", kind, index) }
 
-func names(kind string, count int) (list []string) {
+func processNames(kind string, count int) (names []string) {
 	for n := 1; n <= count; n++ {
-		list = append(list, number(kind, n))
+		names = append(names, processName(kind, n))
 	}
-	return list
+	return names
 }
 
 // start starts every process and waits until all agents are linked.
 func (s *system) start(dir string) error {
 	s.dir = dir
 	ctx, cancel := context.WithCancel(context.Background())
-	s.stop = cancel
+	s.cancel = cancel
 	s.group = actor.NewGroup(ctx, func(actor.Exit) {})
-	s.procs, s.links, s.ports, s.open = map[string]*process{}, map[string]*faultproxy.Proxy{}, map[string]string{}, map[string]int{}
-	s.drained, s.marks = map[string]int64{}, map[string]string{}
-	if err := s.join(); err != nil {
+	s.processes, s.links, s.addressKeys, s.openFaults = map[string]*process{}, map[string]*faultproxy.Proxy{}, map[string]string{}, map[string]int{}
+	s.drainAcceptedAt, s.aliases = map[string]int64{}, map[string]string{}
+	if err := s.startProxies(); err != nil {
 		return err
 	}
 	order := []string{"table", "objects"}
 	for _, kind := range []string{"worker", "backend", "agent"} {
-		order = append(order, names(kind, agentCount)...)
+		order = append(order, processNames(kind, agentCount)...)
 	}
-	for _, name := range append(order, names("entry", entryCount)...) {
+	for _, name := range append(order, processNames("entry", entryCount)...) {
 		if err := s.launch(name); err != nil {
 			return err
 		}
@@ -75,23 +75,23 @@
 }
 
 // join makes the proxies. Their upstreams are set when the servers start.
-func (s *system) join() error {
-	for _, e := range names("entry", entryCount) {
-		for _, l := range [][2]string{{"caller>" + e, "callers"}, {"operator>" + e, "operators"}, {e + ">table", "address"}, {e + ">objects", "address"}} {
-			if err := s.link(l[0], l[1]); err != nil {
+func (s *system) startProxies() error {
+	for _, entry := range processNames("entry", entryCount) {
+		for _, link := range [][2]string{{"caller>" + entry, "callers"}, {"operator>" + entry, "operators"}, {entry + ">table", "address"}, {entry + ">objects", "address"}} {
+			if err := s.startProxy(link[0], link[1]); err != nil {
 				return err
 			}
 		}
-		for _, a := range names("agent", agentCount) {
-			if err := s.link(a+">"+e, "agents"); err != nil {
+		for _, agent := range processNames("agent", agentCount) {
+			if err := s.startProxy(agent+">"+entry, "agents"); err != nil {
 				return err
 			}
 		}
 	}
 	for n := 1; n <= agentCount; n++ {
-		a, w, b := number("agent", n), number("worker", n), number("backend", n)
-		for _, l := range [][2]string{{a + ">" + w, "address"}, {w + ">objects", "address"}, {b + ">" + a, "announce"}, {a + ">" + b, "address"}} {
-			if err := s.link(l[0], l[1]); err != nil {
+		agent, worker, backend := processName("agent", n), processName("worker", n), processName("backend", n)
+		for _, link := range [][2]string{{agent + ">" + worker, "address"}, {worker + ">objects", "address"}, {backend + ">" + agent, "announce"}, {agent + ">" + backend, "address"}} {
+			if err := s.startProxy(link[0], link[1]); err != nil {
 				return err
 			}
 		}
@@ -99,10 +99,10 @@
 	return nil
 }
 
-func (s *system) link(name, port string) error {
+func (s *system) startProxy(name, addressKey string) error {
 	// Port 9 of the loopback interface refuses until the upstream is known.
-	p, err := faultproxy.Start(s.group, "127.0.0.1:9")
-	s.links[name], s.ports[name] = p, port
+	proxy, err := faultproxy.Start(s.group, "127.0.0.1:9")
+	s.links[name], s.addressKeys[name] = proxy, addressKey
 	return err
 }
 
@@ -116,10 +116,10 @@
 	if err != nil {
 		return err
 	}
-	s.procs[name] = p
-	for l, port := range s.ports {
-		if strings.HasSuffix(l, ">"+name) {
-			s.links[l].SetUpstream(p.ready[port])
+	s.processes[name] = p
+	for link, addressKey := range s.addressKeys {
+		if strings.HasSuffix(link, ">"+name) {
+			s.links[link].SetUpstream(p.addresses[addressKey])
 		}
 	}
 	return nil
@@ -151,7 +151,7 @@
 			s.addr(name+">table"), s.addr(name+">objects"), cell)
 	}
 	var entries []string
-	for _, e := range names("entry", entryCount) {
+	for _, e := range processNames("entry", entryCount) {
 		entries = append(entries, s.addr(name+">"+e))
 	}
 	return text + fmt.Sprintf("[agent]\nentries = %s\ncell = %s\nrack = rack-%s\nannounce-listen = 127.0.0.1:0\nworker = http://%s\nprocessors = 4\nmemory = 8GiB\nconfig = optional\n",
@@ -165,28 +165,28 @@
 	if s.group == nil {
 		return
 	}
-	s.stop()
-	for _, p := range s.procs {
+	s.cancel()
+	for _, p := range s.processes {
 		p.kill()
 	}
 	s.group.Wait()
-	for _, c := range s.pending {
+	for _, c := range s.pendingCalls {
 		<-c.done
 	}
 }
 
 // begin and end keep the times during which a fault is in force.
-func (s *system) begin(fault string) {
-	if _, ok := s.open[fault]; ok {
+func (s *system) beginFault(fault string) {
+	if _, ok := s.openFaults[fault]; ok {
 		return
 	}
-	s.open[fault] = len(s.record.Faults)
+	s.openFaults[fault] = len(s.record.Faults)
 	s.record.Faults = append(s.record.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
 }
 
-func (s *system) end(fault string) {
-	if i, ok := s.open[fault]; ok {
+func (s *system) endFault(fault string) {
+	if i, ok := s.openFaults[fault]; ok {
 		s.record.Faults[i].Until = time.Now().UnixNano()
-		delete(s.open, fault)
+		delete(s.openFaults, fault)
 	}
 }
--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -16,66 +16,66 @@
 	"jobs":       jobsInPhase, // PREFIX COUNT PHASE
 	"task":       taskState,   // JOB/ATTEMPT STATE, on some worker
 	"owner":      func(s *system, a []string) (bool, error) { o, err := s.owner(); return o == a[0], err },
-	"linked":     func(s *system, a []string) (bool, error) { return s.linked(a[0]) },
-	"unlinked":   unlinked,        // ENTRY: no backend server is ready there
+	"linked":     func(s *system, a []string) (bool, error) { return s.allBackendsReady(a[0]) },
+	"unlinked":   noBackendReady,  // ENTRY: no backend server is ready there
 	"queued":     queued,          // ENTRY COUNT: at least so many wait there
 	"requests":   requestsRunning, // BACKEND COUNT: at least so many run at it; * for all backend servers
 	"version":    versionEverywhere,
-	"checkpoint": committedCheckpoint, // JOB: its row names a checkpoint
+	"checkpoint": hasCheckpoint, // JOB: its row names a checkpoint
 }
 
-func verbWaitFor(s *system, a []string) error {
-	condition, ok := conditions[a[0]]
+func cmdWaitFor(s *system, commandArgs []string) error {
+	condition, ok := conditions[commandArgs[0]]
 	if !ok {
-		return fmt.Errorf("no condition %q", a[0])
+		return fmt.Errorf("no condition %q", commandArgs[0])
 	}
-	args := a[1:]
+	args := commandArgs[1:]
 	for i := range args {
 		args[i] = s.resolve(args[i])
 	}
-	return waitUntil(strings.Join(a, " "), func() (bool, error) { return condition(s, args) })
+	return waitUntil(strings.Join(commandArgs, " "), func() (bool, error) { return condition(s, args) })
 }
 
-func jobPhase(s *system, a []string) (bool, error) {
-	row, err := s.job(a[0])
-	if err == nil && string(row.Phase) != a[1] {
+func jobPhase(s *system, args []string) (bool, error) {
+	row, err := s.jobRow(args[0])
+	if err == nil && string(row.Phase) != args[1] {
 		err = fmt.Errorf("%+v", row)
 	}
-	return string(row.Phase) == a[1], err
+	return string(row.Phase) == args[1], err
 }
 
-func jobsInPhase(s *system, a []string) (bool, error) {
-	values, err := s.rows(rows.JobKey(cell, model.JobID(a[0])))
+func jobsInPhase(s *system, args []string) (bool, error) {
+	values, err := s.latestRows(rows.JobKey(cell, model.JobID(args[0])))
 	count, phases := 0, map[model.Phase]int{}
-	for _, v := range values {
-		row, err := rows.Decode[model.JobRow](v)
+	for _, value := range values {
+		row, err := rows.Decode[model.JobRow](value)
 		if err != nil {
 			return false, err
 		}
 		phases[row.Phase]++
-		if string(row.Phase) == a[2] {
+		if string(row.Phase) == args[2] {
 			count++
 		}
 	}
 	if err == nil {
 		err = fmt.Errorf("phases %v", phases)
 	}
-	return strconv.Itoa(count) == a[1], err
+	return strconv.Itoa(count) == args[1], err
 }
 
-func committedCheckpoint(s *system, a []string) (bool, error) {
-	row, err := s.job(a[0])
+func hasCheckpoint(s *system, args []string) (bool, error) {
+	row, err := s.jobRow(args[0])
 	return row.Checkpoint != "", err
 }
 
-func taskState(s *system, a []string) (bool, error) {
-	for _, name := range names("worker", agentCount) {
+func taskState(s *system, args []string) (bool, error) {
+	for _, name := range processNames("worker", agentCount) {
 		var spans []standin.TaskRun
-		if err := s.control(name, "/control/log", nil, &spans); err != nil {
+		if err := s.callSimulator(name, "/control/log", nil, &spans); err != nil {
 			return false, err
 		}
 		for _, span := range spans {
-			if span.Task == a[0] && string(span.State) == a[1] {
+			if span.Task == args[0] && string(span.State) == args[1] {
 				return true, nil
 			}
 		}
@@ -83,11 +83,11 @@
 	return false, nil
 }
 
-func unlinked(s *system, a []string) (bool, error) {
-	st, err := s.status(a[0])
+func noBackendReady(s *system, args []string) (bool, error) {
+	st, err := s.status(args[0])
 	for _, service := range st.Services {
-		for _, b := range service.Backends {
-			if b.State == "ready" {
+		for _, backend := range service.Backends {
+			if backend.State == "ready" {
 				return false, nil
 			}
 		}
@@ -95,32 +95,32 @@
 	return err == nil, err
 }
 
-func queued(s *system, a []string) (bool, error) {
-	least, err := strconv.Atoi(a[1])
+func queued(s *system, args []string) (bool, error) {
+	minCount, err := strconv.Atoi(args[1])
 	if err != nil {
 		return false, err
 	}
-	st, err := s.status(a[0])
-	return len(st.Services) == 1 && st.Services[0].Queued >= least, err
+	st, err := s.status(args[0])
+	return len(st.Services) == 1 && st.Services[0].Queued >= minCount, err
 }
 
-func requestsRunning(s *system, a []string) (bool, error) {
-	least, err := strconv.Atoi(a[1])
+func requestsRunning(s *system, args []string) (bool, error) {
+	minCount, err := strconv.Atoi(args[1])
 	if err != nil {
 		return false, err
 	}
 	running := 0
-	for _, name := range names("backend", agentCount) {
+	for _, name := range processNames("backend", agentCount) {
 		var st standin.BackendState
-		if a[0] != "*" && a[0] != name {
+		if args[0] != "*" && args[0] != name {
 			continue
 		}
-		if err := s.control(name, "/control", nil, &st); err != nil {
+		if err := s.callSimulator(name, "/control", nil, &st); err != nil {
 			return false, err
 		}
 		running += st.Running
 	}
-	return running >= least, fmt.Errorf("%d requests run", running)
+	return running >= minCount, fmt.Errorf("%d requests run", running)
 }
 
 // versionEverywhere holds once every entry and agent has the newest accepted
@@ -130,14 +130,14 @@
 	for _, e := range s.record.Edits {
 		newest = max(newest, e.Version)
 	}
-	for _, e := range names("entry", entryCount) {
+	for _, e := range processNames("entry", entryCount) {
 		var st struct{ Daemons []model.AppliedVersion }
-		if err := call(s.group.Context(), "http://"+s.addr("operator>"+e)+"/v1/config/status?local=true", nil, &st); err != nil {
+		if err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+e)+"/v1/config/status?local=true", nil, &st); err != nil {
 			return false, err
 		}
-		for _, d := range st.Daemons {
-			if uint64(d.Version) < newest {
-				return false, fmt.Errorf("%s has version %d of %d at %s", d.Daemon, d.Version, newest, e)
+		for _, daemon := range st.Daemons {
+			if uint64(daemon.Version) < newest {
+				return false, fmt.Errorf("%s has version %d of %d at %s", daemon.Daemon, daemon.Version, newest, e)
 			}
 		}
 	}
