--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -25,18 +25,18 @@
 
 // childVariable holds the plan of a child process, so that a role's memory and
 // processor time are measured without those of its peers.
-const childVariable = "BAMBOOSCALE_CAPACITY_CHILD"
+const childPlanVariable = "BAMBOOSCALE_CAPACITY_CHILD"
 
 const (
 	cellName = "cairo-nasr-1"
 	region   = "cairo"
 	loopback = "127.0.0.1:0"
 
-	queueDeadline = 10 * time.Minute
+	queuedRequestDeadline = 10 * time.Minute
 )
 
 // plan is what a child process runs.
-type plan struct {
+type childPlan struct {
 	Entries  int      // entry role: number of entries
 	Items    int      // entry role: configuration items
 	Jobs     int      // entry role: job rows at the start
@@ -60,26 +60,26 @@
 }
 
 func TestMain(m *testing.M) {
-	raw, ok := os.LookupEnv(childVariable)
+	raw, ok := os.LookupEnv(childPlanVariable)
 	if !ok {
 		os.Exit(m.Run())
 	}
-	var p plan
+	var p childPlan
 	if err := json.Unmarshal([]byte(raw), &p); err != nil {
 		panic(err)
 	}
-	g := daemon.NewGroup(context.Background(), silent())
-	run := entries
+	g := daemon.NewGroup(context.Background(), discardLog())
+	run := startEntries
 	if p.Agents > 0 {
-		run = agents
+		run = startAgents
 	}
-	answer(run(g, p))
+	serveSamples(run(g, p))
 }
 
-func silent() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
 // answer writes a sample for each line on the standard input until its end.
-func answer(fill func(*sample)) {
+func serveSamples(fill func(*sample)) {
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
 		var s sample
@@ -100,9 +100,9 @@
 	}
 }
 
-func entries(g *actor.Group, p plan) func(*sample) {
+func startEntries(g *actor.Group, p childPlan) func(*sample) {
 	table := standin.NewTable(g, standin.StoreFaults{WritesPerSecond: -1, ReadsPerSecond: -1, DropHistory: true})
-	seed(g.Context(), table, p)
+	seedTable(g.Context(), table, p)
 	before, _ := table.State(g.Context())
 	var agents, operators, callers []string
 	for i := range p.Entries {
@@ -110,14 +110,14 @@
 		if err != nil {
 			panic(err)
 		}
-		operator, caller := listen(), listen()
+		operator, caller := listenLoopback(), listenLoopback()
 		s := &settings.Settings{}
 		s.Daemon.ID, s.Daemon.DataCentre, s.Daemon.Region = fmt.Sprintf("entry-%d", i+1), "cairo-nasr", region
 		s.Entry.Cells, s.Entry.DefaultCell, s.Entry.DefaultService = []model.Cell{cellName}, cellName, "permit-desk"
 		s.Entry.MaxBody, s.Entry.MaxHeader, s.Entry.MaxCallers = 64<<20, 64<<10, 65536
-		s.Entry.RequestDeadline = queueDeadline // a queued request waits for the whole run
+		s.Entry.RequestDeadline = queuedRequestDeadline // a queued request waits for the whole run
 		daemon.StartEntry(g, daemon.EntryConfig{Settings: s, Build: "capacity", Table: table,
-			Objects: standin.NewObjects(g, standin.StoreFaults{}), Callers: caller, Agents: links, Operator: operator, Log: silent()})
+			Objects: standin.NewObjects(g, standin.StoreFaults{}), Callers: caller, Agents: links, Operator: operator, Log: discardLog()})
 		agents = append(agents, links.Addr())
 		operators, callers = append(operators, operator.Addr().String()), append(callers, caller.Addr().String())
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-func listen() net.Listener {
+func listenLoopback() net.Listener {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		panic(err)
@@ -136,15 +136,15 @@
 	return l
 }
 
-func agents(g *actor.Group, p plan) func(*sample) {
-	var hosts []*host
+func startAgents(g *actor.Group, p childPlan) func(*sample) {
+	var hosts []*fakeHost
 	var announce []string
 	for i := range p.Agents {
-		h, l := newHost(), listen()
+		h, l := newFakeHost(), listenLoopback()
 		hosts, announce = append(hosts, h), append(announce, l.Addr().String())
 		daemon.StartAgent(g, daemon.AgentConfig{
-			Worker: worker(i), Cell: cellName, Region: region, Entries: p.Connect,
-			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: h, Log: silent(),
+			Worker: testWorker(i), Cell: cellName, Region: region, Entries: p.Connect,
+			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: h, Log: discardLog(),
 		})
 	}
 	return func(s *sample) {
@@ -155,7 +155,7 @@
 	}
 }
 
-func worker(i int) model.Worker {
+func testWorker(i int) model.Worker {
 	return model.Worker{ID: model.WorkerID(fmt.Sprintf("worker-%05d", i)), DataCentre: "cairo-nasr",
 		Rack:     model.Rack(fmt.Sprintf("rack-%03d", i/20)),
 		Capacity: model.Resources{CPU: 32_000, Memory: 125 << 30, Accelerators: 2},
--- a/internal/capacity/control_memory_test.go
+++ b/internal/capacity/control_memory_test.go
@@ -20,14 +20,14 @@
 		before := liveHeap()
 		c := newController(0)
 		c.submit(0, n, false)
-		c.pass(claimTime)
+		c.advance(claimDuration)
 		s.add("jobs.waitingLive", bytesUnit, float64(n), liveHeap()-before)
 		runtime.KeepAlive(c)
 	}
 	for _, workers := range []int{50, 100, 200, 400} {
 		before := liveHeap()
 		c := newController(workers)
-		c.fill(workers, tasksPerWorker)
+		c.fillWorkers(workers, tasksPerWorker)
 		s.add("jobs.runningLive", bytesUnit, float64(workers*tasksPerWorker), liveHeap()-before)
 		runtime.KeepAlive(c)
 	}
@@ -40,7 +40,7 @@
 	s := newSeries("worker of a cell", "BenchmarkTakeover")
 	for _, workers := range []int{50, 200, 400, 690} {
 		c := newController(workers)
-		c.fill(workers, tasksPerWorker)
+		c.fillWorkers(workers, tasksPerWorker)
 		s.add("takeover.controllerCPU", "core seconds", float64(workers), c.takeover(workers))
 	}
 	s.finish(b)
@@ -49,12 +49,12 @@
 // takeover makes a new controller own the running tasks and returns the
 // processor time that it used.
 func (c *controller) takeover(workers int) float64 {
-	next := blankController()
-	next.holds, next.revision = c.holds, c.revision
-	for _, r := range c.rows {
-		next.unread = append(next.unread, r)
+	next := unlinkedController()
+	next.runningTasks, next.revision = c.runningTasks, c.revision
+	for _, row := range c.committedRows {
+		next.unreadRows = append(next.unreadRows, row)
 	}
-	began := processorTime()
-	next.link(workers)
-	return processorTime() - began
+	began := processorSeconds()
+	next.linkWorkers(workers)
+	return processorSeconds() - began
 }
--- a/internal/capacity/fleet_slopes_test.go
+++ b/internal/capacity/fleet_slopes_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	bytesUnit  = "bytes"
-	bytesRate  = "bytes/s"
-	coreUnit   = "cores"
-	eachSecond = "1/s"
+	bytesUnit      = "bytes"
+	bytesPerSecond = "bytes/s"
+	coresUnit      = "cores"
+	perSecond      = "1/s"
 )
 
 // Measures what an idle linked agent costs at an entry which owns its cell,
@@ -23,19 +23,19 @@
 func BenchmarkLinkedAgents(b *testing.B) {
 	s := newSeries("linked agent", "BenchmarkLinkedAgents")
 	for _, n := range []int{50, 100, 200, 400} {
-		r, x := measure(b, setup{agents: n, entries: 1}), float64(n)
+		r, x := measureRun(b, setup{agents: n, entries: 1}), float64(n)
 		s.add("agents.entryLive", bytesUnit, x, r.entry.Live)
 		s.add("agents.entryHeld", bytesUnit, x, r.entry.Held)
 		s.add("agents.entryGoroutines", "goroutines", x, float64(r.entry.Goroutines))
-		s.add("agents.entryCPU", coreUnit, x, r.entryCPU)
+		s.add("agents.entryCPU", coresUnit, x, r.entryCPU)
 		s.add("agents.agentLive", bytesUnit, x, r.agent.Live)
-		s.add("agents.agentCPU", coreUnit, x, r.agentCPU)
-		s.add("agents.toEntry", bytesRate, x, r.toEntry)
-		s.add("agents.toAgent", bytesRate, x, r.toAgent)
-		s.add("agents.segmentsToEntry", eachSecond, x, r.upSegments)
-		s.add("agents.segmentsToAgent", eachSecond, x, r.dnSegments)
-		s.add("agents.reads", eachSecond, x, r.reads)
-		s.add("agents.writes", eachSecond, x, r.writes)
+		s.add("agents.agentCPU", coresUnit, x, r.agentCPU)
+		s.add("agents.toEntry", bytesPerSecond, x, r.toEntry)
+		s.add("agents.toAgent", bytesPerSecond, x, r.toAgent)
+		s.add("agents.segmentsToEntry", perSecond, x, r.segmentsToEntry)
+		s.add("agents.segmentsToAgent", perSecond, x, r.segmentsToAgent)
+		s.add("agents.reads", perSecond, x, r.reads)
+		s.add("agents.writes", perSecond, x, r.writes)
 	}
 	s.finish(b)
 }
@@ -46,15 +46,15 @@
 	const agents = 50
 	s := newSeries("link of an agent", "BenchmarkLinksOfAnAgent")
 	for _, n := range []int{1, 2, 4, 6} {
-		r, x := measure(b, setup{agents: agents, entries: n}), float64(n)
+		r, x := measureRun(b, setup{agents: agents, entries: n}), float64(n)
 		s.add("links.agentLive", bytesUnit, x, r.agent.Live/agents)
-		s.add("links.agentCPU", coreUnit, x, r.agentCPU/agents)
-		s.add("links.toEntry", bytesRate, x, r.toEntry/agents)
-		s.add("links.toAgent", bytesRate, x, r.toAgent/agents)
-		s.add("links.segmentsToEntry", eachSecond, x, r.upSegments/agents)
-		s.add("links.segmentsToAgent", eachSecond, x, r.dnSegments/agents)
-		s.add("links.reads", eachSecond, x, r.reads)
-		s.add("links.writes", eachSecond, x, r.writes)
+		s.add("links.agentCPU", coresUnit, x, r.agentCPU/agents)
+		s.add("links.toEntry", bytesPerSecond, x, r.toEntry/agents)
+		s.add("links.toAgent", bytesPerSecond, x, r.toAgent/agents)
+		s.add("links.segmentsToEntry", perSecond, x, r.segmentsToEntry/agents)
+		s.add("links.segmentsToAgent", perSecond, x, r.segmentsToAgent/agents)
+		s.add("links.reads", perSecond, x, r.reads)
+		s.add("links.writes", perSecond, x, r.writes)
 	}
 	s.finish(b)
 }
@@ -64,14 +64,14 @@
 	const agents = 50
 	s := newSeries("running task of an agent", "BenchmarkRunningTasks")
 	for _, n := range []int{0, 6, 12, 20} {
-		r, x := measure(b, setup{agents: agents, entries: 1, tasks: n}), float64(n)
+		r, x := measureRun(b, setup{agents: agents, entries: 1, tasks: n}), float64(n)
 		s.add("tasks.entryLive", bytesUnit, x, r.entry.Live/agents)
-		s.add("tasks.entryCPU", coreUnit, x, r.entryCPU/agents)
+		s.add("tasks.entryCPU", coresUnit, x, r.entryCPU/agents)
 		s.add("tasks.agentLive", bytesUnit, x, r.agent.Live/agents)
-		s.add("tasks.agentCPU", coreUnit, x, r.agentCPU/agents)
-		s.add("tasks.toEntry", bytesRate, x, r.toEntry/agents)
-		s.add("tasks.toAgent", bytesRate, x, r.toAgent/agents)
-		s.add("tasks.writes", eachSecond, x, r.writes/agents)
+		s.add("tasks.agentCPU", coresUnit, x, r.agentCPU/agents)
+		s.add("tasks.toEntry", bytesPerSecond, x, r.toEntry/agents)
+		s.add("tasks.toAgent", bytesPerSecond, x, r.toAgent/agents)
+		s.add("tasks.writes", perSecond, x, r.writes/agents)
 	}
 	s.finish(b)
 }
@@ -81,7 +81,7 @@
 	const agents = 20
 	s := newSeries("configuration item", "BenchmarkConfigurationItems")
 	for _, n := range []int{0, 1000, 2000, 4000} {
-		r, x := measure(b, setup{agents: agents, entries: 1, items: n}), float64(n)
+		r, x := measureRun(b, setup{agents: agents, entries: 1, items: n}), float64(n)
 		s.add("items.entryLive", bytesUnit, x, r.entry.Live)
 		s.add("items.agentLive", bytesUnit, x, r.agent.Live/agents)
 	}
@@ -93,13 +93,13 @@
 	const agents = 50
 	s := newSeries("edit/s", "BenchmarkEdits")
 	for _, n := range []float64{0, 1, 2, 4} {
-		r := measure(b, setup{agents: agents, entries: 1, edits: n})
-		s.add("edits.entryCPU", coreUnit, n, r.entryCPU)
-		s.add("edits.agentCPU", coreUnit, n, r.agentCPU/agents)
-		s.add("edits.toEntry", bytesRate, n, r.toEntry/agents)
-		s.add("edits.toAgent", bytesRate, n, r.toAgent/agents)
-		s.add("edits.reads", eachSecond, n, r.reads)
-		s.add("edits.writes", eachSecond, n, r.writes)
+		r := measureRun(b, setup{agents: agents, entries: 1, edits: n})
+		s.add("edits.entryCPU", coresUnit, n, r.entryCPU)
+		s.add("edits.agentCPU", coresUnit, n, r.agentCPU/agents)
+		s.add("edits.toEntry", bytesPerSecond, n, r.toEntry/agents)
+		s.add("edits.toAgent", bytesPerSecond, n, r.toAgent/agents)
+		s.add("edits.reads", perSecond, n, r.reads)
+		s.add("edits.writes", perSecond, n, r.writes)
 	}
 	s.finish(b)
 }
@@ -111,24 +111,24 @@
 	hang := serveHanging(b)
 	for _, n := range []int{0, 250, 500, 1000} {
 		const running = 8
-		r := measure(b, setup{agents: 1, entries: 1, begin: func(entry, agent sample) {
+		r := measureRun(b, setup{agents: 1, entries: 1, begin: func(entry, agent sample) {
 			body := fmt.Sprintf(`{"service":"permit-desk","address":%q,"slots":8,"connections":64,"instance":"1"}`, hang)
 			reply, err := http.Post("http://"+agent.Announce[0]+"/v1/announce", "application/json", strings.NewReader(body))
 			require.NoError(b, err)
 			require.Less(b, reply.StatusCode, 300)
 			_ = reply.Body.Close()
-			pass(time.Second)
+			letRun(time.Second)
 			queue(b, entry.Callers[0], running+n)
 		}})
 		s.add("queue.entryLive", bytesUnit, float64(n), r.entry.Live)
-		s.add("queue.entryCPU", coreUnit, float64(n), r.entryCPU)
+		s.add("queue.entryCPU", coresUnit, float64(n), r.entryCPU)
 	}
 	s.finish(b)
 }
 
 // serveHanging starts a backend server that never answers.
 func serveHanging(b *testing.B) string {
-	l := listen()
+	l := listenLoopback()
 	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })}
 	go func() { _ = server.Serve(l) }()
 	b.Cleanup(func() { _ = server.Close() })
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	settle = 12 * time.Second // two rounds of lease renewals
-	window = 30 * time.Second // a multiple of every period of the protocol
+	settleTime        = 12 * time.Second // two rounds of lease renewals
+	measurementWindow = 30 * time.Second // a multiple of every period of the protocol
 )
 
 // child is a process that runs one role.
@@ -27,11 +27,11 @@
 	out *bufio.Reader
 }
 
-func start(b *testing.B, p plan) *child {
+func startChild(b *testing.B, p childPlan) *child {
 	raw, err := json.Marshal(p)
 	require.NoError(b, err)
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), childVariable+"="+string(raw))
+	c.Env = append(os.Environ(), childPlanVariable+"="+string(raw))
 	c.Stderr = os.Stderr
 	in, err := c.StdinPipe()
 	require.NoError(b, err)
@@ -42,8 +42,8 @@
 	return &child{b, in, bufio.NewReader(out)}
 }
 
-func (c *child) ask(what string) (s sample) {
-	_, err := fmt.Fprintln(c.in, what)
+func (c *child) requestSample(kind string) (s sample) {
+	_, err := fmt.Fprintln(c.in, kind)
 	require.NoError(c.b, err)
 	line, err := c.out.ReadBytes('\n')
 	require.NoError(c.b, err)
@@ -61,61 +61,61 @@
 
 // result is what a run measured over its window.
 type result struct {
-	entry, agent           sample  // at the end of the window
-	entryCPU, agentCPU     float64 // share of a core
-	reads, writes          float64 // for each second
-	toEntry, toAgent       float64 // bytes/s, all links
-	upSegments, dnSegments float64 // for each second, all links
+	entry, agent                     sample  // at the end of the window
+	entryCPU, agentCPU               float64 // share of a core
+	reads, writes                    float64 // for each second
+	toEntry, toAgent                 float64 // bytes/s, all links
+	segmentsToEntry, segmentsToAgent float64 // for each second, all links
 }
 
-func measure(b *testing.B, s setup) result {
-	entry := start(b, plan{Entries: s.entries, Items: s.items, Jobs: s.agents * s.tasks})
-	first := entry.ask("cpu")
-	var proxies []*proxy
+func measureRun(b *testing.B, s setup) result {
+	entry := startChild(b, childPlan{Entries: s.entries, Items: s.items, Jobs: s.agents * s.tasks})
+	first := entry.requestSample("cpu")
+	var proxies []*countingProxy
 	var addresses []string
 	for _, target := range first.Agents {
-		p := newProxy(target)
+		p := newCountingProxy(target)
 		b.Cleanup(func() { _ = p.listener.Close() })
 		proxies, addresses = append(proxies, p), append(addresses, p.listener.Addr().String())
 	}
-	agent := start(b, plan{Agents: s.agents, Connect: addresses})
-	for agent.ask("cpu").Running < s.agents*s.tasks {
-		pass(200 * time.Millisecond)
+	agent := startChild(b, childPlan{Agents: s.agents, Connect: addresses})
+	for agent.requestSample("cpu").Running < s.agents*s.tasks {
+		letRun(200 * time.Millisecond)
 	}
 	if s.begin != nil {
-		s.begin(first, agent.ask("cpu"))
+		s.begin(first, agent.requestSample("cpu"))
 	}
-	pass(settle)
+	letRun(settleTime)
 	for _, p := range proxies {
 		require.Equal(b, int64(s.agents), p.accepted.Load(), "links")
 	}
-	return observe(b, s, entry, agent, proxies)
+	return measureWindow(b, s, entry, agent, proxies)
 }
 
 // pass lets the processes run. The figures are rates over this time.
-func pass(d time.Duration) { <-time.After(d) }
+func letRun(d time.Duration) { <-time.After(d) }
 
-func observe(b *testing.B, s setup, entry, agent *child, proxies []*proxy) result {
-	entry.ask("memory")
-	agent.ask("memory")
-	e0, a0, c0 := entry.ask("cpu"), agent.ask("cpu"), total(proxies)
+func measureWindow(b *testing.B, s setup, entry, agent *child, proxies []*countingProxy) result {
+	entry.requestSample("memory")
+	agent.requestSample("memory")
+	entryBefore, agentBefore, countsBefore := entry.requestSample("cpu"), agent.requestSample("cpu"), totalCounts(proxies)
 	began := time.Now()
 	if s.edits > 0 {
-		edit(b, e0.Operator[0], s.edits)
+		sendEdits(b, entryBefore.Operator[0], s.edits)
 	} else {
-		pass(window)
+		letRun(measurementWindow)
 	}
-	e1, a1, c1 := entry.ask("cpu"), agent.ask("cpu"), total(proxies)
-	d := time.Since(began).Seconds()
-	r := result{entryCPU: (e1.CPU - e0.CPU) / d, agentCPU: (a1.CPU - a0.CPU) / d,
-		reads: float64(e1.Reads-e0.Reads) / d, writes: float64(e1.Writes-e0.Writes) / d,
-		toEntry: (c1.bytes[0] - c0.bytes[0]) / d, toAgent: (c1.bytes[1] - c0.bytes[1]) / d,
-		upSegments: (c1.segments[0] - c0.segments[0]) / d, dnSegments: (c1.segments[1] - c0.segments[1]) / d}
-	r.entry, r.agent = entry.ask("memory"), agent.ask("memory")
-	return r
+	entryAfter, agentAfter, countsAfter := entry.requestSample("cpu"), agent.requestSample("cpu"), totalCounts(proxies)
+	seconds := time.Since(began).Seconds()
+	measured := result{entryCPU: (entryAfter.CPU - entryBefore.CPU) / seconds, agentCPU: (agentAfter.CPU - agentBefore.CPU) / seconds,
+		reads: float64(entryAfter.Reads-entryBefore.Reads) / seconds, writes: float64(entryAfter.Writes-entryBefore.Writes) / seconds,
+		toEntry: (countsAfter.bytes[0] - countsBefore.bytes[0]) / seconds, toAgent: (countsAfter.bytes[1] - countsBefore.bytes[1]) / seconds,
+		segmentsToEntry: (countsAfter.segments[0] - countsBefore.segments[0]) / seconds, segmentsToAgent: (countsAfter.segments[1] - countsBefore.segments[1]) / seconds}
+	measured.entry, measured.agent = entry.requestSample("memory"), agent.requestSample("memory")
+	return measured
 }
 
-func total(proxies []*proxy) (sum counted) {
+func totalCounts(proxies []*countingProxy) (sum proxyCounts) {
 	for _, p := range proxies {
 		c := p.count()
 		for i := range 2 {
@@ -127,11 +127,11 @@
 }
 
 // edit makes edits of one item each at a rate during the window.
-func edit(b *testing.B, operator string, rate float64) {
-	every := time.Duration(float64(time.Second) / rate)
-	tick := time.NewTicker(every)
+func sendEdits(b *testing.B, operator string, rate float64) {
+	interval := time.Duration(float64(time.Second) / rate)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	for i := range int(window / every) {
+	for i := range int(measurementWindow / interval) {
 		<-tick.C
 		body := fmt.Sprintf(`{"id":"edit-%d","author":"inspector","base":%d,"changes":[{"key":{"kind":"worker","name":"worker-%05d"},`+
 			`"item":{"labels":{"pool":"permits","maintenance":"week-%02d"}}}]}`, i, i, i, i%52)
--- a/internal/capacity/host_test.go
+++ b/internal/capacity/host_test.go
@@ -13,34 +13,34 @@
 )
 
 // host is a worker whose tasks run until they are stopped.
-type host struct {
+type fakeHost struct {
 	mu    sync.Mutex
 	tasks map[model.AttemptID]time.Time
 }
 
-func newHost() *host { return &host{tasks: map[model.AttemptID]time.Time{}} }
+func newFakeHost() *fakeHost { return &fakeHost{tasks: map[model.AttemptID]time.Time{}} }
 
-func (h *host) running() int {
+func (h *fakeHost) running() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.tasks)
 }
 
-func (h *host) Start(_ context.Context, r taskagent.StartRequest) error {
+func (h *fakeHost) Start(_ context.Context, r taskagent.StartRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tasks[r.Attempt] = time.Now()
 	return nil
 }
 
-func (h *host) Stop(_ context.Context, id model.AttemptID) error {
+func (h *fakeHost) Stop(_ context.Context, id model.AttemptID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.tasks, id)
 	return nil
 }
 
-func (h *host) List(context.Context) ([]taskagent.Task, error) {
+func (h *fakeHost) List(context.Context) ([]taskagent.Task, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var list []taskagent.Task
@@ -51,12 +51,12 @@
 	return list, nil
 }
 
-func (h *host) Renew(context.Context, model.AttemptID, time.Duration) error { return nil }
-func (h *host) Checkpoint(_ context.Context, id model.AttemptID) (string, error) {
+func (h *fakeHost) Renew(context.Context, model.AttemptID, time.Duration) error { return nil }
+func (h *fakeHost) Checkpoint(_ context.Context, id model.AttemptID) (string, error) {
 	return taskagent.CheckpointPrefix(id) + "1", nil
 }
-func (h *host) Throttle(context.Context, model.AttemptID, int) error { return nil }
-func (h *host) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
+func (h *fakeHost) Throttle(context.Context, model.AttemptID, int) error { return nil }
+func (h *fakeHost) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
 
 // jobRow is a job of a size that lets 24 of them run on a worker.
 func jobRow(i int) model.JobRow {
@@ -67,17 +67,17 @@
 	}}
 }
 
-func item(i int) model.ConfigChange {
+func configChange(i int) model.ConfigChange {
 	return model.ConfigChange{Version: 1, Key: model.ConfigKey{Kind: model.KindWorker, Name: fmt.Sprintf("host-%06d", i)},
 		Item: &model.ConfigItem{Labels: model.Labels{"pool": "permits", "maintenance": fmt.Sprintf("week-%02d", i%52)}}}
 }
 
 // seed writes the configuration and the jobs of a plan.
-func seed(ctx context.Context, table storage.Table, p plan) {
+func seedTable(ctx context.Context, table storage.Table, p childPlan) {
 	put := func(key string, v any) storage.Put { return storage.Put{Key: key, Value: rows.Encode(v)} }
 	var puts []storage.Put
 	for i := range p.Items {
-		puts = append(puts, put(rows.ConfigKey(item(i).Key), item(i)))
+		puts = append(puts, put(rows.ConfigKey(configChange(i).Key), configChange(i)))
 	}
 	if p.Items > 0 {
 		puts = append(puts, put(rows.ConfigHeadKey, rows.ConfigHead{Version: 1}))
@@ -87,10 +87,10 @@
 		puts = append(puts, put(rows.JobKey(cellName, r.Spec.ID), r))
 	}
 	for n := 0; len(puts) > 0; n++ {
-		k := min(len(puts), 100)
-		if _, err := table.Commit(ctx, storage.Txn{Operation: fmt.Sprintf("seed-%d", n), Puts: puts[:k]}); err != nil {
+		batchSize := min(len(puts), 100)
+		if _, err := table.Commit(ctx, storage.Txn{Operation: fmt.Sprintf("seed-%d", n), Puts: puts[:batchSize]}); err != nil {
 			panic(err)
 		}
-		puts = puts[k:]
+		puts = puts[batchSize:]
 	}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -11,9 +11,9 @@
 
 const pageFile = "../../docs/CAPACITY.md"
 
-var write = flag.Bool("write", false, "write the tables into docs/CAPACITY.md")
+var writePage = flag.Bool("write", false, "write the tables into docs/CAPACITY.md")
 
-var generated = regexp.MustCompile(`(?s)<!-- table (\w+) -->\n.*?<!-- end -->\n`)
+var generatedTable = regexp.MustCompile(`(?s)<!-- table (\w+) -->\n.*?<!-- end -->\n`)
 
 // Guards against a page whose tables do not follow from the recorded slopes,
 // or that lacks one.
@@ -23,18 +23,18 @@
 	s := loadSlopes(t)
 	seen := map[string]bool{}
 	var stale []string
-	want := generated.ReplaceAllStringFunc(string(raw), func(part string) string {
-		name := generated.FindStringSubmatch(part)[1]
+	want := generatedTable.ReplaceAllStringFunc(string(raw), func(part string) string {
+		name := generatedTable.FindStringSubmatch(part)[1]
 		require.Contains(t, tables, name)
 		seen[name] = true
-		again := "<!-- table " + name + " -->\n\n" + tables[name](s) + "\n<!-- end -->\n"
-		if again != part {
+		recomputed := "<!-- table " + name + " -->\n\n" + tables[name](s) + "\n<!-- end -->\n"
+		if recomputed != part {
 			stale = append(stale, name)
 		}
-		return again
+		return recomputed
 	})
 	require.Len(t, seen, len(tables))
-	if *write {
+	if *writePage {
 		require.NoError(t, os.WriteFile(pageFile, []byte(want), 0o644))
 		return
 	}
--- a/internal/capacity/proxy_test.go
+++ b/internal/capacity/proxy_test.go
@@ -7,14 +7,14 @@
 
 // proxy forwards TCP connections and counts what passes. A read is taken for
 // one segment: each write of yamux is one write to the socket.
-type proxy struct {
+type countingProxy struct {
 	listener        net.Listener
 	accepted        atomic.Int64
 	bytes, segments [2]atomic.Int64 // to the entry, to the agent
 }
 
-func newProxy(target string) *proxy {
-	p := &proxy{listener: listen()}
+func newCountingProxy(target string) *countingProxy {
+	p := &countingProxy{listener: listenLoopback()}
 	go func() {
 		for {
 			in, err := p.listener.Accept()
@@ -27,14 +27,14 @@
 				continue
 			}
 			p.accepted.Add(1)
-			go p.pump(0, out, in)
-			go p.pump(1, in, out)
+			go p.forward(0, out, in)
+			go p.forward(1, in, out)
 		}
 	}()
 	return p
 }
 
-func (p *proxy) pump(direction int, dst, src net.Conn) {
+func (p *countingProxy) forward(direction int, dst, src net.Conn) {
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := src.Read(buf)
@@ -51,9 +51,9 @@
 }
 
 // counted is what passed through a proxy.
-type counted struct{ bytes, segments [2]float64 }
+type proxyCounts struct{ bytes, segments [2]float64 }
 
-func (p *proxy) count() (c counted) {
+func (p *countingProxy) count() (c proxyCounts) {
 	for i := range 2 {
 		c.bytes[i], c.segments[i] = float64(p.bytes[i].Load()), float64(p.segments[i].Load())
 	}
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -14,7 +14,7 @@
 const (
 	slopesFile = "slopes.json"
 	// significant is the number of digits that are recorded of a figure.
-	significant = 4
+	significantDigits = 4
 )
 
 var record = flag.Bool("record", false, "write the measured slopes to "+slopesFile)
@@ -46,38 +46,38 @@
 // fit computes the least-squares line through the points.
 func (s *slope) fit() {
 	n := float64(len(s.Points))
-	var mx, my, sxx, sxy, rest float64
+	var meanX, meanY, sumXX, sumXY, residualSum float64
 	for _, p := range s.Points {
-		mx += p[0] / n
-		my += p[1] / n
+		meanX += p[0] / n
+		meanY += p[1] / n
 	}
 	for _, p := range s.Points {
-		sxx += (p[0] - mx) * (p[0] - mx)
-		sxy += (p[0] - mx) * (p[1] - my)
+		sumXX += (p[0] - meanX) * (p[0] - meanX)
+		sumXY += (p[0] - meanX) * (p[1] - meanY)
 	}
-	s.Slope = rounded(sxy / sxx)
-	s.Base = rounded(my - sxy/sxx*mx)
+	s.Slope = roundSignificant(sumXY / sumXX)
+	s.Base = roundSignificant(meanY - sumXY/sumXX*meanX)
 	for _, p := range s.Points {
-		d := p[1] - my - sxy/sxx*(p[0]-mx)
-		rest += d * d
+		residual := p[1] - meanY - sumXY/sumXX*(p[0]-meanX)
+		residualSum += residual * residual
 	}
-	s.Error = rounded(math.Sqrt(rest / (n - 2) / sxx))
+	s.Error = roundSignificant(math.Sqrt(residualSum / (n - 2) / sumXX))
 }
 
-func rounded(v float64) float64 {
+func roundSignificant(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
-	scale := math.Pow(10, significant-math.Ceil(math.Log10(math.Abs(v))))
+	scale := math.Pow(10, significantDigits-math.Ceil(math.Log10(math.Abs(v))))
 	return math.Round(v*scale) / scale
 }
 
 func loadSlopes(tb testing.TB) map[string]slope {
 	raw, err := os.ReadFile(slopesFile)
 	require.NoError(tb, err)
-	all := map[string]slope{}
-	require.NoError(tb, json.Unmarshal(raw, &all))
-	return all
+	slopes := map[string]slope{}
+	require.NoError(tb, json.Unmarshal(raw, &slopes))
+	return slopes
 }
 
 // series collects the points of quantities that share their runs.
@@ -99,28 +99,28 @@
 }
 
 func (s *series) add(name, unit string, x, y float64) {
-	q := s.quantities[name]
-	if q == nil {
-		q = &slope{Per: s.per, Unit: unit, Command: s.command}
-		s.quantities[name] = q
+	quantity := s.quantities[name]
+	if quantity == nil {
+		quantity = &slope{Per: s.per, Unit: unit, Command: s.command}
+		s.quantities[name] = quantity
 	}
-	q.Points = append(q.Points, [2]float64{x, rounded(y)})
+	quantity.Points = append(quantity.Points, [2]float64{x, roundSignificant(y)})
 }
 
 // finish fits the quantities, reports them and records them if asked to.
 func (s *series) finish(b testing.TB) {
-	for name, q := range s.quantities {
-		q.fit()
-		b.Logf("%s: %v + %v per %s, error %v %s, points %v", name, q.Base, q.Slope, q.Per, q.Error, q.Unit, q.Points)
+	for name, quantity := range s.quantities {
+		quantity.fit()
+		b.Logf("%s: %v + %v per %s, error %v %s, points %v", name, quantity.Base, quantity.Slope, quantity.Per, quantity.Error, quantity.Unit, quantity.Points)
 	}
 	if !*record || b.Failed() {
 		return
 	}
-	all := loadSlopes(b)
-	for name, q := range s.quantities {
-		all[name] = *q
+	slopes := loadSlopes(b)
+	for name, quantity := range s.quantities {
+		slopes[name] = *quantity
 	}
-	raw, err := json.MarshalIndent(all, "", " ")
+	raw, err := json.MarshalIndent(slopes, "", " ")
 	require.NoError(b, err)
 	require.NoError(b, os.WriteFile(slopesFile, append(raw, '\n'), 0o644))
 }
@@ -129,9 +129,9 @@
 // error.
 func TestRecordedFitsFollowFromTheirPoints(t *testing.T) {
 	for name, s := range loadSlopes(t) {
-		again := s
-		again.fit()
+		recomputed := s
+		recomputed.fit()
 		require.GreaterOrEqual(t, len(s.Points), 3, name)
-		require.Equal(t, again, s, name)
+		require.Equal(t, recomputed, s, name)
 	}
 }
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	tableDelayMs = 10 // of each operation
-	tableWorkers = 40 // enough for the tasks of the highest rate
-	submitEvery  = 50 * time.Millisecond
+	tableDelayMs   = 10 // of each operation
+	tableWorkers   = 40 // enough for the tasks of the highest rate
+	submitInterval = 50 * time.Millisecond
 )
 
 // cellRun is one cell in virtual time: the controller's actors, the simulated
@@ -33,10 +33,10 @@
 	table     *standin.Table
 	control   actor.Address[control.Message]
 	submitted map[model.JobID]time.Time // owned by the submitting goroutine until it has ended
-	started   chan started
+	started   chan taskStart
 }
 
-type started struct {
+type taskStart struct {
 	job model.JobID
 	at  time.Time
 }
@@ -52,12 +52,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		g := actor.NewGroup(ctx, nil)
-		r := &cellRun{ctx: ctx, submitted: map[model.JobID]time.Time{}, started: make(chan started, 1<<20),
+		r := &cellRun{ctx: ctx, submitted: map[model.JobID]time.Time{}, started: make(chan taskStart, 1<<20),
 			table: standin.NewTable(g, standin.StoreFaults{DelayMs: tableDelayMs, ReadsPerSecond: -1, WritesPerSecond: -1, DropHistory: true})}
 		r.control = control.Start(g, control.Config{Options: control.Options{Cell: cellName, Entry: "entry-1", Boot: 1},
-			Table: r.table, Log: silent()})
+			Table: r.table, Log: discardLog()})
 		for i := range tableWorkers {
-			r.startAgent(g, worker(i))
+			r.startAgent(g, testWorker(i))
 		}
 		actor.Sleep(ctx, 10*time.Second)
 		before, _ := r.table.State(ctx)
@@ -76,9 +76,9 @@
 // submit writes rows of urgent jobs and returns the number of its writes.
 func (r *cellRun) submit(rate int, d time.Duration) (writes int) {
 	count := 0
-	for i := range int(d / submitEvery) {
+	for i := range int(d / submitInterval) {
 		txn := storage.Txn{Operation: fmt.Sprintf("submit-%d", i)}
-		for due := rate * (i + 1) * int(submitEvery) / int(time.Second); count < due; count++ {
+		for due := rate * (i + 1) * int(submitInterval) / int(time.Second); count < due; count++ {
 			row := jobRow(count)
 			row.Spec.Urgent = true
 			r.submitted[row.Spec.ID] = time.Now()
@@ -87,21 +87,21 @@
 		if len(txn.Puts) > 0 {
 			_, _ = r.table.Commit(r.ctx, txn)
 			writes++
-			actor.Sleep(r.ctx, submitEvery-tableDelayMs*time.Millisecond)
+			actor.Sleep(r.ctx, submitInterval-tableDelayMs*time.Millisecond)
 		} else {
-			actor.Sleep(r.ctx, submitEvery)
+			actor.Sleep(r.ctx, submitInterval)
 		}
 	}
 	return writes
 }
 
-func (r *cellRun) waits() (list []time.Duration) {
+func (r *cellRun) waits() (waits []time.Duration) {
 	for range len(r.started) {
 		s := <-r.started
-		list = append(list, s.at.Sub(r.submitted[s.job]))
+		waits = append(waits, s.at.Sub(r.submitted[s.job]))
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
-	return list
+	sort.Slice(waits, func(i, j int) bool { return waits[i] < waits[j] })
+	return waits
 }
 
 // startAgent links an agent whose tasks end after taskLength.
@@ -127,7 +127,7 @@
 	case *msg.LeaseRenew:
 		reply(&msg.LeaseAck{Cell: m.Cell, Epoch: m.Epoch, Sequence: m.Sequence})
 	case *msg.StartTask:
-		r.started <- started{m.Attempt.Job, time.Now()}
+		r.started <- taskStart{m.Attempt.Job, time.Now()}
 		report := msg.TaskReport{Attempt: m.Attempt, Epoch: m.Epoch, State: model.TaskRunning}
 		reply(&report)
 		done := report
@@ -142,8 +142,8 @@
 }
 
 // quantile returns a quantile of an ascending list in seconds.
-func quantile(list []time.Duration, q float64) float64 {
-	return list[min(len(list)-1, int(q*float64(len(list))))].Seconds()
+func quantile(sorted []time.Duration, q float64) float64 {
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))].Seconds()
 }
 
 // Guards against a controller that writes a transaction for each task instead
@@ -157,8 +157,8 @@
 	s := newTestSeries("task start/s", "TestTableOperationsOfACell")
 	for _, rate := range rates {
 		cost, x := runCell(t, rate, d), float64(rate)
-		s.add("cell.writes", eachSecond, x, cost.writes)
-		s.add("cell.reads", eachSecond, x, cost.reads)
+		s.add("cell.writes", perSecond, x, cost.writes)
+		s.add("cell.reads", perSecond, x, cost.reads)
 		if rate == 0 {
 			continue
 		}
@@ -188,13 +188,13 @@
 			table := standin.NewTable(g, standin.StoreFaults{ReadsPerSecond: -1})
 			for range n {
 				// The interval of internal/daemon's agentDirectoryInterval.
-				directory.Follow(g, table, time.Minute, silent(), func(directory.List) {})
+				directory.Follow(g, table, time.Minute, discardLog(), func(directory.List) {})
 			}
 			actor.Sleep(ctx, d)
 			state, _ := table.State(ctx)
 			reads := float64(state.Counters.Reads) / d.Seconds()
 			require.Less(t, reads, float64(n)*2000/6900, "reads/s of %d agents", n)
-			s.add("directory.reads", eachSecond, float64(n), reads)
+			s.add("directory.reads", perSecond, float64(n), reads)
 			cancel()
 			g.Wait()
 		})
--- a/internal/capacity/tables_test.go
+++ b/internal/capacity/tables_test.go
@@ -14,22 +14,22 @@
 
 func splitTable(map[string]slope) string {
 	l := targetLayout()
-	return header("quantity", "value") +
-		line("regions, data centres, cells, entries", fmt.Sprintf("%d, %d, %.0f, %.0f", targetRegions, targetCentres, l.cells, l.entries)) +
-		line("workers and agents of a cell", num(l.workersPerCell)) +
-		line("running tasks of a worker", num(l.tasksPerWorker)) +
-		line("running tasks of a cell", num(l.tasksPerCell)) +
-		line("task starts/s of a cell at the peak", num(l.startsPerCell)) +
-		line("links of an agent (every entry of its region)", num(l.linksPerAgent)) +
-		line("links of an entry (every agent of its region)", num(l.linksPerEntry)) +
-		line("edits/s, mean of the day", num(l.edits)) +
-		line("assumed: waiting jobs of a cell, queued requests of an entry, configuration items",
+	return tableHeader("quantity", "value") +
+		tableRow("regions, data centres, cells, entries", fmt.Sprintf("%d, %d, %.0f, %.0f", targetRegions, targetDataCentres, l.cells, l.entries)) +
+		tableRow("workers and agents of a cell", formatNumber(l.workersPerCell)) +
+		tableRow("running tasks of a worker", formatNumber(l.tasksPerWorker)) +
+		tableRow("running tasks of a cell", formatNumber(l.tasksPerCell)) +
+		tableRow("task starts/s of a cell at the peak", formatNumber(l.startsPerCell)) +
+		tableRow("links of an agent (every entry of its region)", formatNumber(l.linksPerAgent)) +
+		tableRow("links of an entry (every agent of its region)", formatNumber(l.linksPerEntry)) +
+		tableRow("edits/s, mean of the day", formatNumber(l.editsPerSecond)) +
+		tableRow("assumed: waiting jobs of a cell, queued requests of an entry, configuration items",
 			fmt.Sprintf("%d, %d, %d", waitingJobs, queuedRequests, configItems))
 }
 
 func rolesTable(s map[string]slope) string {
 	l := targetLayout()
-	out := header("daemon", "live memory", "memory held", "of 128 MB", "core", "of 1.6%", "bytes", "of 11 KB/s", "messages/s", "bytes with TCP/IP headers")
+	out := tableHeader("daemon", "live memory", "memory held", "of 128 MB", "core", "of 1.6%", "bytes", "of 11 KB/s", "messages/s", "bytes with TCP/IP headers")
 	for _, r := range []struct {
 		name string
 		cost cost
@@ -39,107 +39,107 @@
 		{"entry that controls a cell", entryCost(s, l, true)},
 	} {
 		c := r.cost
-		out += line(r.name, mega(c.memory), mega(c.held), fits(c.held <= budgetMemory), percent(c.cpu), fits(c.cpu <= budgetCPU),
-			kilo(c.bytes), fits(c.bytes <= budgetBytes), num(c.messages), kilo(c.packets))
+		out += tableRow(r.name, formatMB(c.memory), formatMB(c.heldMemory), fitsText(c.heldMemory <= budgetMemoryBytes), formatPercent(c.cores), fitsText(c.cores <= budgetCores),
+			formatKBPerSecond(c.bytesPerSecond), fitsText(c.bytesPerSecond <= budgetBytesPerSecond), formatNumber(c.messagesPerSecond), formatKBPerSecond(c.bytesWithHeaders))
 	}
 	return out
 }
 
 // tableLoad returns the operations at the table at a rate of task starts.
-func tableLoad(s map[string]slope, startsPerCell float64) (writes, reads [][2]any, allWrites, allReads float64) {
+func tableLoad(s map[string]slope, startsPerCell float64) (writes, reads [][2]any, totalWrites, totalReads float64) {
 	l := targetLayout()
 	add := func(list *[][2]any, sum *float64, name string, v float64) {
 		*list = append(*list, [2]any{name, v})
 		*sum += v
 	}
-	add(&writes, &allWrites, "controllers: heartbeats and groups of job rows", l.cells*s["cell.writes"].measured(startsPerCell))
-	add(&writes, &allWrites, "entries: directory rows", l.entries*s["links.writes"].Slope)
-	add(&writes, &allWrites, fmt.Sprintf("edits, %d times the daily mean", peakEdits), peakEdits*l.edits*s["edits.writes"].Slope)
-	add(&writes, &allWrites, "submissions, one transaction each, daily mean", targetJobsPerDay/secondsPerDay)
+	add(&writes, &totalWrites, "controllers: heartbeats and groups of job rows", l.cells*s["cell.writes"].measured(startsPerCell))
+	add(&writes, &totalWrites, "entries: directory rows", l.entries*s["links.writes"].Slope)
+	add(&writes, &totalWrites, fmt.Sprintf("edits, %d times the daily mean", peakEditFactor), peakEditFactor*l.editsPerSecond*s["edits.writes"].Slope)
+	add(&writes, &totalWrites, "submissions, one transaction each, daily mean", targetJobsPerDay/secondsPerDay)
 	cellsSeen := l.cells / targetRegions
-	add(&reads, &allReads, "controllers: job rows", l.cells*s["cell.reads"].at(startsPerCell))
-	add(&reads, &allReads, "entries: configuration, directory, one watched cell", l.entries*s["links.reads"].Slope)
-	add(&reads, &allReads, "entries: further watched cells of the region", l.entries*(cellsSeen-1)*watchReads)
-	add(&reads, &allReads, "agents: directory", targetWorkers*s["directory.reads"].Slope)
-	add(&reads, &allReads, fmt.Sprintf("edits, %d times the daily mean", peakEdits), peakEdits*l.edits*l.entries*s["edits.reads"].Slope)
-	return writes, reads, allWrites, allReads
+	add(&reads, &totalReads, "controllers: job rows", l.cells*s["cell.reads"].at(startsPerCell))
+	add(&reads, &totalReads, "entries: configuration, directory, one watched cell", l.entries*s["links.reads"].Slope)
+	add(&reads, &totalReads, "entries: further watched cells of the region", l.entries*(cellsSeen-1)*readsPerWatchedCell)
+	add(&reads, &totalReads, "agents: directory", targetWorkers*s["directory.reads"].Slope)
+	add(&reads, &totalReads, fmt.Sprintf("edits, %d times the daily mean", peakEditFactor), peakEditFactor*l.editsPerSecond*l.entries*s["edits.reads"].Slope)
+	return writes, reads, totalWrites, totalReads
 }
 
 func storeTable(s map[string]slope) string {
 	l := targetLayout()
-	writes, reads, allWrites, allReads := tableLoad(s, l.startsPerCell)
-	out := header("operation", "writes/s", "reads/s")
+	writes, reads, totalWrites, totalReads := tableLoad(s, l.startsPerCell)
+	out := tableHeader("operation", "writes/s", "reads/s")
 	for _, w := range writes {
-		out += line(w[0].(string), num(w[1].(float64)), "")
+		out += tableRow(w[0].(string), formatNumber(w[1].(float64)), "")
 	}
 	for _, r := range reads {
-		out += line(r[0].(string), "", num(r[1].(float64)))
+		out += tableRow(r[0].(string), "", formatNumber(r[1].(float64)))
 	}
-	return out + line("sum at 580 task starts/s", num(allWrites), num(allReads)) +
-		line("budget", num(budgetWrites)+", "+fits(allWrites <= budgetWrites), num(budgetReads)+", "+fits(allReads <= budgetReads))
+	return out + tableRow("sum at 580 task starts/s", formatNumber(totalWrites), formatNumber(totalReads)) +
+		tableRow("budget", formatNumber(budgetWritesPerSecond)+", "+fitsText(totalWrites <= budgetWritesPerSecond), formatNumber(budgetReadsPerSecond)+", "+fitsText(totalReads <= budgetReadsPerSecond))
 }
 
 // limitsTable says how many links an entry may have by each budget.
 func limitsTable(s map[string]slope) string {
 	idle := s["links.toEntry"].Slope + s["links.toAgent"].Slope
-	beats := 2 * heartbeatsASide * heartbeatBytes()
-	slower := idle - beats*4/5 // a heartbeat every 5 s
-	memory := (budgetMemory/heldRatio(s) - s["agents.entryLive"].Base - s["items.entryLive"].Slope*configItems -
+	heartbeats := 2 * heartbeatsPerSide * heartbeatBytes()
+	idleSlower := idle - heartbeats*4/5 // a heartbeat every 5 s
+	memory := (budgetMemoryBytes/heldRatio(s) - s["agents.entryLive"].Base - s["items.entryLive"].Slope*configItems -
 		s["queue.entryLive"].Slope*queuedRequests) / s["agents.entryLive"].Slope
-	out := header("budget of an entry", "for each link", "links that fit", "entries needed if each agent has 2 links")
+	out := tableHeader("budget of an entry", "for each link", "links that fit", "entries needed if each agent has 2 links")
 	row := func(name, each string, links float64) {
 		need := "none: the idle entry alone exceeds it"
 		if links >= 1 {
 			need = fmt.Sprintf("%.0f", 2*targetWorkers/links)
 		}
-		out += line(name, each, fmt.Sprintf("%.0f", max(links, 0)), need)
+		out += tableRow(name, each, fmt.Sprintf("%.0f", max(links, 0)), need)
 	}
-	row("11 KB/s, as it is", fmt.Sprintf("%.1f B/s", idle), budgetBytes/idle)
-	row("11 KB/s, a heartbeat every 5 s", fmt.Sprintf("%.1f B/s", slower), budgetBytes/slower)
-	row("1.6% of a core", fmt.Sprintf("%.1f µs/s", 1e6*s["agents.entryCPU"].Slope), (budgetCPU-s["agents.entryCPU"].Base)/s["agents.entryCPU"].Slope)
+	row("11 KB/s, as it is", fmt.Sprintf("%.1f B/s", idle), budgetBytesPerSecond/idle)
+	row("11 KB/s, a heartbeat every 5 s", fmt.Sprintf("%.1f B/s", idleSlower), budgetBytesPerSecond/idleSlower)
+	row("1.6% of a core", fmt.Sprintf("%.1f µs/s", 1e6*s["agents.entryCPU"].Slope), (budgetCores-s["agents.entryCPU"].Base)/s["agents.entryCPU"].Slope)
 	row("128 MB", fmt.Sprintf("%.1f KB", s["agents.entryLive"].Slope/1e3), memory)
 	return out
 }
 
 func badHourTable(s map[string]slope) string {
 	l := targetLayout()
-	full := configBytes()
-	perEntry := targetRestarts * l.linksPerAgent * full / l.entries / secondsPerHour
+	configSize := configBytes()
+	perEntry := targetRestarts * l.linksPerAgent * configSize / l.entries / secondsPerHour
 	rack := 20 * l.tasksPerWorker
-	rejoin := l.linksPerEntry * full
-	out := header("event", "figure", "value")
-	out += line("1,500 agents restart in an hour", "whole configuration sent to each new link", mega(full))
-	out += line("", "bytes/s of an entry for it", kilo(perEntry)+", "+fits(perEntry <= budgetBytes))
-	out += line("", "received by an agent at its start", mega(full*l.linksPerAgent))
-	out += line("", "tasks to start again, starts/s", num(targetRestarts*l.tasksPerWorker/secondsPerHour))
-	out += line("a rack of 20 workers is lost", "tasks to start again", num(rack))
-	out += line("", "transactions of 120 rows, at least", fmt.Sprintf("%.0f", max(1, rack/rowsPerTxn+1)))
-	out += line("a data centre is lost", "tasks that run nowhere", num(l.tasksPerCell))
-	out += line("an entry is lost or its cell moves", "processor time of the takeover", fmt.Sprintf("%.2f s", s["takeover.controllerCPU"].measured(l.workersPerCell)))
-	out += line("", "inventories received", mega(s["tasks.toEntry"].Slope*10*l.tasksPerCell))
-	out += line("a region is cut off for an hour", "tasks of a region", num(2*l.tasksPerCell))
-	out += line("", "links that return together at an entry", num(l.linksPerEntry))
-	out += line("", "bytes if each agent needs the whole configuration", mega(rejoin))
+	rejoin := l.linksPerEntry * configSize
+	out := tableHeader("event", "figure", "value")
+	out += tableRow("1,500 agents restart in an hour", "whole configuration sent to each new link", formatMB(configSize))
+	out += tableRow("", "bytes/s of an entry for it", formatKBPerSecond(perEntry)+", "+fitsText(perEntry <= budgetBytesPerSecond))
+	out += tableRow("", "received by an agent at its start", formatMB(configSize*l.linksPerAgent))
+	out += tableRow("", "tasks to start again, starts/s", formatNumber(targetRestarts*l.tasksPerWorker/secondsPerHour))
+	out += tableRow("a rack of 20 workers is lost", "tasks to start again", formatNumber(rack))
+	out += tableRow("", "transactions of 120 rows, at least", fmt.Sprintf("%.0f", max(1, rack/rowsPerTxn+1)))
+	out += tableRow("a data centre is lost", "tasks that run nowhere", formatNumber(l.tasksPerCell))
+	out += tableRow("an entry is lost or its cell moves", "processor time of the takeover", fmt.Sprintf("%.2f s", s["takeover.controllerCPU"].measured(l.workersPerCell)))
+	out += tableRow("", "inventories received", formatMB(s["tasks.toEntry"].Slope*10*l.tasksPerCell))
+	out += tableRow("a region is cut off for an hour", "tasks of a region", formatNumber(2*l.tasksPerCell))
+	out += tableRow("", "links that return together at an entry", formatNumber(l.linksPerEntry))
+	out += tableRow("", "bytes if each agent needs the whole configuration", formatMB(rejoin))
 	backlog := 2 * 600 * l.startsPerCell
-	out += line("the store returns after 10 minutes", "rows of a cell that waited, two for each start", num(backlog))
-	out += line("", "transactions of a cell at 120 rows", num(backlog/rowsPerTxn))
-	return out + line("", "writes/s of all cells, one at a time at 20 ms", num(l.cells/0.02)+", "+fits(l.cells/0.02 <= budgetWrites))
+	out += tableRow("the store returns after 10 minutes", "rows of a cell that waited, two for each start", formatNumber(backlog))
+	out += tableRow("", "transactions of a cell at 120 rows", formatNumber(backlog/rowsPerTxn))
+	return out + tableRow("", "writes/s of all cells, one at a time at 20 ms", formatNumber(l.cells/0.02)+", "+fitsText(l.cells/0.02 <= budgetWritesPerSecond))
 }
 
 func figuresTable(s map[string]slope) string {
 	l := targetLayout()
 	decision := s["placement.decisionCPU"].at(l.workersPerCell)
 	p99 := s["cell.urgentP99"].measured(l.startsPerCell)
-	return header("line of the target", "figure", "value") +
-		line("580 task starts/s", "processor time of placement decisions, of a core of each controller", percent(decision*l.startsPerCell)) +
-		line("", "controller's core at that rate, leases and timers included", percent(s["starts.controllerCPU"].at(l.startsPerCell))) +
-		line("", "transactions/s of a cell", num(s["cell.writes"].measured(l.startsPerCell))) +
-		line("urgent work within 1.4 s", "99% of the starts at 58/s with room, table at 10 ms", fmt.Sprintf("%.2f s", p99)) +
-		line("129,000 running tasks", "state of a controller", mega(s["tasks.entryLive"].Slope*l.tasksPerCell)) +
-		line("", "bytes/s to a controller for usage and inventories", kilo(s["tasks.toEntry"].Slope*l.tasksPerCell)) +
-		line("3,300 edits a day", "bytes to each agent for an edit, one link", num(s["edits.toAgent"].Slope)) +
-		line("", "processor time of an entry for an edit, 50 links", fmt.Sprintf("%.2f ms", 1e3*s["edits.entryCPU"].Slope)) +
-		line("", "processor time of an agent for an edit", fmt.Sprintf("%.3f ms", 1e3*s["edits.agentCPU"].Slope))
+	return tableHeader("line of the target", "figure", "value") +
+		tableRow("580 task starts/s", "processor time of placement decisions, of a core of each controller", formatPercent(decision*l.startsPerCell)) +
+		tableRow("", "controller's core at that rate, leases and timers included", formatPercent(s["starts.controllerCPU"].at(l.startsPerCell))) +
+		tableRow("", "transactions/s of a cell", formatNumber(s["cell.writes"].measured(l.startsPerCell))) +
+		tableRow("urgent work within 1.4 s", "99% of the starts at 58/s with room, table at 10 ms", fmt.Sprintf("%.2f s", p99)) +
+		tableRow("129,000 running tasks", "state of a controller", formatMB(s["tasks.entryLive"].Slope*l.tasksPerCell)) +
+		tableRow("", "bytes/s to a controller for usage and inventories", formatKBPerSecond(s["tasks.toEntry"].Slope*l.tasksPerCell)) +
+		tableRow("3,300 edits a day", "bytes to each agent for an edit, one link", formatNumber(s["edits.toAgent"].Slope)) +
+		tableRow("", "processor time of an entry for an edit, 50 links", fmt.Sprintf("%.2f ms", 1e3*s["edits.entryCPU"].Slope)) +
+		tableRow("", "processor time of an agent for an edit", fmt.Sprintf("%.3f ms", 1e3*s["edits.agentCPU"].Slope))
 }
 
 func slopesTable(s map[string]slope) string {
@@ -148,7 +148,7 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	out := header("quantity", "x", "unit of y", "points (x, y)", "slope", "error", "y at 0", "measured by")
+	out := tableHeader("quantity", "x", "unit of y", "points (x, y)", "slope", "error", "y at 0", "measured by")
 	for _, name := range names {
 		q := s[name]
 		var points []string
@@ -162,7 +162,7 @@
 				by = strings.Trim(f, "'^$")
 			}
 		}
-		out += line(name, q.Per, q.Unit, strings.Join(points, " "), fmt.Sprintf("%g", q.Slope), fmt.Sprintf("%g", q.Error), fmt.Sprintf("%g", q.Base), by)
+		out += tableRow(name, q.Per, q.Unit, strings.Join(points, " "), fmt.Sprintf("%g", q.Slope), fmt.Sprintf("%g", q.Error), fmt.Sprintf("%g", q.Base), by)
 	}
 	return out
 }
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -11,35 +11,35 @@
 // The target size of docs/design.md section 1.4, and the assumptions of
 // docs/CAPACITY.md where the target leaves a number open.
 const (
-	targetWorkers     = 6900
-	targetCentres     = 10
-	targetRegions     = 5
-	targetTasks       = 19_000 + 110_000
-	targetStarts      = 580.0
-	targetJobsPerDay  = 46_000
-	targetEditsPerDay = 3300
-	targetRestarts    = 1500 // all in the bad hour
-
-	entriesPerCentre = 3
-	cellsPerCentre   = 1
-	configItems      = 7500 // 6,900 workers, 180 teams, services, classes and selectors
-	waitingJobs      = 2000 // for each cell
-	queuedRequests   = 1000 // for each entry
-	peakEdits        = 10   // times the daily mean
-
-	budgetCPU       = 0.016
-	budgetMemory    = 128e6
-	budgetBytes     = 11e3
-	budgetWrites    = 400.0
-	budgetReads     = 2000.0
-	secondsPerDay   = 86_400.0
-	secondsPerHour  = 3600.0
-	watchReads      = 2.0 // two rows a second for each cell that an entry watches
-	packetHeaders   = 52  // TCP with timestamps, and IP; once for the segment and once for its acknowledgement
-	muxHeader       = 12
-	rowsPerTxn      = 120.0
-	editLinks       = 50  // agents of BenchmarkEdits; its time is taken to grow with them
-	heartbeatsASide = 1.0 // for each second
+	targetWorkers         = 6900
+	targetDataCentres     = 10
+	targetRegions         = 5
+	targetTasks           = 19_000 + 110_000
+	targetStartsPerSecond = 580.0
+	targetJobsPerDay      = 46_000
+	targetEditsPerDay     = 3300
+	targetRestarts        = 1500 // all in the bad hour
+
+	entriesPerDataCentre = 3
+	cellsPerDataCentre   = 1
+	configItems          = 7500 // 6,900 workers, 180 teams, services, classes and selectors
+	waitingJobs          = 2000 // for each cell
+	queuedRequests       = 1000 // for each entry
+	peakEditFactor       = 10   // times the daily mean
+
+	budgetCores           = 0.016
+	budgetMemoryBytes     = 128e6
+	budgetBytesPerSecond  = 11e3
+	budgetWritesPerSecond = 400.0
+	budgetReadsPerSecond  = 2000.0
+	secondsPerDay         = 86_400.0
+	secondsPerHour        = 3600.0
+	readsPerWatchedCell   = 2.0 // two rows a second for each cell that an entry watches
+	packetHeaderBytes     = 52  // TCP with timestamps, and IP; once for the segment and once for its acknowledgement
+	muxHeaderBytes        = 12
+	rowsPerTxn            = 120.0
+	linksOfEditBenchmark  = 50  // agents of BenchmarkEdits; its time is taken to grow with them
+	heartbeatsPerSide     = 1.0 // for each second
 )
 
 // layout is how the target is split up.
@@ -47,35 +47,35 @@
 	workersPerCell, tasksPerCell, tasksPerWorker float64
 	entries, cells                               float64
 	linksPerAgent, linksPerEntry                 float64
-	startsPerCell, edits                         float64
+	startsPerCell, editsPerSecond                float64
 }
 
 func targetLayout() layout {
-	l := layout{entries: targetCentres * entriesPerCentre, cells: targetCentres * cellsPerCentre}
+	l := layout{entries: targetDataCentres * entriesPerDataCentre, cells: targetDataCentres * cellsPerDataCentre}
 	l.workersPerCell = targetWorkers / l.cells
 	l.tasksPerWorker = float64(targetTasks) / targetWorkers
 	l.tasksPerCell = targetTasks / l.cells
 	l.linksPerAgent = l.entries / targetRegions
 	l.linksPerEntry = targetWorkers / targetRegions
-	l.startsPerCell = targetStarts / l.cells
-	l.edits = targetEditsPerDay / secondsPerDay
+	l.startsPerCell = targetStartsPerSecond / l.cells
+	l.editsPerSecond = targetEditsPerDay / secondsPerDay
 	return l
 }
 
 // cost is what a daemon costs.
-type cost struct{ memory, held, cpu, bytes, packets, messages float64 }
+type cost struct{ memory, heldMemory, cores, bytesPerSecond, bytesWithHeaders, messagesPerSecond float64 }
 
 // agentCost is the cost of an agent with its share of the tasks.
 func agentCost(s map[string]slope, l layout) (c cost) {
 	c.memory = s["agents.agentLive"].Base + s["links.agentLive"].at(l.linksPerAgent) +
 		s["tasks.agentLive"].Slope*l.tasksPerWorker + s["items.agentLive"].Slope*configItems
-	c.held = c.memory * heldRatio(s)
-	c.cpu = s["links.agentCPU"].at(l.linksPerAgent) + s["tasks.agentCPU"].Slope*l.tasksPerWorker +
-		s["edits.agentCPU"].Slope*l.edits
-	c.bytes = s["links.toEntry"].at(l.linksPerAgent) + s["links.toAgent"].at(l.linksPerAgent) +
-		s["tasks.toEntry"].Slope*l.tasksPerWorker + s["edits.toAgent"].Slope*l.edits
-	c.messages = s["links.segmentsToEntry"].at(l.linksPerAgent) + s["links.segmentsToAgent"].at(l.linksPerAgent)
-	c.packets = c.bytes + 2*packetHeaders*c.messages
+	c.heldMemory = c.memory * heldRatio(s)
+	c.cores = s["links.agentCPU"].at(l.linksPerAgent) + s["tasks.agentCPU"].Slope*l.tasksPerWorker +
+		s["edits.agentCPU"].Slope*l.editsPerSecond
+	c.bytesPerSecond = s["links.toEntry"].at(l.linksPerAgent) + s["links.toAgent"].at(l.linksPerAgent) +
+		s["tasks.toEntry"].Slope*l.tasksPerWorker + s["edits.toAgent"].Slope*l.editsPerSecond
+	c.messagesPerSecond = s["links.segmentsToEntry"].at(l.linksPerAgent) + s["links.segmentsToAgent"].at(l.linksPerAgent)
+	c.bytesWithHeaders = c.bytesPerSecond + 2*packetHeaderBytes*c.messagesPerSecond
 	return c
 }
 
@@ -83,20 +83,20 @@
 func entryCost(s map[string]slope, l layout, owner bool) (c cost) {
 	links := l.linksPerEntry
 	c.memory = s["agents.entryLive"].at(links) + s["items.entryLive"].Slope*configItems + s["queue.entryLive"].Slope*queuedRequests
-	c.cpu = s["agents.entryCPU"].at(links) + s["edits.entryCPU"].Slope*l.edits*links/editLinks
-	c.bytes = links * (s["links.toEntry"].Slope + s["links.toAgent"].Slope + s["edits.toAgent"].Slope*l.edits)
-	c.messages = links * (s["links.segmentsToEntry"].Slope + s["links.segmentsToAgent"].Slope)
+	c.cores = s["agents.entryCPU"].at(links) + s["edits.entryCPU"].Slope*l.editsPerSecond*links/linksOfEditBenchmark
+	c.bytesPerSecond = links * (s["links.toEntry"].Slope + s["links.toAgent"].Slope + s["edits.toAgent"].Slope*l.editsPerSecond)
+	c.messagesPerSecond = links * (s["links.segmentsToEntry"].Slope + s["links.segmentsToAgent"].Slope)
 	if owner {
 		c.memory += s["tasks.entryLive"].Slope*l.tasksPerCell + s["jobs.waitingLive"].Slope*waitingJobs
 		// The time for the tasks' usage reports, tasks.entryCPU, is below its error.
-		c.cpu += s["starts.controllerCPU"].at(l.startsPerCell)
-		c.bytes += s["tasks.toEntry"].Slope*l.tasksPerCell + l.workersPerCell*
+		c.cores += s["starts.controllerCPU"].at(l.startsPerCell)
+		c.bytesPerSecond += s["tasks.toEntry"].Slope*l.tasksPerCell + l.workersPerCell*
 			(s["agents.toEntry"].Slope+s["agents.toAgent"].Slope-s["links.toEntry"].Slope-s["links.toAgent"].Slope)
-		c.messages += l.workersPerCell * (s["agents.segmentsToEntry"].Slope + s["agents.segmentsToAgent"].Slope -
+		c.messagesPerSecond += l.workersPerCell * (s["agents.segmentsToEntry"].Slope + s["agents.segmentsToAgent"].Slope -
 			s["links.segmentsToEntry"].Slope - s["links.segmentsToAgent"].Slope)
 	}
-	c.held = c.memory * heldRatio(s)
-	c.packets = c.bytes + 2*packetHeaders*c.messages
+	c.heldMemory = c.memory * heldRatio(s)
+	c.bytesWithHeaders = c.bytesPerSecond + 2*packetHeaderBytes*c.messagesPerSecond
 	return c
 }
 
@@ -112,14 +112,14 @@
 	if err != nil {
 		panic(err)
 	}
-	return float64(len(b) + muxHeader)
+	return float64(len(b) + muxHeaderBytes)
 }
 
 // configBytes is the size of the whole configuration on the wire.
 func configBytes() float64 {
 	d := &msg.ConfigDelta{Full: true, To: 1}
 	for i := range configItems {
-		d.Changes = append(d.Changes, item(i))
+		d.Changes = append(d.Changes, configChange(i))
 	}
 	b, err := wire.AppendControl(nil, d)
 	if err != nil {
@@ -128,20 +128,20 @@
 	return float64(len(b))
 }
 
-func fits(ok bool) string {
+func fitsText(ok bool) string {
 	if ok {
 		return "fits"
 	}
 	return "**does not fit**"
 }
 
-func line(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |\n" }
+func tableRow(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |\n" }
 
-func header(cells ...string) string {
-	return line(cells...) + "|" + strings.Repeat(" --- |", len(cells)) + "\n"
+func tableHeader(cells ...string) string {
+	return tableRow(cells...) + "|" + strings.Repeat(" --- |", len(cells)) + "\n"
 }
 
-func num(v float64) string {
+func formatNumber(v float64) string {
 	switch {
 	case v >= 10_000:
 		return fmt.Sprintf("%.0fk", v/1000)
@@ -153,6 +153,6 @@
 	return fmt.Sprintf("%.2g", v)
 }
 
-func mega(v float64) string    { return fmt.Sprintf("%.1f MB", v/1e6) }
-func percent(v float64) string { return fmt.Sprintf("%.2f%%", 100*v) }
-func kilo(v float64) string    { return fmt.Sprintf("%.2f KB/s", v/1e3) }
+func formatMB(v float64) string          { return fmt.Sprintf("%.1f MB", v/1e6) }
+func formatPercent(v float64) string     { return fmt.Sprintf("%.2f%%", 100*v) }
+func formatKBPerSecond(v float64) string { return fmt.Sprintf("%.2f KB/s", v/1e3) }
