--- a/test/calls_test.go
+++ b/test/calls_test.go
@@ -14,10 +14,10 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// pendingCall is a request whose answer has not been looked at.
+// pendingCall is a request that no script command has awaited.
 type pendingCall struct {
 	key  string
-	done chan history.Call // holds the call once it has ended
+	done chan history.Call // receives the call when it has ended
 }
 
 // request sends a caller's request in the background.
@@ -32,7 +32,8 @@
 	}()
 }
 
-// wanted is the body of a whole answer. Each key of /count is posted to once.
+// expectedBody returns the body of a complete response. Each key of /count is
+// posted to once, so its count is 1.
 func expectedBody(method, path, body string) string {
 	u, err := url.Parse(path)
 	switch {
@@ -46,6 +47,7 @@
 	return body
 }
 
+// sendRequest sends a request and records its response or error.
 func sendRequest(ctx context.Context, record *history.Call, target, body string) {
 	defer func() { record.Ended = time.Now().UnixNano() }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -68,7 +70,8 @@
 	}
 }
 
-// await waits for the calls whose keys begin with prefix and returns them.
+// awaitCalls waits for the pending calls whose keys begin with prefix and returns
+// them. It is an error if there are none.
 func (s *system) awaitCalls(prefix string) ([]history.Call, error) {
 	var ended []history.Call
 	remaining := s.pendingCalls[:0:0]
@@ -92,7 +95,8 @@
 	return ended, nil
 }
 
-// submit submits a job until its acceptance is known; repeating it is safe.
+// submit submits a job and records its acceptance. It repeats the submission
+// until it is accepted, which is safe because the job has an ID.
 func (s *system) submit(entry, id, program string) error {
 	err := s.sendJob(entry, id, program)
 	if err == nil {
@@ -101,7 +105,8 @@
 	return err
 }
 
-// sendJob does not change the system's state; any goroutine may use it.
+// sendJob submits a job until it is accepted. It does not modify the system, and
+// any goroutine may call it.
 func (s *system) sendJob(entry, id, program string) error {
 	spec := model.JobSpec{ID: model.JobID(id), Team: "team-1", Class: "batch", Program: program,
 		Resources: model.Resources{CPU: 1000, Memory: 1 << 30}}
@@ -111,7 +116,7 @@
 	})
 }
 
-// version is the configuration's version in force at an entry.
+// configVersion returns the version of the configuration in use at an entry.
 func (s *system) configVersion(entry string) (uint64, error) {
 	var view struct{ Version uint64 }
 	err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", nil, &view)
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -13,29 +13,31 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// verb is a command of the scenarios.
+// command is a command of the scripts. Arguments in brackets in its usage are
+// optional.
 type command struct {
 	usage string
 	run   func(s *system, args []string) error
 }
 
+// commands are the commands of the scripts, by name.
 var commands = func() map[string]func(*testscript.TestScript, bool, []string) {
 	m := map[string]func(*testscript.TestScript, bool, []string){"system": startSystem}
-	for _, v := range []command{
+	for _, c := range []command{
 		{"request KEY ENTRY METHOD PATH [BODY]", cmdRequest},
 		{"requests PREFIX COUNT ENTRY METHOD PATH", cmdRequests},
 		{"answer PREFIX STATUS [OUTCOME]", cmdAnswer},
-		{"ended PREFIX", cmdEnded},
+		{"await PREFIX", cmdAwait},
 		{"job ENTRY ID PROGRAM", func(s *system, a []string) error { return s.submit(s.resolve(a[0]), a[1], a[2]) }},
 		{"jobs ENTRY PREFIX COUNT PROGRAM", cmdJobs},
 		{"edit ENTRY ID KIND NAME KEY=VALUE", cmdEdit},
 		{"crash PROCESS...", cmdCrash},
 		{"restart PROCESS...", cmdRestart},
 		{"terminate PROCESS", func(s *system, a []string) error { return s.terminate(s.resolve(a[0])) }},
-		{"mark ALIAS PROCESS", cmdAlias},
+		{"alias ALIAS PROCESS", cmdAlias},
 		{"wait-exit PROCESS", func(s *system, a []string) error { return s.waitExit(s.resolve(a[0])) }},
 		{"freeze PROCESS", func(s *system, a []string) error { return s.freeze(s.resolve(a[0])) }},
-		{"continue PROCESS", func(s *system, a []string) error { return s.resume(s.resolve(a[0])) }},
+		{"resume PROCESS", func(s *system, a []string) error { return s.resume(s.resolve(a[0])) }},
 		{"cut LINK [to-server|to-client]", func(s *system, a []string) error { return s.cut(a[0], append(a, "")[1]) }},
 		{"heal LINK", func(s *system, a []string) error { return s.heal(a[0]) }},
 		{"reset LINK", func(s *system, a []string) error { return s.reset(a[0]) }},
@@ -47,26 +49,28 @@
 		{"wait-for CONDITION [ARGUMENT...]", cmdWaitFor},
 		{"check-history", func(s *system, _ []string) error { return s.checkHistory(true) }},
 	} {
-		m[strings.Fields(v.usage)[0]] = v.execute
+		m[strings.Fields(c.usage)[0]] = c.execute
 	}
 	return m
 }()
 
-func (v command) execute(ts *testscript.TestScript, neg bool, args []string) {
+// execute checks the number of the arguments and runs the command.
+func (c command) execute(ts *testscript.TestScript, neg bool, args []string) {
 	required := 0
-	for _, word := range strings.Fields(v.usage)[1:] {
+	for _, word := range strings.Fields(c.usage)[1:] {
 		if !strings.HasPrefix(word, "[") {
 			required++
 		}
 	}
 	if neg || len(args) < required {
-		ts.Fatalf("usage: %s", v.usage)
+		ts.Fatalf("usage: %s", c.usage)
 	}
-	ts.Check(v.run(ts.Value(systemKey{}).(*system), args))
+	ts.Check(c.run(ts.Value(systemKey{}).(*system), args))
 }
 
-// startSystem starts the processes. $entry_1 and $entry_2 are the addresses
-// of the operators' interface. The logs are kept if the scenario fails.
+// startSystem starts the processes and sets $entry_1 and $entry_2 to the URLs of
+// the entries' operator interface. The logs are kept if the scenario fails or
+// BAMBOOSCALE_KEEP is set.
 func startSystem(ts *testscript.TestScript, _ bool, _ []string) {
 	s := ts.Value(systemKey{}).(*system)
 	systemSlots <- struct{}{}
@@ -88,8 +92,10 @@
 	}
 }
 
-// resolve replaces "owner" and "standby" by the entry that owns the cell and
-// the other one, and "agent-of:JOB" by the agent of the job's last attempt.
+// resolve returns the process that a script means: "owner" is the entry that
+// owns the cell, "standby" the other entry, "agent-of:JOB" the agent of the
+// job's last attempt. Aliases of the script are replaced, other names are
+// returned unchanged.
 func (s *system) resolve(name string) string {
 	if job, ok := strings.CutPrefix(name, "agent-of:"); ok {
 		row, _ := s.jobRow(job)
@@ -115,8 +121,8 @@
 	return nil
 }
 
-// verbRequests sends requests with bodies of their own; KEY in the path is
-// replaced by the request's key.
+// cmdRequests sends requests, each with its own body. KEY in the path is replaced
+// by the request's key.
 func cmdRequests(s *system, args []string) error {
 	count, err := strconv.Atoi(args[1])
 	for n := range count {
@@ -126,19 +132,21 @@
 	return err
 }
 
-// verbAnswer demands that the requests have ended with a status, and whole if
-// it is 200.
+// cmdAnswer waits for the requests and fails unless each of them ended with the
+// status and, if given, the outcome. A response with status 200 must also be
+// complete.
 func cmdAnswer(s *system, args []string) error {
 	calls, err := s.awaitCalls(args[0])
 	for _, call := range calls {
 		if strconv.Itoa(call.Status) != args[1] || call.Error != "" || (call.Status == 200 && call.Body != call.Want) || (len(args) > 2 && call.Outcome != args[2]) {
-			return fmt.Errorf("not the expected answer: %+v", call)
+			return fmt.Errorf("unexpected response, want status %s: %+v", args[1], call)
 		}
 	}
 	return err
 }
 
-func cmdEnded(s *system, args []string) error {
+// cmdAwait waits until the requests have ended, whatever their result.
+func cmdAwait(s *system, args []string) error {
 	_, err := s.awaitCalls(args[0])
 	return err
 }
@@ -156,14 +164,16 @@
 	return s.edit(s.resolve(args[0]), args[1], args[2], args[3], key, value)
 }
 
-// verbMark keeps a process under a name of the scenario, because who is the
-// owner of a cell or the agent of a job changes.
+// cmdAlias gives a process an alias. A script needs it because the owner of a
+// cell and the agent of a job change.
 func cmdAlias(s *system, args []string) error {
 	s.aliases[args[0]] = s.resolve(args[1])
 	return nil
 }
 
-// verbCrash kills the processes one right after the other.
+// cmdCrash kills the processes in immediate succession. It resolves all names
+// first, because the first kill may change the owner. (The command kill belongs
+// to testscript.)
 func cmdCrash(s *system, processes []string) error {
 	for i, name := range processes {
 		processes[i] = s.resolve(name)
@@ -174,7 +184,7 @@
 	return nil
 }
 
-// verbRestart kills those of the processes that run and starts all of them.
+// cmdRestart kills the processes that are running, then starts all of them.
 func cmdRestart(s *system, processes []string) error {
 	for _, name := range processes {
 		if s.processes[name].running() {
@@ -190,7 +200,8 @@
 	return nil
 }
 
-// drain lets a backend server drain and waits until its agent has accepted it.
+// drain makes a backend server announce a drain and waits until its agent has
+// accepted it.
 func (s *system) drain(name string) error {
 	if err := s.callSimulator(name, "/control", standin.BackendControl{Drain: true}, nil); err != nil {
 		return err
@@ -204,8 +215,9 @@
 	return err
 }
 
-// checkHistory reads every log and fails on each violation. Settled also
-// demands that every accepted job has had its effect.
+// checkHistory collects and saves the history and returns an error that lists
+// every violation. If settled is set, every accepted job must have had its
+// effect.
 func (s *system) checkHistory(settled bool) error {
 	collected, err := s.collectHistory()
 	if err != nil {
--- a/test/edits_test.go
+++ b/test/edits_test.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// labelEdit is the body of an edit that sets one label.
+// labelEdit returns the body of an edit that sets one label.
 func labelEdit(id string, base uint64, kind, name, key, value string) map[string]any {
 	return map[string]any{"id": id, "author": "test", "base": base, "changes": []any{map[string]any{
 		"key":  model.ConfigKey{Kind: model.ConfigKind(kind), Name: name},
@@ -16,14 +16,15 @@
 	}}}
 }
 
-// sendEdit sends an edit once and records its acceptance.
+// sendEdit sends an edit once. It does not modify the system, and any goroutine
+// may call it.
 func (s *system) sendEdit(entry string, edit map[string]any) (accepted history.Edit, err error) {
 	var answer struct{ Version uint64 }
 	err = callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config", edit, &answer)
 	return history.Edit{ID: edit["id"].(string), Version: answer.Version, At: time.Now().UnixNano()}, err
 }
 
-// edit sets a label until the acceptance is known.
+// edit sets a label and records the acceptance of the edit.
 func (s *system) edit(entry, id, kind, name, key, value string) error {
 	accepted, err := s.acceptEdit(entry, id, kind, name, key, value)
 	if err == nil {
@@ -32,8 +33,8 @@
 	return err
 }
 
-// acceptEdit repeats an edit, which is safe, until it is accepted. It does not
-// change the system's state; any goroutine may use it.
+// acceptEdit repeats an edit with the same ID and base until it is accepted,
+// which is safe. It does not modify the system, and any goroutine may call it.
 func (s *system) acceptEdit(entry, id, kind, name, key, value string) (accepted history.Edit, err error) {
 	base, hasBase := uint64(0), false
 	err = waitUntil("edit "+id+" is accepted", func() (bool, error) {
@@ -50,8 +51,9 @@
 	return accepted, err
 }
 
-// verbRaceEdits sends two edits with the same base at the same time, one to
-// each entry: of the same key one is refused, of different keys none.
+// cmdRaceEdits sends an edit with the same base to each entry at the same time.
+// It fails unless exactly one of them is accepted if they change the same key,
+// and all of them if they change different keys.
 func cmdRaceEdits(s *system, args []string) error {
 	base, err := s.configVersion("entry-1")
 	if err != nil {
@@ -84,7 +86,7 @@
 		}
 	}
 	if accepted != want {
-		return fmt.Errorf("%d of %d edits were accepted, not %d: %v", accepted, entryCount, want, last)
+		return fmt.Errorf("%d of %d concurrent edits were accepted, want %d (last error: %v)", accepted, entryCount, want, last)
 	}
 	return nil
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -11,17 +11,21 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
+// kill records the fault and kills a process.
 func (s *system) kill(name string) {
 	s.beginFault("kill " + name)
 	s.processes[name].kill()
 }
 
+// terminate starts the graceful shutdown of a process.
 func (s *system) terminate(name string) error {
 	s.record.Shutdowns = append(s.record.Shutdowns, history.Shutdown{Process: name, At: time.Now().UnixNano()})
 	s.processes[name].signal(syscall.SIGTERM)
 	return nil
 }
 
+// waitExit waits for the end of a process and returns its exit error. The process
+// counts as killed until it is started again.
 func (s *system) waitExit(name string) error {
 	p := s.processes[name]
 	select {
@@ -34,7 +38,7 @@
 			s.record.Shutdowns[i].Ended = time.Now().UnixNano()
 		}
 	}
-	s.beginFault("kill " + name) // until it is started again
+	s.beginFault("kill " + name)
 	return p.exitErr
 }
 
@@ -50,7 +54,8 @@
 	return nil
 }
 
-// each calls f for every link that matches a pattern.
+// forEachLink calls apply for every link whose name matches a pattern of
+// path.Match. It is an error if none does.
 func (s *system) forEachLink(pattern string, apply func(name string, p *faultproxy.Proxy)) error {
 	matched := false
 	for name, p := range s.links {
@@ -65,6 +70,9 @@
 	return nil
 }
 
+// cut stops the bytes of the links in a direction, "to-server" or "to-client", or
+// in both if it is empty. The connections stay open, and the bytes arrive after
+// heal.
 func (s *system) cut(pattern, direction string) error {
 	blackhole := faultproxy.Faults{Blackhole: true}
 	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
@@ -78,6 +86,7 @@
 	})
 }
 
+// heal ends the cuts of the links.
 func (s *system) heal(pattern string) error {
 	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
 		p.Heal()
@@ -85,6 +94,7 @@
 	})
 }
 
+// reset resets the links' present connections.
 func (s *system) reset(pattern string) error {
 	return s.forEachLink(pattern, func(name string, p *faultproxy.Proxy) {
 		s.beginFault("reset " + name)
@@ -93,8 +103,8 @@
 	})
 }
 
-// storeFault sets the faults of a store. A frozen one goes on first: it could
-// not be told.
+// storeFault sets the faults of a store; the zero value ends them. It resumes a
+// frozen store first, because that could not receive the request.
 func (s *system) storeFault(store string, faults standin.StoreFaults) error {
 	if err := s.resume(store); err != nil {
 		return err
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -11,7 +11,9 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// save keeps a history with the logs of the processes.
+// saveHistory writes a history next to the logs of the processes. It leaves out
+// the checks of the commits and the rows other than jobs and configuration, and
+// removes them from saved.
 func (s *system) saveHistory(saved history.History) error {
 	for i := range saved.Commits {
 		saved.Commits[i].Checks = nil
@@ -30,14 +32,14 @@
 	return os.WriteFile(filepath.Join(s.dir, "history.json"), raw, 0o644)
 }
 
-// summary counts what a history holds, so that a run without findings can be
-// told from one in which nothing happened.
+// summarize counts what a history contains, so that a run without violations can
+// be distinguished from one in which nothing happened.
 func summarize(recorded history.History) string {
 	answers, attempts, resumed := map[string]int{}, 0, 0
 	for _, call := range recorded.Calls {
 		switch {
 		case call.Error != "":
-			answers["broken"]++
+			answers["error"]++
 		default:
 			answers[strings.TrimSpace(fmt.Sprintf("%d %s", call.Status, call.Outcome))]++
 		}
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,6 +1,6 @@
-// Package test proves the guarantees with real processes: two entries, three
-// agents and the simulators of the platform, joined only through
-// fault-injecting proxies. The scenarios are in testdata.
+// Package test checks the guarantees with real processes: two entries, three
+// agents and the simulators of the platform, connected only through
+// fault-injecting proxies. The scripts of the scenarios are in testdata.
 package test
 
 import (
@@ -13,14 +13,19 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var buildFlags, programsDir = []string(nil), ""
+var (
+	buildFlags  []string // of the programs under test
+	programsDir string   // directory of the programs under test
+)
 
-// systems bounds the systems that run at once: each has 13 processes, which
-// with the race detector take about 0.7 GiB.
+// systemSlots bounds the systems that run at once: each has 13 processes,
+// which with the race detector take about 0.7 GiB.
 var systemSlots = make(chan struct{}, 3)
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
+// buildAndRun builds the programs into a temporary directory, runs the tests
+// and returns the exit code.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "bambooscale-test-")
 	if err != nil {
@@ -37,8 +42,8 @@
 	return m.Run()
 }
 
-// Guards against a fault of one process, link or store that costs a caller,
-// a job or an edit one of the guarantees G1 to G9.
+// Guards against a violation of one of the guarantees G1 to G9 towards a
+// caller, a job or an edit when one process, link or store fails.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	testscript.Run(t, testscript.Params{
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -14,7 +14,8 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// control calls a simulator's control interface, past the proxies.
+// callSimulator calls the control interface of a simulator directly, not through
+// a proxy.
 func (s *system) callSimulator(name, path string, in, out any) error {
 	address := s.processes[name].addresses["address"]
 	return callJSON(context.Background(), "http://"+address+path, in, out)
@@ -22,7 +23,9 @@
 
 var controlClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// call gets url, or posts in to it, and decodes the answer into out.
+// callJSON sends a GET request, or a POST request with the body in if that is not
+// nil, and decodes the response into out unless that is nil. Every status but 2xx
+// is an error.
 func callJSON(ctx context.Context, url string, in, out any) error {
 	method, body := http.MethodGet, ""
 	if in != nil {
@@ -50,7 +53,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// collect reads every log.
+// collectHistory returns the recorded history with the logs of the simulators, the
+// commits of the table and the observed configuration versions.
 func (s *system) collectHistory() (history.History, error) {
 	collected := s.record
 	collected.Calls, collected.Steps = s.endedCalls, map[string]int{}
@@ -79,6 +83,7 @@
 	return collected, s.collectSteps(collected.Steps)
 }
 
+// collectSteps reads the step of every checkpoint in the object service.
 func (s *system) collectSteps(steps map[string]int) error {
 	var objects []string
 	if err := s.callSimulator("objects", "/control/names", nil, &objects); err != nil {
@@ -97,8 +102,8 @@
 	return nil
 }
 
-// rows returns the newest values of the table's rows with a prefix, also
-// during an outage.
+// latestRows returns the newest value of each row of the table whose key has the
+// prefix. It works during an outage of the table too.
 func (s *system) latestRows(prefix string) (map[string][]byte, error) {
 	var commits []standin.Committed
 	if err := s.callSimulator("table", "/control/history", nil, &commits); err != nil {
@@ -115,6 +120,7 @@
 	return values, nil
 }
 
+// jobRow returns the stored row of a job.
 func (s *system) jobRow(id string) (model.JobRow, error) {
 	values, err := s.latestRows(rows.JobKey(cell, model.JobID(id)))
 	if err != nil {
@@ -123,7 +129,7 @@
 	return rows.Decode[model.JobRow](values[rows.JobKey(cell, model.JobID(id))])
 }
 
-// owner names the entry that owns the cell.
+// owner returns the entry that owns the cell, or "" if none has claimed it.
 func (s *system) owner() (string, error) {
 	values, err := s.latestRows(rows.CellEpochKey(cell))
 	if err != nil {
@@ -133,8 +139,8 @@
 	return string(row.Owner), err
 }
 
-// waitLinked waits until every entry lists every backend server and the cell
-// has an owner that knows every worker.
+// waitLinked waits until every backend server is ready at every entry and the
+// cell has an owner that knows every worker.
 func (s *system) waitLinked() error {
 	for _, e := range processNames("entry", entryCount) {
 		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return s.allBackendsReady(e) }); err != nil {
@@ -163,6 +169,7 @@
 	return st, err
 }
 
+// allBackendsReady reports whether every backend server is ready at an entry.
 func (s *system) allBackendsReady(entry string) (bool, error) {
 	st, err := s.status(entry)
 	if err != nil || len(st.Services) != 1 || len(st.Services[0].Backends) != agentCount {
@@ -176,8 +183,8 @@
 	return true, nil
 }
 
-// watchVersions follows the configuration versions that the entries report
-// for themselves and their agents.
+// watchVersions starts a watcher for each entry, which records the configuration
+// versions that the entry reports for itself and its agents.
 func (s *system) watchVersions() {
 	for _, e := range processNames("entry", entryCount) {
 		requests := make(chan chan []history.ConfigView)
@@ -186,6 +193,9 @@
 	}
 }
 
+// pollVersions polls an entry until ctx ends and answers each request with the
+// versions observed so far. A view has the time at which its request was sent, so
+// that a slow response does not make its version look outdated.
 func pollVersions(ctx context.Context, entry, base string, requests <-chan chan []history.ConfigView) {
 	var views []history.ConfigView
 	tick := time.NewTicker(200 * time.Millisecond)
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// patience bounds every wait for a condition. It is far above any time that a
+// waitTimeout bounds every wait for a condition. It is far above the time that a
 // correct system takes, so that only a condition that never holds exceeds it.
 const waitTimeout = 90 * time.Second
 
-// process is a process that the test started.
+// process is a started bambooscaled.
 type process struct {
 	name      string
 	cmd       *exec.Cmd
-	addresses map[string]string // addresses that it printed
-	logFile   string
-	exited    chan struct{} // closed once it has ended
-	exitErr   error         // valid after exited
+	addresses map[string]string // by key, from the ready line on its standard output
+	logFile   string            // standard error, and standard output after the ready line
+	exited    chan struct{}     // closed when it has ended
+	exitErr   error             // valid when exited is closed
 }
 
-// startProcess waits until the process prints its addresses.
+// startProcess starts bambooscaled and waits until it prints its addresses.
 func startProcess(dir, name string, args ...string) (*process, error) {
 	p := &process{name: name, logFile: filepath.Join(dir, name+".log"), exited: make(chan struct{}), addresses: map[string]string{}}
 	logOutput, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -34,7 +34,8 @@
 	}
 	p.cmd = exec.Command(filepath.Join(programsDir, "bambooscaled"), args...)
 	p.cmd.Stderr = logOutput
-	// A data race found in a process must not pass as its normal exit.
+	// With halt_on_error a data race ends the process and fails the test
+	// instead of being reported at exit only.
 	p.cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1", "GOMAXPROCS=2")
 	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -62,6 +63,8 @@
 	}
 }
 
+// parseReadyLine reads a line of the form "ready KEY=ADDRESS...". It kills the
+// process and returns an error with its log if the line is another one.
 func (p *process) parseReadyLine(text string) error {
 	fields := strings.Fields(text)
 	if len(fields) == 0 || fields[0] != "ready" {
@@ -78,7 +81,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process, also a frozen one, and waits for its end.
+// kill sends SIGKILL, which also ends a frozen process, and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
@@ -94,7 +97,8 @@
 	}
 }
 
-// waitUntil polls a condition until it holds or patience ends.
+// waitUntil polls a condition until it holds. The error after waitTimeout names
+// what was waited for and the last error of the condition.
 func waitUntil(what string, condition func() (bool, error)) error {
 	deadline := time.After(waitTimeout)
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -107,7 +111,7 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			return fmt.Errorf("not so after %v: %s (last error: %v)", waitTimeout, what, err)
+			return fmt.Errorf("condition not met after %v: %s (last error: %v)", waitTimeout, what, err)
 		}
 	}
 }
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -2,5 +2,5 @@
 
 package test
 
-// The programs are built with the race detector if the tests are.
+// Builds the programs with the race detector if the tests are built with it.
 func init() { buildFlags = []string{"-race"} }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -15,14 +15,16 @@
 	"github.com/bambooscale/bambooscale/internal/rows"
 )
 
-// The variables BAMBOOSCALE_FAULTS_SEED and BAMBOOSCALE_FAULTS_DURATION (such
-// as 20m) choose another schedule; CI runs this one.
+// The environment variables BAMBOOSCALE_FAULTS_SEED and
+// BAMBOOSCALE_FAULTS_DURATION (such as 20m) select another schedule. CI uses the
+// defaults.
 const (
 	defaultSeed     = 1
 	defaultDuration = 30 * time.Second
 )
 
-// Guards against faults that cost a guarantee only together or repeatedly.
+// Guards against violations of the guarantees that only overlapping or repeated
+// faults cause.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	seed, duration := uint64(defaultSeed), defaultDuration
@@ -66,17 +68,17 @@
 	return names
 }
 
-// load is the steady work under a schedule. Submissions and edits wait in
-// goroutines of their own for their acceptance; what they found is applied by
-// the test's goroutine.
+// workload is the work that is sent while the faults of a schedule are in force.
+// Submissions and edits wait for their acceptance in goroutines of their own;
+// the goroutine of the test records the results.
 type workload struct {
 	system     *system
-	results    chan func()
-	inProgress int
-	ticks      int
+	results    chan func() // each records one result
+	inProgress int         // submissions and edits whose result is not recorded
+	ticks      int         // calls of sendTick
 }
 
-// run carries out the schedule under load.
+// run sends work and carries out the schedule.
 func (l *workload) run(t *testing.T, schedule []scheduledAction, duration time.Duration) error {
 	startedAt := time.Now()
 	ticker := time.NewTicker(100 * time.Millisecond)
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// send sends the work of one tick: requests each time, a job each half
-// second and an edit every 3 s.
+// sendTick sends the work of a tick of 100 ms: requests at every tick, a job
+// every 500 ms and an edit every 3 s.
 func (l *workload) sendTick() {
 	l.ticks++
 	tick := l.ticks
@@ -130,6 +132,8 @@
 	}
 }
 
+// startAsync runs work in a goroutine. The function that work returns is run by
+// the goroutine of the test.
 func (l *workload) startAsync(work func() func()) {
 	l.inProgress++
 	go func() {
@@ -138,7 +142,8 @@
 	}()
 }
 
-// settle waits, after the last fault, until everything accepted has ended.
+// waitSettled waits, after the last fault, until every request has ended, every
+// accepted job is done and the newest edit is in use everywhere.
 func (l *workload) waitSettled() error {
 	for l.inProgress > 0 {
 		(<-l.results)()
@@ -157,6 +162,7 @@
 	return waitUntil("every accepted job is done", l.jobsDone)
 }
 
+// jobsDone reports whether every accepted job is done.
 func (l *workload) jobsDone() (bool, error) {
 	values, err := l.system.latestRows(rows.JobPrefix(cell))
 	if err != nil {
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -19,15 +19,16 @@
 }
 
 const (
-	// A fault begins about this often and lasts at most longestFault: a frozen
-	// worker must not exceed its tasks' leases of 15 s, because its log would
-	// then show tasks as running that only could not note their end.
 	meanFaultInterval = 900 * time.Millisecond
-	maxFaultDuration  = 6 * time.Second
+	// maxFaultDuration is below the tasks' leases of 15 s: a worker that is
+	// frozen for longer cannot record the end of its tasks, and its log would
+	// show them as running after their leases.
+	maxFaultDuration = 6 * time.Second
 )
 
-// plan draws a schedule. It depends on the random numbers and the duration
-// only; faults overlap, and the same one may be drawn again while it lasts.
+// planFaults draws a schedule that depends only on the random numbers, the links
+// and the duration. Faults overlap, and one may be drawn again while it is in
+// force.
 func planFaults(random *rand.Rand, links []string, duration time.Duration) []plannedFault {
 	var faults []plannedFault
 	for at := time.Duration(0); at < duration; at += time.Duration(random.Int64N(int64(2 * meanFaultInterval))) {
@@ -38,6 +39,7 @@
 	return faults
 }
 
+// drawFault draws a fault without its times.
 func drawFault(random *rand.Rand, links []string) plannedFault {
 	pick := func(list []string) string { return list[random.IntN(len(list))] }
 	daemon := pick(append(processNames("entry", entryCount), processNames("agent", agentCount)...))
@@ -63,13 +65,14 @@
 		end: func(s *system) error { return s.storeFault(store, standin.StoreFaults{}) }}
 }
 
-// moment is the begin or the end of a fault.
+// scheduledAction is the begin or the end of a fault.
 type scheduledAction struct {
 	at          time.Duration
 	description string
 	run         func(*system) error
 }
 
+// scheduledActions returns the begins and ends of faults in order of time.
 func scheduledActions(faults []plannedFault) []scheduledAction {
 	var actions []scheduledAction
 	for _, fault := range faults {
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -19,28 +19,31 @@
 	cell       = "cell-1"
 )
 
+// systemKey is the key of the *system in the values of a script.
 type systemKey struct{}
 
-// system is the processes of one scenario and the links between them. It
-// belongs to the goroutine of the scenario.
+// system holds the processes of one scenario and the links between them. Only
+// the goroutine of the scenario may use it, except where a method says
+// otherwise.
 type system struct {
-	dir             string
+	dir             string // settings, logs and the history
 	group           *actor.Group
 	processes       map[string]*process
-	links           map[string]*faultproxy.Proxy // by "client>server"
-	addressKeys     map[string]string            // link to the address that its server printed
-	pendingCalls    []*pendingCall
-	endedCalls      []history.Call
-	record          history.History // what is known before the logs are collected
-	openFaults      map[string]int  // fault in force to its index in record.Faults
-	summary         string          // of the history, once it was checked
-	versionWatchers []chan chan []history.ConfigView
-	aliases         map[string]string
-	failed          bool             // until the history has been checked
-	drainAcceptedAt map[string]int64 // backend server to when its drain was accepted
+	links           map[string]*faultproxy.Proxy     // by "client>server"
+	addressKeys     map[string]string                // by link: key of the address in the ready line of its server
+	pendingCalls    []*pendingCall                   // not yet awaited
+	endedCalls      []history.Call                   // awaited
+	record          history.History                  // what the test itself did and observed; collectHistory adds the logs
+	openFaults      map[string]int                   // by fault in force: index in record.Faults
+	summary         string                           // of the history; set by checkHistory
+	versionWatchers []chan chan []history.ConfigView // one for each entry; a watcher answers with what it has observed
+	aliases         map[string]string                // by alias of the script: process
+	failed          bool                             // from the start until a check of the history passes; keeps dir
+	drainAcceptedAt map[string]int64                 // by backend server: Unix time in nanoseconds
 	cancel          context.CancelFunc
 }
 
+// processName returns the name of a process; index counts from 1.
 func processName(kind string, index int) string { return fmt.Sprintf("%s-%d", kind, index) }
 
 func processNames(kind string, count int) (names []string) {
@@ -50,7 +53,8 @@
 	return names
 }
 
-// start starts every process and waits until all agents are linked.
+// start starts every process and waits until every entry has ready backend
+// servers and the cell's owner knows every worker.
 func (s *system) start(dir string) error {
 	s.dir = dir
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,7 +78,8 @@
 	return s.waitLinked()
 }
 
-// join makes the proxies. Their upstreams are set when the servers start.
+// startProxies starts a proxy for each link. launch sets the upstreams when the
+// servers start.
 func (s *system) startProxies() error {
 	for _, entry := range processNames("entry", entryCount) {
 		for _, link := range [][2]string{{"caller>" + entry, "callers"}, {"operator>" + entry, "operators"}, {entry + ">table", "address"}, {entry + ">objects", "address"}} {
@@ -100,13 +105,15 @@
 }
 
 func (s *system) startProxy(name, addressKey string) error {
-	// Port 9 of the loopback interface refuses until the upstream is known.
+	// Port 9 of the loopback interface refuses connections until launch sets
+	// the upstream.
 	proxy, err := faultproxy.Start(s.group, "127.0.0.1:9")
 	s.links[name], s.addressKeys[name] = proxy, addressKey
 	return err
 }
 
-// launch starts a process, for the first time or again.
+// launch starts or restarts a process and points the links to it at its new
+// addresses.
 func (s *system) launch(name string) error {
 	args, err := s.arguments(name)
 	if err != nil {
@@ -125,6 +132,8 @@
 	return nil
 }
 
+// arguments returns the command line of a process. It writes the settings file
+// of an entry or agent.
 func (s *system) arguments(name string) ([]string, error) {
 	kind, n, _ := strings.Cut(name, "-")
 	switch kind {
@@ -139,10 +148,10 @@
 	return []string{"standin", kind}, nil
 }
 
-// settings are those of an entry or agent. Agents have no access to the
-// table, so that they do not find entries' addresses behind the proxies. They
-// know the worker's capacity: an agent without it is not ready before its
-// worker answers, which may be frozen.
+// settings returns the settings of an entry or agent. Agents have no access to
+// the table, because its directory would give them addresses of entries that
+// bypass the proxies. Their settings state the worker's capacity: without it an
+// agent is not ready before its worker answers, and the worker may be frozen.
 func (s *system) settings(kind, name, n string) string {
 	text := fmt.Sprintf("[daemon]\nrole = %s\nid = %s\ndata-centre = dc-1\n", kind, name)
 	if kind == "entry" {
@@ -158,9 +167,11 @@
 		strings.Join(entries, ","), cell, n, s.addr(name+">worker-"+n))
 }
 
+// addr returns the address at which the proxy of a link listens.
 func (s *system) addr(link string) string { return s.links[link].Addr() }
 
-// finish ends exactly the processes that the scenario started.
+// finish kills the processes that the scenario started, and no others, and waits
+// for their end.
 func (s *system) finish() {
 	if s.group == nil {
 		return
@@ -175,7 +186,8 @@
 	}
 }
 
-// begin and end keep the times during which a fault is in force.
+// beginFault records that a fault is in force from now on. It does nothing if
+// the fault already is.
 func (s *system) beginFault(fault string) {
 	if _, ok := s.openFaults[fault]; ok {
 		return
@@ -184,6 +196,8 @@
 	s.record.Faults = append(s.record.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
 }
 
+// endFault records the end of a fault. It does nothing if the fault is not in
+// force.
 func (s *system) endFault(fault string) {
 	if i, ok := s.openFaults[fault]; ok {
 		s.record.Faults[i].Until = time.Now().UnixNano()
--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -10,16 +10,17 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// conditions are what scenarios wait for. The arguments follow the name.
+// conditions are the conditions of the command wait-for, by name, with their
+// arguments.
 var conditions = map[string]func(s *system, a []string) (bool, error){
 	"job":        jobPhase,    // ID PHASE
 	"jobs":       jobsInPhase, // PREFIX COUNT PHASE
-	"task":       taskState,   // JOB/ATTEMPT STATE, on some worker
+	"task":       taskState,   // JOB/ATTEMPT STATE: the log of some worker has it
 	"owner":      func(s *system, a []string) (bool, error) { o, err := s.owner(); return o == a[0], err },
 	"linked":     func(s *system, a []string) (bool, error) { return s.allBackendsReady(a[0]) },
-	"unlinked":   noBackendReady,  // ENTRY: no backend server is ready there
-	"queued":     queued,          // ENTRY COUNT: at least so many wait there
-	"requests":   requestsRunning, // BACKEND COUNT: at least so many run at it; * for all backend servers
+	"unlinked":   noBackendReady,  // ENTRY: no backend server is ready at it
+	"queued":     queued,          // ENTRY COUNT: at least COUNT requests are queued at it
+	"requests":   requestsRunning, // BACKEND COUNT: at least COUNT requests run at it; * is the sum of all backend servers
 	"version":    versionEverywhere,
 	"checkpoint": hasCheckpoint, // JOB: its row names a checkpoint
 }
@@ -27,7 +28,7 @@
 func cmdWaitFor(s *system, commandArgs []string) error {
 	condition, ok := conditions[commandArgs[0]]
 	if !ok {
-		return fmt.Errorf("no condition %q", commandArgs[0])
+		return fmt.Errorf("unknown condition %q", commandArgs[0])
 	}
 	args := commandArgs[1:]
 	for i := range args {
@@ -123,8 +124,8 @@
 	return running >= minCount, fmt.Errorf("%d requests run", running)
 }
 
-// versionEverywhere holds once every entry and agent has the newest accepted
-// edit in force.
+// versionEverywhere reports whether every entry and agent that is linked to it
+// uses the newest accepted edit.
 func versionEverywhere(s *system, a []string) (bool, error) {
 	newest := uint64(0)
 	for _, e := range s.record.Edits {
