--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -23,8 +23,9 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// childVariable holds the plan of a child process, so that a role's memory and
-// processor time are measured without those of its peers.
+// childPlanVariable is the environment variable with the plan of a child process.
+// Each role runs in a process of its own, so that its memory and processor time
+// are measured without those of its peers.
 const childPlanVariable = "BAMBOOSCALE_CAPACITY_CHILD"
 
 const (
@@ -32,31 +33,32 @@
 	region   = "cairo"
 	loopback = "127.0.0.1:0"
 
+	// queuedRequestDeadline is longer than a run, in which a queued request waits.
 	queuedRequestDeadline = 10 * time.Minute
 )
 
-// plan is what a child process runs.
+// childPlan states what a child process runs.
 type childPlan struct {
 	Entries  int      // entry role: number of entries
 	Items    int      // entry role: configuration items
 	Jobs     int      // entry role: job rows at the start
 	Agents   int      // agent role: number of agents; 0 is the entry role
 	Connect  []string // agent role: addresses of entries
-	FirstJob int
+	FirstJob int      // entry role: number of the first job row
 }
 
-// sample is what a child reports of itself.
+// sample is a measurement that a child process reports of itself.
 type sample struct {
 	CPU           float64 // seconds of processor time, user and system
-	Live          float64 // bytes of heap and stacks after a collection
-	Held          float64 // bytes that the runtime holds of the system
+	Live          float64 // bytes of heap and stacks after a garbage collection; 0 if not requested
+	Held          float64 // bytes that the runtime has obtained from the operating system and not returned; 0 if not requested
 	Goroutines    int
-	Reads, Writes int // entry: operations at the table
-	Running       int // agents: tasks
-	Agents        []string
-	Operator      []string
-	Callers       []string
-	Announce      []string
+	Reads, Writes int      // entries: operations of the table since the start
+	Running       int      // agents: running tasks
+	Agents        []string // entries: addresses for agents
+	Operator      []string // entries: addresses of the operator interface
+	Callers       []string // entries: addresses for callers
+	Announce      []string // agents: addresses for announcements of backend servers
 }
 
 func TestMain(m *testing.M) {
@@ -78,7 +80,9 @@
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
-// answer writes a sample for each line on the standard input until its end.
+// serveSamples writes a sample to the standard output for each line on the standard
+// input until that ends. The line "memory" requests a garbage collection and the
+// memory; fill adds what depends on the role.
 func serveSamples(fill func(*sample)) {
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
@@ -88,7 +92,7 @@
 		s.CPU = float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
 		if in.Text() == "memory" {
 			runtime.GC()
-			runtime.GC() // the first moves pooled objects to the victim cache
+			runtime.GC() // the first collection only moves pooled objects to the victim cache
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
 			s.Live, s.Held = float64(m.HeapAlloc+m.StackInuse), float64(m.Sys-m.HeapReleased)
@@ -100,6 +104,8 @@
 	}
 }
 
+// startEntries starts the entries of a plan with one table, of which the first
+// owns the cell.
 func startEntries(g *actor.Group, p childPlan) func(*sample) {
 	table := standin.NewTable(g, standin.StoreFaults{WritesPerSecond: -1, ReadsPerSecond: -1, DropHistory: true})
 	seedTable(g.Context(), table, p)
@@ -115,7 +121,7 @@
 		s.Daemon.ID, s.Daemon.DataCentre, s.Daemon.Region = fmt.Sprintf("entry-%d", i+1), "cairo-nasr", region
 		s.Entry.Cells, s.Entry.DefaultCell, s.Entry.DefaultService = []model.Cell{cellName}, cellName, "permit-desk"
 		s.Entry.MaxBody, s.Entry.MaxHeader, s.Entry.MaxCallers = 64<<20, 64<<10, 65536
-		s.Entry.RequestDeadline = queuedRequestDeadline // a queued request waits for the whole run
+		s.Entry.RequestDeadline = queuedRequestDeadline
 		daemon.StartEntry(g, daemon.EntryConfig{Settings: s, Build: "capacity", Table: table,
 			Objects: standin.NewObjects(g, standin.StoreFaults{}), Callers: caller, Agents: links, Operator: operator, Log: discardLog()})
 		agents = append(agents, links.Addr())
@@ -128,6 +134,7 @@
 	}
 }
 
+// listenLoopback listens on a free port.
 func listenLoopback() net.Listener {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -136,6 +143,7 @@
 	return l
 }
 
+// startAgents starts the agents of a plan.
 func startAgents(g *actor.Group, p childPlan) func(*sample) {
 	var hosts []*fakeHost
 	var announce []string
@@ -155,6 +163,7 @@
 	}
 }
 
+// testWorker returns a worker; 20 workers share a rack.
 func testWorker(i int) model.Worker {
 	return model.Worker{ID: model.WorkerID(fmt.Sprintf("worker-%05d", i)), DataCentre: "cairo-nasr",
 		Rack:     model.Rack(fmt.Sprintf("rack-%03d", i/20)),
--- a/internal/capacity/control_memory_test.go
+++ b/internal/capacity/control_memory_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// liveHeap returns the bytes of heap that are in use after a garbage collection.
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -13,7 +14,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// Measures what a waiting job and a running attempt cost a controller.
+// Measures the memory of a controller for each waiting job and running attempt.
 func BenchmarkControllerMemory(b *testing.B) {
 	s := newSeries("job", "BenchmarkControllerMemory")
 	for _, n := range []int{1000, 5000, 10000, 20000} {
@@ -34,8 +35,8 @@
 	s.finish(b)
 }
 
-// Measures the processor time of a takeover: the rows of a cell are read and
-// every agent reports its inventory.
+// Measures the processor time of a controller that takes over a cell: it reads the
+// rows of the cell and receives the inventory of every agent.
 func BenchmarkTakeover(b *testing.B) {
 	s := newSeries("worker of a cell", "BenchmarkTakeover")
 	for _, workers := range []int{50, 200, 400, 690} {
@@ -46,8 +47,8 @@
 	s.finish(b)
 }
 
-// takeover makes a new controller own the running tasks and returns the
-// processor time that it used.
+// takeover starts another controller that takes over the cell with its running
+// tasks. It returns the processor time of that in seconds.
 func (c *controller) takeover(workers int) float64 {
 	next := unlinkedController()
 	next.runningTasks, next.revision = c.runningTasks, c.revision
--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -16,22 +16,23 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// controller drives the core of a controller in virtual time with agents that
-// answer at once and tasks that end after taskLength.
+// controller runs the core of a controller in virtual time. Its agents and its
+// table answer at once; tasks end after taskLength unless they are long-running.
 type controller struct {
 	core          *control.Core
 	now           time.Duration
 	revision      storage.Revision
 	unreadRows    []control.JobRow // rows that the next scan returns
 	events        []control.Event
-	dueEnds       []taskEnd                           // in the order of time
+	dueEnds       []taskEnd                           // in order of time
 	committedRows map[model.JobID]control.JobRow      // committed
-	runningTasks  map[model.WorkerID][]msg.TaskReport // tasks without an end
+	runningTasks  map[model.WorkerID][]msg.TaskReport // long-running tasks, as the agents report them
 	started       int
 	commits       int
 	running       int
 }
 
+// taskEnd is the end of a task at a later time.
 type taskEnd struct {
 	at     time.Duration
 	worker model.WorkerID
@@ -40,16 +41,19 @@
 
 const taskLength = 2 * time.Second
 
-// claimTime is enough for a controller to claim its cell, read its rows and
-// renew the leases of its agents twice.
+// claimDuration is long enough for a controller to claim its cell, read its rows
+// and renew the leases of its agents twice.
 const claimDuration = 2 * time.Second
 
+// unlinkedController returns a controller without agents.
 func unlinkedController() *controller {
 	return &controller{revision: 1, committedRows: map[model.JobID]control.JobRow{}, runningTasks: map[model.WorkerID][]msg.TaskReport{},
 		core: control.NewCore(control.Options{Cell: cellName, Entry: "entry-1", Boot: 1,
 			Planner: place.New(place.Options{}), Health: health.New()})}
 }
 
+// newController returns a controller that owns its cell and is linked to the agents
+// of the workers.
 func newController(workers int) *controller {
 	c := unlinkedController()
 	c.linkWorkers(workers)
@@ -63,6 +67,7 @@
 	c.advance(claimDuration)
 }
 
+// apply applies an event and all events that answer its effects.
 func (c *controller) apply(event control.Event) {
 	c.events = append(c.events, event)
 	for len(c.events) > 0 {
@@ -76,6 +81,7 @@
 
 func (c *controller) enqueue(e control.Event) { c.events = append(c.events, e) }
 
+// perform carries out an effect and queues the event that answers it.
 func (c *controller) perform(effect control.Effect) {
 	switch effect := effect.(type) {
 	case control.Observe:
@@ -100,7 +106,7 @@
 	}
 }
 
-// agent answers a command as the agent of a worker does.
+// answerCommand answers a command as the agent of a worker does.
 func (c *controller) answerCommand(id model.WorkerID, m msg.Control) {
 	switch m := m.(type) {
 	case *msg.CellClaim:
@@ -122,7 +128,7 @@
 	}
 }
 
-// pass lets d pass.
+// advance advances the virtual time by d, with the timers and task ends within it.
 func (c *controller) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		next := min(max(c.core.Next(), c.now+time.Microsecond), end)
@@ -140,7 +146,7 @@
 	}
 }
 
-// submit adds the rows of n jobs from the number first on.
+// submit adds the rows of n jobs, numbered from first, for the next scan.
 func (c *controller) submit(first, n int, long bool) {
 	for i := range n {
 		row := jobRow(first + i)
@@ -150,7 +156,8 @@
 	}
 }
 
-// fill runs perWorker tasks without an end on each worker.
+// fillWorkers submits perWorker long-running tasks for each worker and advances the
+// time until they run.
 func (c *controller) fillWorkers(workers, perWorker int) {
 	c.submit(1_000_000, workers*perWorker, true)
 	for range 600 {
@@ -158,18 +165,19 @@
 			return
 		}
 	}
-	panic(fmt.Sprintf("%d tasks run, not %d", c.running, workers*perWorker))
+	panic(fmt.Sprintf("%d tasks run, want %d", c.running, workers*perWorker))
 }
 
-// processorTime is the processor time of this process so far in seconds.
+// processorSeconds returns the processor time that this process has used so far,
+// in seconds.
 func processorSeconds() float64 {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
 }
 
-// load submits jobs at a rate for d and returns the processor time for each
-// second and the commits for each second.
+// runLoad submits rate jobs a second for d. It returns the processor time used, in
+// cores, and the commits per second of virtual time.
 func (c *controller) runLoad(rate int, d time.Duration) (cores, commits float64) {
 	startedAt, before, count := processorSeconds(), c.commits, 0
 	const ticks = 10
@@ -182,9 +190,11 @@
 	return (processorSeconds() - startedAt) / d.Seconds(), float64(c.commits-before) / d.Seconds()
 }
 
-const tasksPerWorker = 19 // 129,000 tasks on 6,900 workers
+// tasksPerWorker is the mean of 129,000 tasks on 6,900 workers.
+const tasksPerWorker = 19
 
-// Measures what each task start and end costs a controller of 690 workers.
+// Measures the processor time and the commits of a controller of 690 workers for
+// each task that starts and ends.
 func BenchmarkTaskStarts(b *testing.B) {
 	s := newSeries("task start/s", "BenchmarkTaskStarts")
 	for _, rate := range []int{0, 20, 58, 116} {
@@ -199,8 +209,8 @@
 	s.finish(b)
 }
 
-// Measures what each worker costs a controller without task starts, lease
-// renewals and timers included.
+// Measures the processor time of a controller for each worker while no task starts.
+// It includes lease renewals and timers.
 func BenchmarkWorkersOfACell(b *testing.B) {
 	s := newSeries("worker of a cell", "BenchmarkWorkersOfACell")
 	for _, n := range []int{11, 100, 345, 690} {
@@ -212,7 +222,8 @@
 	s.finish(b)
 }
 
-// Measures a placement decision: plan, verification and reservation.
+// Measures the processor time of a placement decision: plan, verification and
+// reservation.
 func BenchmarkPlacementDecision(b *testing.B) {
 	s := newSeries("worker of a cell", "BenchmarkPlacementDecision")
 	for _, n := range []int{11, 100, 345, 690} {
@@ -221,7 +232,8 @@
 	s.finish(b)
 }
 
-// decisionTime places rounds of 11 jobs on workers that run 17 tasks each.
+// decisionSeconds places rounds of 11 jobs on workers that run 17 tasks each. It
+// returns the processor time for each placed job in seconds.
 func decisionSeconds(workers int) float64 {
 	const perRound, rounds = 11, 300
 	ledger, planner := place.NewLedger(), place.New(place.Options{})
@@ -255,8 +267,8 @@
 		Labels: r.Spec.Labels, Size: r.Spec.Resources}
 }
 
-// Guards against a driver whose agents or table do not do what the core waits
-// for, so that the benchmarks would measure an idle controller.
+// Guards against a simulation whose agents or table do not send the answers that
+// the core waits for: the benchmarks would then measure an idle controller.
 func TestControllerDriverStartsEveryJob(t *testing.T) {
 	c := newController(11)
 	c.fillWorkers(11, 2)
--- a/internal/capacity/fleet_slopes_test.go
+++ b/internal/capacity/fleet_slopes_test.go
@@ -18,8 +18,8 @@
 	perSecond      = "1/s"
 )
 
-// Measures what an idle linked agent costs at an entry which owns its cell,
-// and what an agent itself costs.
+// Measures the cost of an idle linked agent to an entry that owns its cell, and the
+// cost of the agent itself.
 func BenchmarkLinkedAgents(b *testing.B) {
 	s := newSeries("linked agent", "BenchmarkLinkedAgents")
 	for _, n := range []int{50, 100, 200, 400} {
@@ -40,8 +40,8 @@
 	s.finish(b)
 }
 
-// Measures what each further link costs an agent, and each further entry
-// costs the table.
+// Measures the cost of each further link to an agent, and of each further entry to
+// the table.
 func BenchmarkLinksOfAnAgent(b *testing.B) {
 	const agents = 50
 	s := newSeries("link of an agent", "BenchmarkLinksOfAnAgent")
@@ -59,7 +59,7 @@
 	s.finish(b)
 }
 
-// Measures what each running task costs its agent, its controller and the link.
+// Measures the cost of each running task to its agent, its controller and the link.
 func BenchmarkRunningTasks(b *testing.B) {
 	const agents = 50
 	s := newSeries("running task of an agent", "BenchmarkRunningTasks")
@@ -76,7 +76,7 @@
 	s.finish(b)
 }
 
-// Measures what each configuration item costs each daemon.
+// Measures the memory of each daemon for each configuration item.
 func BenchmarkConfigurationItems(b *testing.B) {
 	const agents = 20
 	s := newSeries("configuration item", "BenchmarkConfigurationItems")
@@ -88,7 +88,7 @@
 	s.finish(b)
 }
 
-// Measures what each edit costs each daemon and the table.
+// Measures the cost of each edit to each daemon and the table.
 func BenchmarkEdits(b *testing.B) {
 	const agents = 50
 	s := newSeries("edit/s", "BenchmarkEdits")
@@ -104,8 +104,8 @@
 	s.finish(b)
 }
 
-// Measures what each queued request costs an entry: its caller's connection,
-// its goroutines and its place in the queue.
+// Measures the cost of each queued request to an entry: the connection of its
+// caller, its goroutines and its element of the queue.
 func BenchmarkQueuedRequests(b *testing.B) {
 	s := newSeries("queued request", "BenchmarkQueuedRequests")
 	hang := serveHanging(b)
@@ -126,7 +126,7 @@
 	s.finish(b)
 }
 
-// serveHanging starts a backend server that never answers.
+// serveHanging starts a backend server that never answers, and returns its address.
 func serveHanging(b *testing.B) string {
 	l := listenLoopback()
 	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })}
@@ -135,7 +135,7 @@
 	return l.Addr().String()
 }
 
-// queue opens requests that wait until the benchmark ends.
+// queue sends n requests, which wait until the benchmark ends.
 func queue(b *testing.B, callers string, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{}}
@@ -144,7 +144,7 @@
 		go func() {
 			r, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+callers+"/sleep", nil)
 			if reply, err := client.Do(r); err == nil {
-				b.Errorf("a request did not wait: status %d", reply.StatusCode)
+				b.Errorf("request was answered with status %d; it should have waited until the end", reply.StatusCode)
 				_ = reply.Body.Close()
 			}
 		}()
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -20,13 +20,14 @@
 	measurementWindow = 30 * time.Second // a multiple of every period of the protocol
 )
 
-// child is a process that runs one role.
+// child is a child process that runs the daemons of one role.
 type child struct {
 	b   *testing.B
 	in  io.WriteCloser
 	out *bufio.Reader
 }
 
+// startChild starts a child process. It ends with the benchmark.
 func startChild(b *testing.B, p childPlan) *child {
 	raw, err := json.Marshal(p)
 	require.NoError(b, err)
@@ -38,10 +39,12 @@
 	out, err := c.StdoutPipe()
 	require.NoError(b, err)
 	require.NoError(b, c.Start())
-	b.Cleanup(func() { _ = in.Close(); _ = c.Wait() }) // the child ends with its input
+	b.Cleanup(func() { _ = in.Close(); _ = c.Wait() }) // the child ends when its standard input does
 	return &child{b, in, bufio.NewReader(out)}
 }
 
+// requestSample requests a sample; kind "memory" includes the memory, "cpu" does
+// not.
 func (c *child) requestSample(kind string) (s sample) {
 	_, err := fmt.Fprintln(c.in, kind)
 	require.NoError(c.b, err)
@@ -51,23 +54,25 @@
 	return s
 }
 
-// setup is one run: agents linked through counting proxies to entries, of
-// which the first owns the cell.
+// setup describes a run: agents that are linked through counting proxies to
+// entries, of which the first owns the cell.
 type setup struct {
-	agents, entries, tasks, items int
-	edits                         float64 // for each second
-	begin                         func(entry, agent sample)
+	agents, entries, tasks, items int                       // tasks for each agent
+	edits                         float64                   // per second
+	begin                         func(entry, agent sample) // optional; called when all tasks run
 }
 
-// result is what a run measured over its window.
+// result has the figures of a run over its measurement window.
 type result struct {
 	entry, agent                     sample  // at the end of the window
-	entryCPU, agentCPU               float64 // share of a core
-	reads, writes                    float64 // for each second
+	entryCPU, agentCPU               float64 // cores
+	reads, writes                    float64 // per second, at the table
 	toEntry, toAgent                 float64 // bytes/s, all links
-	segmentsToEntry, segmentsToAgent float64 // for each second, all links
+	segmentsToEntry, segmentsToAgent float64 // per second, all links
 }
 
+// measureRun starts the processes of a run, waits until they are in a steady state
+// and measures them.
 func measureRun(b *testing.B, s setup) result {
 	entry := startChild(b, childPlan{Entries: s.entries, Items: s.items, Jobs: s.agents * s.tasks})
 	first := entry.requestSample("cpu")
@@ -92,9 +97,10 @@
 	return measureWindow(b, s, entry, agent, proxies)
 }
 
-// pass lets the processes run. The figures are rates over this time.
+// letRun waits while the processes run. Figures are rates over this time.
 func letRun(d time.Duration) { <-time.After(d) }
 
+// measureWindow measures the processes during the measurement window.
 func measureWindow(b *testing.B, s setup, entry, agent *child, proxies []*countingProxy) result {
 	entry.requestSample("memory")
 	agent.requestSample("memory")
@@ -115,6 +121,7 @@
 	return measured
 }
 
+// totalCounts returns the sum of the counts of all proxies.
 func totalCounts(proxies []*countingProxy) (sum proxyCounts) {
 	for _, p := range proxies {
 		c := p.count()
@@ -126,7 +133,8 @@
 	return sum
 }
 
-// edit makes edits of one item each at a rate during the window.
+// sendEdits sends edits of one item each, rate a second, during the measurement
+// window.
 func sendEdits(b *testing.B, operator string, rate float64) {
 	interval := time.Duration(float64(time.Second) / rate)
 	tick := time.NewTicker(interval)
--- a/internal/capacity/host_test.go
+++ b/internal/capacity/host_test.go
@@ -12,7 +12,7 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// host is a worker whose tasks run until they are stopped.
+// fakeHost is the host of an agent; its tasks run until they are stopped.
 type fakeHost struct {
 	mu    sync.Mutex
 	tasks map[model.AttemptID]time.Time
@@ -58,7 +58,7 @@
 func (h *fakeHost) Throttle(context.Context, model.AttemptID, int) error { return nil }
 func (h *fakeHost) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
 
-// jobRow is a job of a size that lets 24 of them run on a worker.
+// jobRow returns the row of a job of a size of which 24 fit on a worker.
 func jobRow(i int) model.JobRow {
 	return model.JobRow{Phase: "pending", Spec: model.JobSpec{
 		ID: model.JobID(fmt.Sprintf("roster-%07d", i)), Team: model.Team(fmt.Sprintf("team-%03d", i%180)), Class: "roster-batch",
@@ -67,12 +67,14 @@
 	}}
 }
 
+// configChange returns a configuration item of a worker.
 func configChange(i int) model.ConfigChange {
 	return model.ConfigChange{Version: 1, Key: model.ConfigKey{Kind: model.KindWorker, Name: fmt.Sprintf("host-%06d", i)},
 		Item: &model.ConfigItem{Labels: model.Labels{"pool": "permits", "maintenance": fmt.Sprintf("week-%02d", i%52)}}}
 }
 
-// seed writes the configuration and the jobs of a plan.
+// seedTable writes the configuration and the jobs of a plan, at most 100 rows in a
+// transaction.
 func seedTable(ctx context.Context, table storage.Table, p childPlan) {
 	put := func(key string, v any) storage.Put { return storage.Put{Key: key, Value: rows.Encode(v)} }
 	var puts []storage.Put
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -13,10 +13,11 @@
 
 var writePage = flag.Bool("write", false, "write the tables into docs/CAPACITY.md")
 
+// generatedTable matches a generated table of the page.
 var generatedTable = regexp.MustCompile(`(?s)<!-- table (\w+) -->\n.*?<!-- end -->\n`)
 
-// Guards against a page whose tables do not follow from the recorded slopes,
-// or that lacks one.
+// Guards against a page that lacks a table, or whose tables differ from those
+// computed from the recorded slopes, as after an edit by hand or a new measurement.
 func TestPageFollowsFromSlopes(t *testing.T) {
 	raw, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
@@ -38,11 +39,11 @@
 		require.NoError(t, os.WriteFile(pageFile, []byte(want), 0o644))
 		return
 	}
-	require.Empty(t, stale, "tables that do not follow from the slopes; run: go test -run TestPageFollowsFromSlopes ./internal/capacity -write")
+	require.Empty(t, stale, "tables differ from those computed from the slopes; run: go test -run TestPageFollowsFromSlopes ./internal/capacity -write")
 }
 
-// Guards against a calculation that names a quantity which nobody measured: a
-// missing one would count as zero.
+// Guards against a calculation with a quantity that is not recorded: a missing one
+// would count as zero.
 func TestEveryQuantityOfThePageIsMeasured(t *testing.T) {
 	s := loadSlopes(t)
 	used := regexp.MustCompile(`s\["([a-zA-Z0-9.]+)"\]`)
--- a/internal/capacity/proxy_test.go
+++ b/internal/capacity/proxy_test.go
@@ -5,12 +5,13 @@
 	"sync/atomic"
 )
 
-// proxy forwards TCP connections and counts what passes. A read is taken for
-// one segment: each write of yamux is one write to the socket.
+// countingProxy forwards TCP connections and counts their bytes and segments. It
+// counts each read as one segment, because yamux makes one write to the socket for
+// each of its own.
 type countingProxy struct {
 	listener        net.Listener
 	accepted        atomic.Int64
-	bytes, segments [2]atomic.Int64 // to the entry, to the agent
+	bytes, segments [2]atomic.Int64 // to the entry (0) and to the agent (1)
 }
 
 func newCountingProxy(target string) *countingProxy {
@@ -34,6 +35,7 @@
 	return p
 }
 
+// forward copies the bytes of one direction until src or dst fails.
 func (p *countingProxy) forward(direction int, dst, src net.Conn) {
 	buf := make([]byte, 4<<10)
 	for {
@@ -50,7 +52,8 @@
 	}
 }
 
-// counted is what passed through a proxy.
+// proxyCounts are the bytes and segments that passed through a proxy, to the entry
+// and to the agent.
 type proxyCounts struct{ bytes, segments [2]float64 }
 
 func (p *countingProxy) count() (c proxyCounts) {
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -13,27 +13,28 @@
 
 const (
 	slopesFile = "slopes.json"
-	// significant is the number of digits that are recorded of a figure.
+	// significantDigits is the number of recorded significant digits of a figure.
 	significantDigits = 4
 )
 
 var record = flag.Bool("record", false, "write the measured slopes to "+slopesFile)
 
-// slope is a measured quantity with its linear fit.
+// slope is a measured quantity y with its linear fit over x.
 type slope struct {
-	Per     string       `json:"per"`  // unit of x
-	Unit    string       `json:"unit"` // unit of y
-	Command string       `json:"command"`
-	Points  [][2]float64 `json:"points"`
-	Slope   float64      `json:"slope"`
-	Base    float64      `json:"base"`  // y at x = 0
-	Error   float64      `json:"error"` // standard error of the slope
+	Per     string       `json:"per"`     // unit of x
+	Unit    string       `json:"unit"`    // unit of y
+	Command string       `json:"command"` // measures the quantity again
+	Points  [][2]float64 `json:"points"`  // x and y
+	Slope   float64      `json:"slope"`   // units of y for each unit of x
+	Base    float64      `json:"base"`    // y at x = 0
+	Error   float64      `json:"error"`   // standard error of the slope
 }
 
-// at returns the fitted value.
+// at returns the fitted value at x.
 func (s slope) at(x float64) float64 { return s.Base + s.Slope*x }
 
-// measured returns the point at x, for a quantity that is not linear.
+// measured returns the measured value at x, for a quantity that is not linear. It
+// panics if no point has this x.
 func (s slope) measured(x float64) float64 {
 	for _, p := range s.Points {
 		if p[0] == x {
@@ -43,7 +44,8 @@
 	panic(fmt.Sprintf("no point at %g %s", x, s.Per))
 }
 
-// fit computes the least-squares line through the points.
+// fit computes the least-squares line through the points and the standard error of
+// its slope. It needs three points.
 func (s *slope) fit() {
 	n := float64(len(s.Points))
 	var meanX, meanY, sumXX, sumXY, residualSum float64
@@ -64,6 +66,7 @@
 	s.Error = roundSignificant(math.Sqrt(residualSum / (n - 2) / sumXX))
 }
 
+// roundSignificant rounds to significantDigits.
 func roundSignificant(v float64) float64 {
 	if v == 0 {
 		return 0
@@ -80,7 +83,7 @@
 	return slopes
 }
 
-// series collects the points of quantities that share their runs.
+// series collects the points of quantities that are measured in the same runs.
 type series struct {
 	per, command string
 	quantities   map[string]*slope
@@ -91,7 +94,8 @@
 		command: "go test -run '^$' -bench '^" + bench + "$' -benchtime 1x ./internal/capacity -record"}
 }
 
-// newTestSeries is for measurements in virtual time, which only tests can make.
+// newTestSeries returns a series that a test measures: testing/synctest, which
+// provides virtual time, is available to tests only.
 func newTestSeries(per, test string) *series {
 	s := newSeries(per, "")
 	s.command = "go test -count=1 -run '^" + test + "$' ./internal/capacity -record"
@@ -107,7 +111,8 @@
 	quantity.Points = append(quantity.Points, [2]float64{x, roundSignificant(y)})
 }
 
-// finish fits the quantities, reports them and records them if asked to.
+// finish fits the quantities, logs them and, with -record, writes them to
+// slopesFile.
 func (s *series) finish(b testing.TB) {
 	for name, quantity := range s.quantities {
 		quantity.fit()
@@ -125,8 +130,8 @@
 	require.NoError(b, os.WriteFile(slopesFile, append(raw, '\n'), 0o644))
 }
 
-// Guards against a fit that was edited by hand, or has too few points for an
-// error.
+// Guards against a recorded fit that was edited by hand, or that has too few points
+// for a standard error.
 func TestRecordedFitsFollowFromTheirPoints(t *testing.T) {
 	for name, s := range loadSlopes(t) {
 		recomputed := s
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -21,33 +21,35 @@
 )
 
 const (
-	tableDelayMs   = 10 // of each operation
+	tableDelayMs   = 10 // of each operation of the table
 	tableWorkers   = 40 // enough for the tasks of the highest rate
 	submitInterval = 50 * time.Millisecond
 )
 
-// cellRun is one cell in virtual time: the controller's actors, the simulated
-// table service, and agents that answer at once.
+// cellRun is a run of one cell in virtual time: the actors of its controller, the
+// simulated table service and agents that answer at once.
 type cellRun struct {
 	ctx       context.Context
 	table     *standin.Table
 	control   actor.Address[control.Message]
-	submitted map[model.JobID]time.Time // owned by the submitting goroutine until it has ended
+	submitted map[model.JobID]time.Time // time of submission; used only by the goroutine that submits
 	started   chan taskStart
 }
 
+// taskStart is the time at which an agent received the start of a task.
 type taskStart struct {
 	job model.JobID
 	at  time.Time
 }
 
-// cellCost is what a cell cost the table, without the submissions.
+// cellCost is the load of a cell on the table, without the submissions, and the
+// waiting times of its jobs.
 type cellCost struct {
-	writes, reads float64 // for each second
-	waits         []time.Duration
+	writes, reads float64         // per second
+	waits         []time.Duration // from submission to start, ascending
 }
 
-// runCell starts rate tasks a second in a cell for d.
+// runCell submits rate jobs a second to a cell for d.
 func runCell(t *testing.T, rate int, d time.Duration) (cost cellCost) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -73,7 +75,8 @@
 	return cost
 }
 
-// submit writes rows of urgent jobs and returns the number of its writes.
+// submit writes the rows of rate urgent jobs a second for d. It returns the number
+// of its transactions.
 func (r *cellRun) submit(rate int, d time.Duration) (writes int) {
 	count := 0
 	for i := range int(d / submitInterval) {
@@ -104,7 +107,8 @@
 	return waits
 }
 
-// startAgent links an agent whose tasks end after taskLength.
+// startAgent starts an agent whose tasks end after taskLength, and links it to the
+// controller.
 func (r *cellRun) startAgent(g *actor.Group, w model.Worker) {
 	reply := func(m msg.Control) { _ = r.control.Send(r.ctx, control.FromAgent{Worker: w.ID, Msg: m}) }
 	link := actor.Spawn(g, actor.Spec[msg.Control]{Name: "agent", Mailbox: 1024, Run: func(ctx context.Context, in <-chan msg.Control) error {
@@ -141,14 +145,15 @@
 	}
 }
 
-// quantile returns a quantile of an ascending list in seconds.
+// quantile returns the quantile q of an ascending list in seconds.
 func quantile(sorted []time.Duration, q float64) float64 {
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))].Seconds()
 }
 
-// Guards against a controller that writes a transaction for each task instead
-// of grouping them, or starts urgent work later than 1.4 s. With -record it
-// measures the slopes of the page; otherwise one short run is enough.
+// Guards against a controller that writes a transaction for each task instead of
+// grouping the rows, or that starts urgent work more than 1.4 s after its
+// submission. With -record it measures the slopes at all rates; otherwise it makes
+// short runs at two rates.
 func TestTableOperationsOfACell(t *testing.T) {
 	rates, d := []int{0, 20}, 5*time.Second
 	if *record {
@@ -173,8 +178,8 @@
 	}
 }
 
-// Guards against agents that read the directory more often than the table
-// allows. With -record it measures the slope of the page.
+// Guards against agents that read the directory so often that 6,900 of them exceed
+// the table's 2,000 reads/s. With -record it measures the slope.
 func TestTableOperationsOfAgents(t *testing.T) {
 	counts, d := []int{1, 10}, 10*time.Minute
 	if *record {
@@ -187,7 +192,7 @@
 			g := actor.NewGroup(ctx, nil)
 			table := standin.NewTable(g, standin.StoreFaults{ReadsPerSecond: -1})
 			for range n {
-				// The interval of internal/daemon's agentDirectoryInterval.
+				// As agentDirectoryInterval of internal/daemon.
 				directory.Follow(g, table, time.Minute, discardLog(), func(directory.List) {})
 			}
 			actor.Sleep(ctx, d)
--- a/internal/capacity/tables_test.go
+++ b/internal/capacity/tables_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// tables are the generated parts of docs/CAPACITY.md by name.
+// tables computes the generated tables of docs/CAPACITY.md, by name.
 var tables = map[string]func(map[string]slope) string{
 	"split": splitTable, "roles": rolesTable, "table": storeTable, "limits": limitsTable, "badhour": badHourTable,
 	"targets": figuresTable, "slopes": slopesTable,
@@ -45,7 +45,8 @@
 	return out
 }
 
-// tableLoad returns the operations at the table at a rate of task starts.
+// tableLoad returns the writes and reads per second at the table, as pairs of source
+// and rate with their sums, while each cell starts startsPerCell tasks a second.
 func tableLoad(s map[string]slope, startsPerCell float64) (writes, reads [][2]any, totalWrites, totalReads float64) {
 	l := targetLayout()
 	add := func(list *[][2]any, sum *float64, name string, v float64) {
@@ -79,7 +80,7 @@
 		tableRow("budget", formatNumber(budgetWritesPerSecond)+", "+fitsText(totalWrites <= budgetWritesPerSecond), formatNumber(budgetReadsPerSecond)+", "+fitsText(totalReads <= budgetReadsPerSecond))
 }
 
-// limitsTable says how many links an entry may have by each budget.
+// limitsTable states how many links of an entry each budget allows.
 func limitsTable(s map[string]slope) string {
 	idle := s["links.toEntry"].Slope + s["links.toAgent"].Slope
 	heartbeats := 2 * heartbeatsPerSide * heartbeatBytes()
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -9,7 +9,7 @@
 )
 
 // The target size of docs/design.md section 1.4, and the assumptions of
-// docs/CAPACITY.md where the target leaves a number open.
+// docs/CAPACITY.md where the target does not state a number.
 const (
 	targetWorkers         = 6900
 	targetDataCentres     = 10
@@ -18,14 +18,14 @@
 	targetStartsPerSecond = 580.0
 	targetJobsPerDay      = 46_000
 	targetEditsPerDay     = 3300
-	targetRestarts        = 1500 // all in the bad hour
+	targetRestarts        = 1500 // agents that restart in the worst hour
 
 	entriesPerDataCentre = 3
 	cellsPerDataCentre   = 1
 	configItems          = 7500 // 6,900 workers, 180 teams, services, classes and selectors
 	waitingJobs          = 2000 // for each cell
 	queuedRequests       = 1000 // for each entry
-	peakEditFactor       = 10   // times the daily mean
+	peakEditFactor       = 10   // peak rate of edits, as a multiple of the daily mean
 
 	budgetCores           = 0.016
 	budgetMemoryBytes     = 128e6
@@ -34,15 +34,15 @@
 	budgetReadsPerSecond  = 2000.0
 	secondsPerDay         = 86_400.0
 	secondsPerHour        = 3600.0
-	readsPerWatchedCell   = 2.0 // two rows a second for each cell that an entry watches
-	packetHeaderBytes     = 52  // TCP with timestamps, and IP; once for the segment and once for its acknowledgement
+	readsPerWatchedCell   = 2.0 // reads/s of an entry for each cell that it watches: two rows a second
+	packetHeaderBytes     = 52  // bytes of TCP with timestamps and of IP, for a segment and again for its acknowledgement
 	muxHeaderBytes        = 12
 	rowsPerTxn            = 120.0
-	linksOfEditBenchmark  = 50  // agents of BenchmarkEdits; its time is taken to grow with them
-	heartbeatsPerSide     = 1.0 // for each second
+	linksOfEditBenchmark  = 50  // agents of BenchmarkEdits; the time of an edit is assumed to be proportional to them
+	heartbeatsPerSide     = 1.0 // heartbeats/s of each end of a link
 )
 
-// layout is how the target is split up.
+// layout is the division of the target into cells, entries and links.
 type layout struct {
 	workersPerCell, tasksPerCell, tasksPerWorker float64
 	entries, cells                               float64
@@ -62,10 +62,11 @@
 	return l
 }
 
-// cost is what a daemon costs.
+// cost is the use of resources by a daemon: memory in bytes, processor time in
+// cores, network traffic per second.
 type cost struct{ memory, heldMemory, cores, bytesPerSecond, bytesWithHeaders, messagesPerSecond float64 }
 
-// agentCost is the cost of an agent with its share of the tasks.
+// agentCost returns the cost of an agent with its share of the tasks.
 func agentCost(s map[string]slope, l layout) (c cost) {
 	c.memory = s["agents.agentLive"].Base + s["links.agentLive"].at(l.linksPerAgent) +
 		s["tasks.agentLive"].Slope*l.tasksPerWorker + s["items.agentLive"].Slope*configItems
@@ -79,7 +80,7 @@
 	return c
 }
 
-// entryCost is the cost of an entry; as the owner it controls a cell.
+// entryCost returns the cost of an entry. An owner controls a cell as well.
 func entryCost(s map[string]slope, l layout, owner bool) (c cost) {
 	links := l.linksPerEntry
 	c.memory = s["agents.entryLive"].at(links) + s["items.entryLive"].Slope*configItems + s["queue.entryLive"].Slope*queuedRequests
@@ -88,7 +89,8 @@
 	c.messagesPerSecond = links * (s["links.segmentsToEntry"].Slope + s["links.segmentsToAgent"].Slope)
 	if owner {
 		c.memory += s["tasks.entryLive"].Slope*l.tasksPerCell + s["jobs.waitingLive"].Slope*waitingJobs
-		// The time for the tasks' usage reports, tasks.entryCPU, is below its error.
+		// The processor time of the tasks' usage reports, tasks.entryCPU, is
+		// left out, because it is smaller than its standard error.
 		c.cores += s["starts.controllerCPU"].at(l.startsPerCell)
 		c.bytesPerSecond += s["tasks.toEntry"].Slope*l.tasksPerCell + l.workersPerCell*
 			(s["agents.toEntry"].Slope+s["agents.toAgent"].Slope-s["links.toEntry"].Slope-s["links.toAgent"].Slope)
@@ -100,13 +102,13 @@
 	return c
 }
 
-// heldRatio is the memory that the runtime holds of the system for each live
-// byte.
+// heldRatio returns the bytes that the runtime has obtained from the operating
+// system for each live byte.
 func heldRatio(s map[string]slope) float64 {
 	return s["agents.entryHeld"].Slope / s["agents.entryLive"].Slope
 }
 
-// heartbeatBytes is the size of a heartbeat on the wire.
+// heartbeatBytes returns the size of a heartbeat on the wire.
 func heartbeatBytes() float64 {
 	b, err := wire.AppendControl(nil, &msg.Heartbeat{})
 	if err != nil {
@@ -115,7 +117,7 @@
 	return float64(len(b) + muxHeaderBytes)
 }
 
-// configBytes is the size of the whole configuration on the wire.
+// configBytes returns the size of the whole configuration on the wire.
 func configBytes() float64 {
 	d := &msg.ConfigDelta{Full: true, To: 1}
 	for i := range configItems {
@@ -141,6 +143,7 @@
 	return tableRow(cells...) + "|" + strings.Repeat(" --- |", len(cells)) + "\n"
 }
 
+// formatNumber formats a number with the precision that suits its size.
 func formatNumber(v float64) string {
 	switch {
 	case v >= 10_000:
