--- a/test/calls_test.go
+++ b/test/calls_test.go
@@ -22,13 +22,13 @@
 
 // request sends a caller's request in the background.
 func (s *system) request(key, entry, method, path, body string) {
-	record := history.Call{Key: key, Method: method, Entry: entry, Want: expectedBody(method, path, body), Sent: time.Now().UnixNano()}
+	call := history.Call{Key: key, Method: method, Entry: entry, Want: expectedBody(method, path, body), Sent: time.Now().UnixNano()}
 	pending := &pendingCall{key: key, done: make(chan history.Call, 1)}
 	s.pendingCalls = append(s.pendingCalls, pending)
 	address, ctx := s.addr("caller>"+entry), s.group.Context()
 	go func() {
-		sendRequest(ctx, &record, "http://"+address+path, body)
-		pending.done <- record
+		sendRequest(ctx, &call, "http://"+address+path, body)
+		pending.done <- call
 	}()
 }
 
@@ -48,25 +48,25 @@
 }
 
 // sendRequest sends a request and records its response or error.
-func sendRequest(ctx context.Context, record *history.Call, target, body string) {
-	defer func() { record.Ended = time.Now().UnixNano() }()
+func sendRequest(ctx context.Context, call *history.Call, target, body string) {
+	defer func() { call.Ended = time.Now().UnixNano() }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	req, err := http.NewRequestWithContext(ctx, record.Method, target, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, call.Method, target, strings.NewReader(body))
 	if err != nil {
-		record.Error = err.Error()
+		call.Error = err.Error()
 		return
 	}
-	req.Header.Set(standin.KeyHeader, record.Key)
+	req.Header.Set(standin.KeyHeader, call.Key)
 	resp, err := client.Do(req)
 	if err != nil {
-		record.Error = err.Error()
+		call.Error = err.Error()
 		return
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
-	record.Status, record.Outcome, record.Body = resp.StatusCode, resp.Header.Get(model.OutcomeHeader), string(raw)
+	call.Status, call.Outcome, call.Body = resp.StatusCode, resp.Header.Get(model.OutcomeHeader), string(raw)
 	if err != nil {
-		record.Error = err.Error()
+		call.Error = err.Error()
 	}
 }
 
@@ -100,7 +100,7 @@
 func (s *system) submit(entry, id, program string) error {
 	err := s.sendJob(entry, id, program)
 	if err == nil {
-		s.record.Accepted = append(s.record.Accepted, id)
+		s.history.Accepted = append(s.history.Accepted, id)
 	}
 	return err
 }
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -87,8 +87,8 @@
 		_ = os.RemoveAll(dir)
 	})
 	ts.Check(s.start(dir))
-	for _, e := range processNames("entry", entryCount) {
-		ts.Setenv(strings.ReplaceAll(e, "-", "_"), "http://"+s.addr("operator>"+e))
+	for _, entry := range processNames("entry", entryCount) {
+		ts.Setenv(strings.ReplaceAll(entry, "-", "_"), "http://"+s.addr("operator>"+entry))
 	}
 }
 
@@ -108,9 +108,9 @@
 		return name
 	}
 	owner, _ := s.owner()
-	for _, e := range processNames("entry", entryCount) {
-		if (e == owner) == (name == "owner") {
-			return e
+	for _, entry := range processNames("entry", entryCount) {
+		if (entry == owner) == (name == "owner") {
+			return entry
 		}
 	}
 	return name
--- a/test/edits_test.go
+++ b/test/edits_test.go
@@ -28,7 +28,7 @@
 func (s *system) edit(entry, id, kind, name, key, value string) error {
 	accepted, err := s.acceptEdit(entry, id, kind, name, key, value)
 	if err == nil {
-		s.record.Edits = append(s.record.Edits, accepted)
+		s.history.Edits = append(s.history.Edits, accepted)
 	}
 	return err
 }
@@ -64,29 +64,29 @@
 		err  error
 	}
 	results := make(chan outcome, entryCount)
-	for n, e := range processNames("entry", entryCount) {
+	for n, entry := range processNames("entry", entryCount) {
 		name := "raced"
 		if args[0] == "different" {
-			name += e
+			name += entry
 		}
 		go func() {
 			id := fmt.Sprintf("race-%s-%d-%d", args[0], base, n)
-			edit, err := s.sendEdit(e, labelEdit(id, base, "team", name, "by", e))
+			edit, err := s.sendEdit(entry, labelEdit(id, base, "team", name, "by", entry))
 			results <- outcome{edit, err}
 		}()
 	}
 	want, accepted := map[string]int{"same": 1, "different": entryCount}[args[0]], 0
-	var last error
+	var lastErr error
 	for range entryCount {
 		if result := <-results; result.err != nil {
-			last = result.err
+			lastErr = result.err
 		} else {
 			accepted++
-			s.record.Edits = append(s.record.Edits, result.edit)
+			s.history.Edits = append(s.history.Edits, result.edit)
 		}
 	}
 	if accepted != want {
-		return fmt.Errorf("%d of %d concurrent edits were accepted, want %d (last error: %v)", accepted, entryCount, want, last)
+		return fmt.Errorf("%d of %d concurrent edits were accepted, want %d (last error: %v)", accepted, entryCount, want, lastErr)
 	}
 	return nil
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -19,7 +19,7 @@
 
 // terminate starts the graceful shutdown of a process.
 func (s *system) terminate(name string) error {
-	s.record.Shutdowns = append(s.record.Shutdowns, history.Shutdown{Process: name, At: time.Now().UnixNano()})
+	s.history.Shutdowns = append(s.history.Shutdowns, history.Shutdown{Process: name, At: time.Now().UnixNano()})
 	s.processes[name].signal(syscall.SIGTERM)
 	return nil
 }
@@ -33,21 +33,23 @@
 	case <-time.After(waitTimeout):
 		return fmt.Errorf("%s has not ended after %v", name, waitTimeout)
 	}
-	for i, shutdown := range s.record.Shutdowns {
+	for i, shutdown := range s.history.Shutdowns {
 		if shutdown.Process == name && shutdown.Ended == 0 {
-			s.record.Shutdowns[i].Ended = time.Now().UnixNano()
+			s.history.Shutdowns[i].Ended = time.Now().UnixNano()
 		}
 	}
 	s.beginFault("kill " + name)
 	return p.exitErr
 }
 
+// freeze stops a process with SIGSTOP until resume.
 func (s *system) freeze(name string) error {
 	s.beginFault("freeze " + name)
 	s.processes[name].signal(syscall.SIGSTOP)
 	return nil
 }
 
+// resume lets a frozen process continue.
 func (s *system) resume(name string) error {
 	s.processes[name].signal(syscall.SIGCONT)
 	s.endFault("freeze " + name)
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -56,7 +56,7 @@
 // collectHistory returns the recorded history with the logs of the simulators, the
 // commits of the table and the observed configuration versions.
 func (s *system) collectHistory() (history.History, error) {
-	collected := s.record
+	collected := s.history
 	collected.Calls, collected.Steps = s.endedCalls, map[string]int{}
 	for _, watcher := range s.versionWatchers {
 		reply := make(chan []history.ConfigView)
@@ -142,8 +142,8 @@
 // waitLinked waits until every backend server is ready at every entry and the
 // cell has an owner that knows every worker.
 func (s *system) waitLinked() error {
-	for _, e := range processNames("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return s.allBackendsReady(e) }); err != nil {
+	for _, entry := range processNames("entry", entryCount) {
+		if err := waitUntil("every backend server is ready at "+entry, func() (bool, error) { return s.allBackendsReady(entry) }); err != nil {
 			return err
 		}
 	}
@@ -152,30 +152,31 @@
 		if owner == "" || err != nil {
 			return false, err
 		}
-		st, err := s.status(owner)
-		return err == nil && len(st.Cells) == 1 && len(st.Cells[0].Workers) == agentCount, err
+		status, err := s.status(owner)
+		return err == nil && len(status.Cells) == 1 && len(status.Cells[0].Workers) == agentCount, err
 	})
 }
 
+// statusView has the fields of an entry's status that the tests read.
 type statusView struct {
 	Services []model.ServiceStatus
 	Cells    []model.CellStatus
 }
 
-func (s *system) status(entry string) (st statusView, err error) {
+func (s *system) status(entry string) (status statusView, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	err = callJSON(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &st)
-	return st, err
+	err = callJSON(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &status)
+	return status, err
 }
 
 // allBackendsReady reports whether every backend server is ready at an entry.
 func (s *system) allBackendsReady(entry string) (bool, error) {
-	st, err := s.status(entry)
-	if err != nil || len(st.Services) != 1 || len(st.Services[0].Backends) != agentCount {
-		return false, fmt.Errorf("%+v: %w", st.Services, err)
+	status, err := s.status(entry)
+	if err != nil || len(status.Services) != 1 || len(status.Services[0].Backends) != agentCount {
+		return false, fmt.Errorf("%+v: %w", status.Services, err)
 	}
-	for _, backend := range st.Services[0].Backends {
+	for _, backend := range status.Services[0].Backends {
 		if backend.State != "ready" {
 			return false, nil
 		}
@@ -186,10 +187,10 @@
 // watchVersions starts a watcher for each entry, which records the configuration
 // versions that the entry reports for itself and its agents.
 func (s *system) watchVersions() {
-	for _, e := range processNames("entry", entryCount) {
+	for _, entry := range processNames("entry", entryCount) {
 		requests := make(chan chan []history.ConfigView)
 		s.versionWatchers = append(s.versionWatchers, requests)
-		go pollVersions(s.group.Context(), e, "http://"+s.addr("operator>"+e), requests)
+		go pollVersions(s.group.Context(), entry, "http://"+s.addr("operator>"+entry), requests)
 	}
 }
 
@@ -198,16 +199,16 @@
 // that a slow response does not make its version look outdated.
 func pollVersions(ctx context.Context, entry, base string, requests <-chan chan []history.ConfigView) {
 	var views []history.ConfigView
-	tick := time.NewTicker(200 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(200 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			var st struct{ Daemons []model.AppliedVersion }
-			limited, cancel := context.WithTimeout(ctx, time.Second)
+		case <-ticker.C:
+			var status struct{ Daemons []model.AppliedVersion }
+			requestCtx, cancel := context.WithTimeout(ctx, time.Second)
 			requestedAt := time.Now().UnixNano()
-			if callJSON(limited, base+"/v1/config/status?local=true", nil, &st) == nil {
-				for _, daemon := range st.Daemons {
+			if callJSON(requestCtx, base+"/v1/config/status?local=true", nil, &status) == nil {
+				for _, daemon := range status.Daemons {
 					views = append(views, history.ConfigView{Process: daemon.Daemon, Via: entry, At: requestedAt, Version: uint64(daemon.Version)})
 				}
 			}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -15,7 +15,7 @@
 // correct system takes, so that only a condition that never holds exceeds it.
 const waitTimeout = 90 * time.Second
 
-// process is a started bambooscaled.
+// process is a bambooscaled that the test started.
 type process struct {
 	name      string
 	cmd       *exec.Cmd
@@ -34,8 +34,8 @@
 	}
 	p.cmd = exec.Command(filepath.Join(programsDir, "bambooscaled"), args...)
 	p.cmd.Stderr = logOutput
-	// With halt_on_error a data race ends the process and fails the test
-	// instead of being reported at exit only.
+	// With halt_on_error a data race ends the process with an error, so that it
+	// cannot pass as a normal exit.
 	p.cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1", "GOMAXPROCS=2")
 	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -47,10 +47,10 @@
 	line := make(chan string, 1)
 	go func() {
 		defer logOutput.Close()
-		r := bufio.NewReader(stdout)
-		text, _ := r.ReadString('\n')
+		reader := bufio.NewReader(stdout)
+		text, _ := reader.ReadString('\n')
 		line <- text
-		_, _ = r.WriteTo(logOutput)
+		_, _ = reader.WriteTo(logOutput)
 		p.exitErr = p.cmd.Wait()
 		close(p.exited)
 	}()
@@ -101,15 +101,15 @@
 // what was waited for and the last error of the condition.
 func waitUntil(what string, condition func() (bool, error)) error {
 	deadline := time.After(waitTimeout)
-	tick := time.NewTicker(50 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		ok, err := condition()
 		if ok {
 			return nil
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-deadline:
 			return fmt.Errorf("condition not met after %v: %s (last error: %v)", waitTimeout, what, err)
 		}
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -60,6 +60,7 @@
 	require.NoError(t, err)
 }
 
+// linkNames returns the names in order, so that a seed always draws the same links.
 func (s *system) linkNames() (names []string) {
 	for name := range s.links {
 		names = append(names, name)
@@ -79,20 +80,20 @@
 }
 
 // run sends work and carries out the schedule.
-func (l *workload) run(t *testing.T, schedule []scheduledAction, duration time.Duration) error {
+func (w *workload) run(t *testing.T, schedule []scheduledAction, duration time.Duration) error {
 	startedAt := time.Now()
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for len(schedule) > 0 || time.Since(startedAt) < duration {
 		select {
 		case <-ticker.C:
-			l.sendTick()
-		case apply := <-l.results:
+			w.sendTick()
+		case apply := <-w.results:
 			apply()
 		}
 		for len(schedule) > 0 && schedule[0].at <= time.Since(startedAt) {
 			t.Logf("%6.1fs %s", time.Since(startedAt).Seconds(), schedule[0].description)
-			if err := schedule[0].run(l.system); err != nil {
+			if err := schedule[0].run(w.system); err != nil {
 				return err
 			}
 			schedule = schedule[1:]
@@ -103,29 +104,29 @@
 
 // sendTick sends the work of a tick of 100 ms: requests at every tick, a job
 // every 500 ms and an edit every 3 s.
-func (l *workload) sendTick() {
-	l.ticks++
-	tick := l.ticks
-	key, entry := fmt.Sprintf("random-%d", l.ticks), processName("entry", 1+l.ticks%entryCount)
-	l.system.request("count-"+key, entry, "POST", "/count?key="+key, "")
-	l.system.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
-	l.system.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(l.ticks%50)), "")
-	if l.ticks%5 == 0 {
-		l.startAsync(func() func() {
-			err := l.system.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(tick%30)))
+func (w *workload) sendTick() {
+	w.ticks++
+	tick := w.ticks
+	key, entry := fmt.Sprintf("random-%d", w.ticks), processName("entry", 1+w.ticks%entryCount)
+	w.system.request("count-"+key, entry, "POST", "/count?key="+key, "")
+	w.system.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
+	w.system.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(w.ticks%50)), "")
+	if w.ticks%5 == 0 {
+		w.startAsync(func() func() {
+			err := w.system.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(tick%30)))
 			return func() {
 				if err == nil {
-					l.system.record.Accepted = append(l.system.record.Accepted, key)
+					w.system.history.Accepted = append(w.system.history.Accepted, key)
 				}
 			}
 		})
 	}
-	if l.ticks%30 == 0 {
-		l.startAsync(func() func() {
-			accepted, err := l.system.acceptEdit(entry, key, "team", key, "by", entry)
+	if w.ticks%30 == 0 {
+		w.startAsync(func() func() {
+			accepted, err := w.system.acceptEdit(entry, key, "team", key, "by", entry)
 			return func() {
 				if err == nil {
-					l.system.record.Edits = append(l.system.record.Edits, accepted)
+					w.system.history.Edits = append(w.system.history.Edits, accepted)
 				}
 			}
 		})
@@ -134,41 +135,41 @@
 
 // startAsync runs work in a goroutine. The function that work returns is run by
 // the goroutine of the test.
-func (l *workload) startAsync(work func() func()) {
-	l.inProgress++
+func (w *workload) startAsync(work func() func()) {
+	w.inProgress++
 	go func() {
 		apply := work()
-		l.results <- func() { l.inProgress--; apply() }
+		w.results <- func() { w.inProgress--; apply() }
 	}()
 }
 
 // waitSettled waits, after the last fault, until every request has ended, every
 // accepted job is done and the newest edit is in use everywhere.
-func (l *workload) waitSettled() error {
-	for l.inProgress > 0 {
-		(<-l.results)()
+func (w *workload) waitSettled() error {
+	for w.inProgress > 0 {
+		(<-w.results)()
 	}
-	for _, e := range processNames("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return l.system.allBackendsReady(e) }); err != nil {
+	for _, entry := range processNames("entry", entryCount) {
+		if err := waitUntil("every backend server is ready at "+entry, func() (bool, error) { return w.system.allBackendsReady(entry) }); err != nil {
 			return err
 		}
 	}
-	if _, err := l.system.awaitCalls(""); err != nil {
+	if _, err := w.system.awaitCalls(""); err != nil {
 		return err
 	}
-	if err := waitUntil("the newest version is everywhere", func() (bool, error) { return versionEverywhere(l.system, nil) }); err != nil {
+	if err := waitUntil("the newest version is in use everywhere", func() (bool, error) { return versionEverywhere(w.system, nil) }); err != nil {
 		return err
 	}
-	return waitUntil("every accepted job is done", l.jobsDone)
+	return waitUntil("every accepted job is done", w.jobsDone)
 }
 
 // jobsDone reports whether every accepted job is done.
-func (l *workload) jobsDone() (bool, error) {
-	values, err := l.system.latestRows(rows.JobPrefix(cell))
+func (w *workload) jobsDone() (bool, error) {
+	values, err := w.system.latestRows(rows.JobPrefix(cell))
 	if err != nil {
 		return false, err
 	}
-	for _, id := range l.system.record.Accepted {
+	for _, id := range w.system.history.Accepted {
 		row, err := rows.Decode[model.JobRow](values[rows.JobKey(cell, model.JobID(id))])
 		if err != nil || row.Phase != "done" {
 			return false, fmt.Errorf("job %s: %+v: %v", id, row, err)
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// planned is one fault of a random schedule.
+// plannedFault is a fault of a random schedule.
 type plannedFault struct {
 	beginAt, endAt time.Duration // since the start of the schedule
 	name           string
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -33,8 +33,8 @@
 	addressKeys     map[string]string                // by link: key of the address in the ready line of its server
 	pendingCalls    []*pendingCall                   // not yet awaited
 	endedCalls      []history.Call                   // awaited
-	record          history.History                  // what the test itself did and observed; collectHistory adds the logs
-	openFaults      map[string]int                   // by fault in force: index in record.Faults
+	history         history.History                  // what the test itself did and observed; collectHistory adds the logs
+	openFaults      map[string]int                   // by fault in force: index in history.Faults
 	summary         string                           // of the history; set by checkHistory
 	versionWatchers []chan chan []history.ConfigView // one for each entry; a watcher answers with what it has observed
 	aliases         map[string]string                // by alias of the script: process
@@ -46,6 +46,7 @@
 // processName returns the name of a process; index counts from 1.
 func processName(kind string, index int) string { return fmt.Sprintf("%s-%d", kind, index) }
 
+// processNames returns the names of the first count processes of a kind.
 func processNames(kind string, count int) (names []string) {
 	for n := 1; n <= count; n++ {
 		names = append(names, processName(kind, n))
@@ -104,6 +105,7 @@
 	return nil
 }
 
+// startProxy starts the proxy of a link to the server address with the key.
 func (s *system) startProxy(name, addressKey string) error {
 	// Port 9 of the loopback interface refuses connections until launch sets
 	// the upstream.
@@ -135,15 +137,15 @@
 // arguments returns the command line of a process. It writes the settings file
 // of an entry or agent.
 func (s *system) arguments(name string) ([]string, error) {
-	kind, n, _ := strings.Cut(name, "-")
+	kind, index, _ := strings.Cut(name, "-")
 	switch kind {
 	case "worker":
 		return []string{"standin", kind, "--id", name, "--cpu", "4", "--memory", "8GiB", "--objects", "http://" + s.addr(name+">objects")}, nil
 	case "backend":
-		return []string{"standin", kind, "--agent", "http://" + s.addr(name+">agent-"+n), "--advertise", s.addr("agent-" + n + ">" + name)}, nil
+		return []string{"standin", kind, "--agent", "http://" + s.addr(name+">agent-"+index), "--advertise", s.addr("agent-" + index + ">" + name)}, nil
 	case "entry", "agent":
 		file := filepath.Join(s.dir, name+".ini")
-		return []string{"run", "--settings", file}, os.WriteFile(file, []byte(s.settings(kind, name, n)), 0o644)
+		return []string{"run", "--settings", file}, os.WriteFile(file, []byte(s.settings(kind, name, index)), 0o644)
 	}
 	return []string{"standin", kind}, nil
 }
@@ -152,19 +154,19 @@
 // the table, because its directory would give them addresses of entries that
 // bypass the proxies. Their settings state the worker's capacity: without it an
 // agent is not ready before its worker answers, and the worker may be frozen.
-func (s *system) settings(kind, name, n string) string {
-	text := fmt.Sprintf("[daemon]\nrole = %s\nid = %s\ndata-centre = dc-1\n", kind, name)
+func (s *system) settings(kind, name, index string) string {
+	common := fmt.Sprintf("[daemon]\nrole = %s\nid = %s\ndata-centre = dc-1\n", kind, name)
 	if kind == "entry" {
-		return text + fmt.Sprintf("table = http://%s\nobjects = http://%s\n[entry]\nlisten = 127.0.0.1:0\n"+
+		return common + fmt.Sprintf("table = http://%s\nobjects = http://%s\n[entry]\nlisten = 127.0.0.1:0\n"+
 			"agents-listen = 127.0.0.1:0\noperator-listen = 127.0.0.1:0\ncells = %s\ndefault-service = permit-desk\n",
 			s.addr(name+">table"), s.addr(name+">objects"), cell)
 	}
 	var entries []string
-	for _, e := range processNames("entry", entryCount) {
-		entries = append(entries, s.addr(name+">"+e))
+	for _, entry := range processNames("entry", entryCount) {
+		entries = append(entries, s.addr(name+">"+entry))
 	}
-	return text + fmt.Sprintf("[agent]\nentries = %s\ncell = %s\nrack = rack-%s\nannounce-listen = 127.0.0.1:0\nworker = http://%s\nprocessors = 4\nmemory = 8GiB\nconfig = optional\n",
-		strings.Join(entries, ","), cell, n, s.addr(name+">worker-"+n))
+	return common + fmt.Sprintf("[agent]\nentries = %s\ncell = %s\nrack = rack-%s\nannounce-listen = 127.0.0.1:0\nworker = http://%s\nprocessors = 4\nmemory = 8GiB\nconfig = optional\n",
+		strings.Join(entries, ","), cell, index, s.addr(name+">worker-"+index))
 }
 
 // addr returns the address at which the proxy of a link listens.
@@ -192,15 +194,15 @@
 	if _, ok := s.openFaults[fault]; ok {
 		return
 	}
-	s.openFaults[fault] = len(s.record.Faults)
-	s.record.Faults = append(s.record.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
+	s.openFaults[fault] = len(s.history.Faults)
+	s.history.Faults = append(s.history.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
 }
 
 // endFault records the end of a fault. It does nothing if the fault is not in
 // force.
 func (s *system) endFault(fault string) {
 	if i, ok := s.openFaults[fault]; ok {
-		s.record.Faults[i].Until = time.Now().UnixNano()
+		s.history.Faults[i].Until = time.Now().UnixNano()
 		delete(s.openFaults, fault)
 	}
 }
--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -85,8 +85,8 @@
 }
 
 func noBackendReady(s *system, args []string) (bool, error) {
-	st, err := s.status(args[0])
-	for _, service := range st.Services {
+	status, err := s.status(args[0])
+	for _, service := range status.Services {
 		for _, backend := range service.Backends {
 			if backend.State == "ready" {
 				return false, nil
@@ -101,8 +101,8 @@
 	if err != nil {
 		return false, err
 	}
-	st, err := s.status(args[0])
-	return len(st.Services) == 1 && st.Services[0].Queued >= minCount, err
+	status, err := s.status(args[0])
+	return len(status.Services) == 1 && status.Services[0].Queued >= minCount, err
 }
 
 func requestsRunning(s *system, args []string) (bool, error) {
@@ -112,14 +112,14 @@
 	}
 	running := 0
 	for _, name := range processNames("backend", agentCount) {
-		var st standin.BackendState
+		var state standin.BackendState
 		if args[0] != "*" && args[0] != name {
 			continue
 		}
-		if err := s.callSimulator(name, "/control", nil, &st); err != nil {
+		if err := s.callSimulator(name, "/control", nil, &state); err != nil {
 			return false, err
 		}
-		running += st.Running
+		running += state.Running
 	}
 	return running >= minCount, fmt.Errorf("%d requests run", running)
 }
@@ -128,17 +128,17 @@
 // uses the newest accepted edit.
 func versionEverywhere(s *system, a []string) (bool, error) {
 	newest := uint64(0)
-	for _, e := range s.record.Edits {
-		newest = max(newest, e.Version)
+	for _, entry := range s.history.Edits {
+		newest = max(newest, entry.Version)
 	}
-	for _, e := range processNames("entry", entryCount) {
-		var st struct{ Daemons []model.AppliedVersion }
-		if err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+e)+"/v1/config/status?local=true", nil, &st); err != nil {
+	for _, entry := range processNames("entry", entryCount) {
+		var status struct{ Daemons []model.AppliedVersion }
+		if err := callJSON(s.group.Context(), "http://"+s.addr("operator>"+entry)+"/v1/config/status?local=true", nil, &status); err != nil {
 			return false, err
 		}
-		for _, daemon := range st.Daemons {
+		for _, daemon := range status.Daemons {
 			if uint64(daemon.Version) < newest {
-				return false, fmt.Errorf("%s has version %d of %d at %s", daemon.Daemon, daemon.Version, newest, e)
+				return false, fmt.Errorf("%s has version %d of %d at %s", daemon.Daemon, daemon.Version, newest, entry)
 			}
 		}
 	}
