--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -61,6 +61,7 @@
 	Announce      []string // agents: addresses for announcements of backend servers
 }
 
+// TestMain runs the tests, or a role if the process is a child.
 func TestMain(m *testing.M) {
 	raw, ok := os.LookupEnv(childPlanVariable)
 	if !ok {
@@ -81,21 +82,21 @@
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
 // serveSamples writes a sample to the standard output for each line on the standard
-// input until that ends. The line "memory" requests a garbage collection and the
-// memory; fill adds what depends on the role.
+// input until that ends. After the line "memory" it collects garbage and measures
+// the memory; fill adds the figures of the role.
 func serveSamples(fill func(*sample)) {
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
 		var s sample
-		var used syscall.Rusage
-		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-		s.CPU = float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+		var usage syscall.Rusage
+		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+		s.CPU = float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 		if in.Text() == "memory" {
 			runtime.GC()
 			runtime.GC() // the first collection only moves pooled objects to the victim cache
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			s.Live, s.Held = float64(m.HeapAlloc+m.StackInuse), float64(m.Sys-m.HeapReleased)
+			var stats runtime.MemStats
+			runtime.ReadMemStats(&stats)
+			s.Live, s.Held = float64(stats.HeapAlloc+stats.StackInuse), float64(stats.Sys-stats.HeapReleased)
 		}
 		s.Goroutines = runtime.NumGoroutine()
 		fill(&s)
@@ -104,8 +105,8 @@
 	}
 }
 
-// startEntries starts the entries of a plan with one table, of which the first
-// owns the cell.
+// startEntries starts the entries of a plan, which share one table. The first entry
+// owns the cell. The returned function fills in the entries' part of a sample.
 func startEntries(g *actor.Group, p childPlan) func(*sample) {
 	table := standin.NewTable(g, standin.StoreFaults{WritesPerSecond: -1, ReadsPerSecond: -1, DropHistory: true})
 	seedTable(g.Context(), table, p)
@@ -143,7 +144,8 @@
 	return l
 }
 
-// startAgents starts the agents of a plan.
+// startAgents starts the agents of a plan. The returned function fills in the
+// agents' part of a sample.
 func startAgents(g *actor.Group, p childPlan) func(*sample) {
 	var hosts []*fakeHost
 	var announce []string
--- a/internal/capacity/control_memory_test.go
+++ b/internal/capacity/control_memory_test.go
@@ -9,9 +9,9 @@
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
 
 // Measures the memory of a controller for each waiting job and running attempt.
--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -23,13 +23,13 @@
 	now           time.Duration
 	revision      storage.Revision
 	unreadRows    []control.JobRow // rows that the next scan returns
-	events        []control.Event
-	dueEnds       []taskEnd                           // in order of time
-	committedRows map[model.JobID]control.JobRow      // committed
+	events        []control.Event  // not yet applied
+	dueEnds       []taskEnd        // in order of time
+	committedRows map[model.JobID]control.JobRow
 	runningTasks  map[model.WorkerID][]msg.TaskReport // long-running tasks, as the agents report them
-	started       int
-	commits       int
-	running       int
+	startedCount  int
+	commitCount   int
+	runningCount  int
 }
 
 // taskEnd is the end of a task at a later time.
@@ -60,6 +60,8 @@
 	return c
 }
 
+// linkWorkers links the agents of the workers and advances the time until the cell
+// is claimed.
 func (c *controller) linkWorkers(workers int) {
 	for i := range workers {
 		c.apply(control.PeerUp{Worker: testWorker(i), Boot: 1})
@@ -95,7 +97,7 @@
 		c.unreadRows = nil
 	case control.Commit:
 		c.revision++
-		c.commits++
+		c.commitCount++
 		for _, w := range effect.Writes {
 			w.Version = c.revision
 			c.committedRows[w.ID] = w
@@ -114,8 +116,8 @@
 	case *msg.LeaseRenew:
 		c.enqueue(control.Received{Worker: id, Msg: &msg.LeaseAck{Cell: m.Cell, Epoch: m.Epoch, Sequence: m.Sequence}})
 	case *msg.StartTask:
-		c.started++
-		c.running++
+		c.startedCount++
+		c.runningCount++
 		report := msg.TaskReport{Attempt: m.Attempt, Epoch: m.Epoch, State: model.TaskRunning}
 		c.enqueue(control.Received{Worker: id, Msg: &report})
 		if m.Spec.LongRunning {
@@ -139,7 +141,7 @@
 		for len(c.dueEnds) > 0 && c.dueEnds[0].at <= c.now {
 			taskEnd := c.dueEnds[0]
 			c.dueEnds = c.dueEnds[1:]
-			c.running--
+			c.runningCount--
 			c.apply(control.Received{Worker: taskEnd.worker, Msg: &taskEnd.report})
 		}
 		c.apply(control.Tick{})
@@ -161,25 +163,25 @@
 func (c *controller) fillWorkers(workers, perWorker int) {
 	c.submit(1_000_000, workers*perWorker, true)
 	for range 600 {
-		if c.advance(time.Second); c.running == workers*perWorker {
+		if c.advance(time.Second); c.runningCount == workers*perWorker {
 			return
 		}
 	}
-	panic(fmt.Sprintf("%d tasks run, want %d", c.running, workers*perWorker))
+	panic(fmt.Sprintf("%d tasks run, want %d", c.runningCount, workers*perWorker))
 }
 
 // processorSeconds returns the processor time that this process has used so far,
 // in seconds.
 func processorSeconds() float64 {
-	var used syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-	return float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
 // runLoad submits rate jobs a second for d. It returns the processor time used, in
 // cores, and the commits per second of virtual time.
 func (c *controller) runLoad(rate int, d time.Duration) (cores, commits float64) {
-	startedAt, before, count := processorSeconds(), c.commits, 0
+	startedAt, before, count := processorSeconds(), c.commitCount, 0
 	const ticks = 10
 	for i := range int(d.Seconds()) * ticks {
 		due := rate * (i + 1) / ticks
@@ -187,7 +189,7 @@
 		count = due
 		c.advance(time.Second / ticks)
 	}
-	return (processorSeconds() - startedAt) / d.Seconds(), float64(c.commits-before) / d.Seconds()
+	return (processorSeconds() - startedAt) / d.Seconds(), float64(c.commitCount-before) / d.Seconds()
 }
 
 // tasksPerWorker is the mean of 129,000 tasks on 6,900 workers.
@@ -200,9 +202,9 @@
 	for _, rate := range []int{0, 20, 58, 116} {
 		c := newController(690)
 		c.fillWorkers(690, tasksPerWorker)
-		c.started = 0
+		c.startedCount = 0
 		cores, commits := c.runLoad(rate, 30*time.Second)
-		require.InDelta(b, rate*30, c.started, float64(rate), "task starts")
+		require.InDelta(b, rate*30, c.startedCount, float64(rate), "task starts")
 		s.add("starts.controllerCPU", coresUnit, float64(rate), cores)
 		s.add("starts.commits", perSecond, float64(rate), commits)
 	}
@@ -272,9 +274,9 @@
 func TestControllerDriverStartsEveryJob(t *testing.T) {
 	c := newController(11)
 	c.fillWorkers(11, 2)
-	c.started = 0
+	c.startedCount = 0
 	c.runLoad(4, 5*time.Second)
 	c.advance(5 * time.Second)
-	require.Equal(t, 20, c.started)
-	require.Equal(t, 22, c.running)
+	require.Equal(t, 20, c.startedCount)
+	require.Equal(t, 22, c.runningCount)
 }
--- a/internal/capacity/fleet_slopes_test.go
+++ b/internal/capacity/fleet_slopes_test.go
@@ -23,19 +23,19 @@
 func BenchmarkLinkedAgents(b *testing.B) {
 	s := newSeries("linked agent", "BenchmarkLinkedAgents")
 	for _, n := range []int{50, 100, 200, 400} {
-		r, x := measureRun(b, setup{agents: n, entries: 1}), float64(n)
-		s.add("agents.entryLive", bytesUnit, x, r.entry.Live)
-		s.add("agents.entryHeld", bytesUnit, x, r.entry.Held)
-		s.add("agents.entryGoroutines", "goroutines", x, float64(r.entry.Goroutines))
-		s.add("agents.entryCPU", coresUnit, x, r.entryCPU)
-		s.add("agents.agentLive", bytesUnit, x, r.agent.Live)
-		s.add("agents.agentCPU", coresUnit, x, r.agentCPU)
-		s.add("agents.toEntry", bytesPerSecond, x, r.toEntry)
-		s.add("agents.toAgent", bytesPerSecond, x, r.toAgent)
-		s.add("agents.segmentsToEntry", perSecond, x, r.segmentsToEntry)
-		s.add("agents.segmentsToAgent", perSecond, x, r.segmentsToAgent)
-		s.add("agents.reads", perSecond, x, r.reads)
-		s.add("agents.writes", perSecond, x, r.writes)
+		measured, x := measureRun(b, setup{agents: n, entries: 1}), float64(n)
+		s.add("agents.entryLive", bytesUnit, x, measured.entry.Live)
+		s.add("agents.entryHeld", bytesUnit, x, measured.entry.Held)
+		s.add("agents.entryGoroutines", "goroutines", x, float64(measured.entry.Goroutines))
+		s.add("agents.entryCPU", coresUnit, x, measured.entryCPU)
+		s.add("agents.agentLive", bytesUnit, x, measured.agent.Live)
+		s.add("agents.agentCPU", coresUnit, x, measured.agentCPU)
+		s.add("agents.toEntry", bytesPerSecond, x, measured.toEntry)
+		s.add("agents.toAgent", bytesPerSecond, x, measured.toAgent)
+		s.add("agents.segmentsToEntry", perSecond, x, measured.segmentsToEntry)
+		s.add("agents.segmentsToAgent", perSecond, x, measured.segmentsToAgent)
+		s.add("agents.reads", perSecond, x, measured.reads)
+		s.add("agents.writes", perSecond, x, measured.writes)
 	}
 	s.finish(b)
 }
@@ -46,15 +46,15 @@
 	const agents = 50
 	s := newSeries("link of an agent", "BenchmarkLinksOfAnAgent")
 	for _, n := range []int{1, 2, 4, 6} {
-		r, x := measureRun(b, setup{agents: agents, entries: n}), float64(n)
-		s.add("links.agentLive", bytesUnit, x, r.agent.Live/agents)
-		s.add("links.agentCPU", coresUnit, x, r.agentCPU/agents)
-		s.add("links.toEntry", bytesPerSecond, x, r.toEntry/agents)
-		s.add("links.toAgent", bytesPerSecond, x, r.toAgent/agents)
-		s.add("links.segmentsToEntry", perSecond, x, r.segmentsToEntry/agents)
-		s.add("links.segmentsToAgent", perSecond, x, r.segmentsToAgent/agents)
-		s.add("links.reads", perSecond, x, r.reads)
-		s.add("links.writes", perSecond, x, r.writes)
+		measured, x := measureRun(b, setup{agents: agents, entries: n}), float64(n)
+		s.add("links.agentLive", bytesUnit, x, measured.agent.Live/agents)
+		s.add("links.agentCPU", coresUnit, x, measured.agentCPU/agents)
+		s.add("links.toEntry", bytesPerSecond, x, measured.toEntry/agents)
+		s.add("links.toAgent", bytesPerSecond, x, measured.toAgent/agents)
+		s.add("links.segmentsToEntry", perSecond, x, measured.segmentsToEntry/agents)
+		s.add("links.segmentsToAgent", perSecond, x, measured.segmentsToAgent/agents)
+		s.add("links.reads", perSecond, x, measured.reads)
+		s.add("links.writes", perSecond, x, measured.writes)
 	}
 	s.finish(b)
 }
@@ -64,14 +64,14 @@
 	const agents = 50
 	s := newSeries("running task of an agent", "BenchmarkRunningTasks")
 	for _, n := range []int{0, 6, 12, 20} {
-		r, x := measureRun(b, setup{agents: agents, entries: 1, tasks: n}), float64(n)
-		s.add("tasks.entryLive", bytesUnit, x, r.entry.Live/agents)
-		s.add("tasks.entryCPU", coresUnit, x, r.entryCPU/agents)
-		s.add("tasks.agentLive", bytesUnit, x, r.agent.Live/agents)
-		s.add("tasks.agentCPU", coresUnit, x, r.agentCPU/agents)
-		s.add("tasks.toEntry", bytesPerSecond, x, r.toEntry/agents)
-		s.add("tasks.toAgent", bytesPerSecond, x, r.toAgent/agents)
-		s.add("tasks.writes", perSecond, x, r.writes/agents)
+		measured, x := measureRun(b, setup{agents: agents, entries: 1, tasks: n}), float64(n)
+		s.add("tasks.entryLive", bytesUnit, x, measured.entry.Live/agents)
+		s.add("tasks.entryCPU", coresUnit, x, measured.entryCPU/agents)
+		s.add("tasks.agentLive", bytesUnit, x, measured.agent.Live/agents)
+		s.add("tasks.agentCPU", coresUnit, x, measured.agentCPU/agents)
+		s.add("tasks.toEntry", bytesPerSecond, x, measured.toEntry/agents)
+		s.add("tasks.toAgent", bytesPerSecond, x, measured.toAgent/agents)
+		s.add("tasks.writes", perSecond, x, measured.writes/agents)
 	}
 	s.finish(b)
 }
@@ -81,9 +81,9 @@
 	const agents = 20
 	s := newSeries("configuration item", "BenchmarkConfigurationItems")
 	for _, n := range []int{0, 1000, 2000, 4000} {
-		r, x := measureRun(b, setup{agents: agents, entries: 1, items: n}), float64(n)
-		s.add("items.entryLive", bytesUnit, x, r.entry.Live)
-		s.add("items.agentLive", bytesUnit, x, r.agent.Live/agents)
+		measured, x := measureRun(b, setup{agents: agents, entries: 1, items: n}), float64(n)
+		s.add("items.entryLive", bytesUnit, x, measured.entry.Live)
+		s.add("items.agentLive", bytesUnit, x, measured.agent.Live/agents)
 	}
 	s.finish(b)
 }
@@ -93,13 +93,13 @@
 	const agents = 50
 	s := newSeries("edit/s", "BenchmarkEdits")
 	for _, n := range []float64{0, 1, 2, 4} {
-		r := measureRun(b, setup{agents: agents, entries: 1, edits: n})
-		s.add("edits.entryCPU", coresUnit, n, r.entryCPU)
-		s.add("edits.agentCPU", coresUnit, n, r.agentCPU/agents)
-		s.add("edits.toEntry", bytesPerSecond, n, r.toEntry/agents)
-		s.add("edits.toAgent", bytesPerSecond, n, r.toAgent/agents)
-		s.add("edits.reads", perSecond, n, r.reads)
-		s.add("edits.writes", perSecond, n, r.writes)
+		measured := measureRun(b, setup{agents: agents, entries: 1, edits: n})
+		s.add("edits.entryCPU", coresUnit, n, measured.entryCPU)
+		s.add("edits.agentCPU", coresUnit, n, measured.agentCPU/agents)
+		s.add("edits.toEntry", bytesPerSecond, n, measured.toEntry/agents)
+		s.add("edits.toAgent", bytesPerSecond, n, measured.toAgent/agents)
+		s.add("edits.reads", perSecond, n, measured.reads)
+		s.add("edits.writes", perSecond, n, measured.writes)
 	}
 	s.finish(b)
 }
@@ -111,32 +111,32 @@
 	hang := serveHanging(b)
 	for _, n := range []int{0, 250, 500, 1000} {
 		const running = 8
-		r := measureRun(b, setup{agents: 1, entries: 1, begin: func(entry, agent sample) {
+		measured := measureRun(b, setup{agents: 1, entries: 1, begin: func(entry, agent sample) {
 			body := fmt.Sprintf(`{"service":"permit-desk","address":%q,"slots":8,"connections":64,"instance":"1"}`, hang)
 			reply, err := http.Post("http://"+agent.Announce[0]+"/v1/announce", "application/json", strings.NewReader(body))
 			require.NoError(b, err)
 			require.Less(b, reply.StatusCode, 300)
 			_ = reply.Body.Close()
 			letRun(time.Second)
-			queue(b, entry.Callers[0], running+n)
+			sendQueued(b, entry.Callers[0], running+n)
 		}})
-		s.add("queue.entryLive", bytesUnit, float64(n), r.entry.Live)
-		s.add("queue.entryCPU", coresUnit, float64(n), r.entryCPU)
+		s.add("queue.entryLive", bytesUnit, float64(n), measured.entry.Live)
+		s.add("queue.entryCPU", coresUnit, float64(n), measured.entryCPU)
 	}
 	s.finish(b)
 }
 
 // serveHanging starts a backend server that never answers, and returns its address.
 func serveHanging(b *testing.B) string {
-	l := listenLoopback()
+	listener := listenLoopback()
 	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })}
-	go func() { _ = server.Serve(l) }()
+	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() { _ = server.Close() })
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// queue sends n requests, which wait until the benchmark ends.
-func queue(b *testing.B, callers string, n int) {
+// sendQueued sends n requests, which wait until the benchmark ends.
+func sendQueued(b *testing.B, callers string, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{}}
 	b.Cleanup(func() { cancel(); client.CloseIdleConnections() })
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -31,15 +31,15 @@
 func startChild(b *testing.B, p childPlan) *child {
 	raw, err := json.Marshal(p)
 	require.NoError(b, err)
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), childPlanVariable+"="+string(raw))
-	c.Stderr = os.Stderr
-	in, err := c.StdinPipe()
+	command := exec.Command(os.Args[0])
+	command.Env = append(os.Environ(), childPlanVariable+"="+string(raw))
+	command.Stderr = os.Stderr
+	in, err := command.StdinPipe()
 	require.NoError(b, err)
-	out, err := c.StdoutPipe()
+	out, err := command.StdoutPipe()
 	require.NoError(b, err)
-	require.NoError(b, c.Start())
-	b.Cleanup(func() { _ = in.Close(); _ = c.Wait() }) // the child ends when its standard input does
+	require.NoError(b, command.Start())
+	b.Cleanup(func() { _ = in.Close(); _ = command.Wait() }) // the child ends when its standard input does
 	return &child{b, in, bufio.NewReader(out)}
 }
 
@@ -143,10 +143,10 @@
 		<-tick.C
 		body := fmt.Sprintf(`{"id":"edit-%d","author":"inspector","base":%d,"changes":[{"key":{"kind":"worker","name":"worker-%05d"},`+
 			`"item":{"labels":{"pool":"permits","maintenance":"week-%02d"}}}]}`, i, i, i, i%52)
-		r, err := http.Post("http://"+operator+"/v1/config", "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+operator+"/v1/config", "application/json", strings.NewReader(body))
 		require.NoError(b, err)
-		text, _ := io.ReadAll(r.Body)
-		_ = r.Body.Close()
-		require.Equal(b, http.StatusOK, r.StatusCode, string(text))
+		text, _ := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		require.Equal(b, http.StatusOK, response.StatusCode, string(text))
 	}
 }
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -98,6 +98,7 @@
 	return writes
 }
 
+// waits returns the waiting times of the tasks started so far.
 func (r *cellRun) waits() (waits []time.Duration) {
 	for range len(r.started) {
 		s := <-r.started
@@ -117,14 +118,14 @@
 			case <-ctx.Done():
 				return nil
 			case m := <-in:
-				r.answer(g, m, reply)
+				r.answerCommand(g, m, reply)
 			}
 		}
 	}})
 	_ = r.control.Send(r.ctx, control.AgentUp{Worker: w, Cell: cellName, Boot: 1, Link: link})
 }
 
-func (r *cellRun) answer(g *actor.Group, m msg.Control, reply func(msg.Control)) {
+func (r *cellRun) answerCommand(g *actor.Group, m msg.Control, reply func(msg.Control)) {
 	switch m := m.(type) {
 	case *msg.CellClaim:
 		reply(&msg.Inventory{Cell: m.Cell, Epoch: m.Epoch})
--- a/internal/capacity/tables_test.go
+++ b/internal/capacity/tables_test.go
@@ -8,7 +8,7 @@
 
 // tables computes the generated tables of docs/CAPACITY.md, by name.
 var tables = map[string]func(map[string]slope) string{
-	"split": splitTable, "roles": rolesTable, "table": storeTable, "limits": limitsTable, "badhour": badHourTable,
+	"split": splitTable, "roles": rolesTable, "table": storeTable, "limits": limitsTable, "badhour": worstHourTable,
 	"targets": figuresTable, "slopes": slopesTable,
 }
 
@@ -70,8 +70,8 @@
 	l := targetLayout()
 	writes, reads, totalWrites, totalReads := tableLoad(s, l.startsPerCell)
 	out := tableHeader("operation", "writes/s", "reads/s")
-	for _, w := range writes {
-		out += tableRow(w[0].(string), formatNumber(w[1].(float64)), "")
+	for _, write := range writes {
+		out += tableRow(write[0].(string), formatNumber(write[1].(float64)), "")
 	}
 	for _, r := range reads {
 		out += tableRow(r[0].(string), "", formatNumber(r[1].(float64)))
@@ -85,54 +85,54 @@
 	idle := s["links.toEntry"].Slope + s["links.toAgent"].Slope
 	heartbeats := 2 * heartbeatsPerSide * heartbeatBytes()
 	idleSlower := idle - heartbeats*4/5 // a heartbeat every 5 s
-	memory := (budgetMemoryBytes/heldRatio(s) - s["agents.entryLive"].Base - s["items.entryLive"].Slope*configItems -
+	linksByMemory := (budgetMemoryBytes/heldRatio(s) - s["agents.entryLive"].Base - s["items.entryLive"].Slope*configItems -
 		s["queue.entryLive"].Slope*queuedRequests) / s["agents.entryLive"].Slope
 	out := tableHeader("budget of an entry", "for each link", "links that fit", "entries needed if each agent has 2 links")
-	row := func(name, each string, links float64) {
-		need := "none: the idle entry alone exceeds it"
+	row := func(name, perLink string, links float64) {
+		entriesNeeded := "none: the idle entry alone exceeds it"
 		if links >= 1 {
-			need = fmt.Sprintf("%.0f", 2*targetWorkers/links)
+			entriesNeeded = fmt.Sprintf("%.0f", 2*targetWorkers/links)
 		}
-		out += tableRow(name, each, fmt.Sprintf("%.0f", max(links, 0)), need)
+		out += tableRow(name, perLink, fmt.Sprintf("%.0f", max(links, 0)), entriesNeeded)
 	}
 	row("11 KB/s, as it is", fmt.Sprintf("%.1f B/s", idle), budgetBytesPerSecond/idle)
 	row("11 KB/s, a heartbeat every 5 s", fmt.Sprintf("%.1f B/s", idleSlower), budgetBytesPerSecond/idleSlower)
 	row("1.6% of a core", fmt.Sprintf("%.1f µs/s", 1e6*s["agents.entryCPU"].Slope), (budgetCores-s["agents.entryCPU"].Base)/s["agents.entryCPU"].Slope)
-	row("128 MB", fmt.Sprintf("%.1f KB", s["agents.entryLive"].Slope/1e3), memory)
+	row("128 MB", fmt.Sprintf("%.1f KB", s["agents.entryLive"].Slope/1e3), linksByMemory)
 	return out
 }
 
-func badHourTable(s map[string]slope) string {
+func worstHourTable(s map[string]slope) string {
 	l := targetLayout()
 	configSize := configBytes()
-	perEntry := targetRestarts * l.linksPerAgent * configSize / l.entries / secondsPerHour
-	rack := 20 * l.tasksPerWorker
-	rejoin := l.linksPerEntry * configSize
+	entryBytesPerSecond := targetRestarts * l.linksPerAgent * configSize / l.entries / secondsPerHour
+	rackTasks := 20 * l.tasksPerWorker
+	rejoinBytes := l.linksPerEntry * configSize
 	out := tableHeader("event", "figure", "value")
 	out += tableRow("1,500 agents restart in an hour", "whole configuration sent to each new link", formatMB(configSize))
-	out += tableRow("", "bytes/s of an entry for it", formatKBPerSecond(perEntry)+", "+fitsText(perEntry <= budgetBytesPerSecond))
+	out += tableRow("", "bytes/s of an entry for it", formatKBPerSecond(entryBytesPerSecond)+", "+fitsText(entryBytesPerSecond <= budgetBytesPerSecond))
 	out += tableRow("", "received by an agent at its start", formatMB(configSize*l.linksPerAgent))
 	out += tableRow("", "tasks to start again, starts/s", formatNumber(targetRestarts*l.tasksPerWorker/secondsPerHour))
-	out += tableRow("a rack of 20 workers is lost", "tasks to start again", formatNumber(rack))
-	out += tableRow("", "transactions of 120 rows, at least", fmt.Sprintf("%.0f", max(1, rack/rowsPerTxn+1)))
+	out += tableRow("a rack of 20 workers is lost", "tasks to start again", formatNumber(rackTasks))
+	out += tableRow("", "transactions of 120 rows, at least", fmt.Sprintf("%.0f", max(1, rackTasks/rowsPerTxn+1)))
 	out += tableRow("a data centre is lost", "tasks that run nowhere", formatNumber(l.tasksPerCell))
 	out += tableRow("an entry is lost or its cell moves", "processor time of the takeover", fmt.Sprintf("%.2f s", s["takeover.controllerCPU"].measured(l.workersPerCell)))
 	out += tableRow("", "inventories received", formatMB(s["tasks.toEntry"].Slope*10*l.tasksPerCell))
 	out += tableRow("a region is cut off for an hour", "tasks of a region", formatNumber(2*l.tasksPerCell))
 	out += tableRow("", "links that return together at an entry", formatNumber(l.linksPerEntry))
-	out += tableRow("", "bytes if each agent needs the whole configuration", formatMB(rejoin))
-	backlog := 2 * 600 * l.startsPerCell
-	out += tableRow("the store returns after 10 minutes", "rows of a cell that waited, two for each start", formatNumber(backlog))
-	out += tableRow("", "transactions of a cell at 120 rows", formatNumber(backlog/rowsPerTxn))
+	out += tableRow("", "bytes if each agent needs the whole configuration", formatMB(rejoinBytes))
+	backlogRows := 2 * 600 * l.startsPerCell
+	out += tableRow("the store returns after 10 minutes", "rows of a cell that waited, two for each start", formatNumber(backlogRows))
+	out += tableRow("", "transactions of a cell at 120 rows", formatNumber(backlogRows/rowsPerTxn))
 	return out + tableRow("", "writes/s of all cells, one at a time at 20 ms", formatNumber(l.cells/0.02)+", "+fitsText(l.cells/0.02 <= budgetWritesPerSecond))
 }
 
 func figuresTable(s map[string]slope) string {
 	l := targetLayout()
-	decision := s["placement.decisionCPU"].at(l.workersPerCell)
+	secondsPerDecision := s["placement.decisionCPU"].at(l.workersPerCell)
 	p99 := s["cell.urgentP99"].measured(l.startsPerCell)
 	return tableHeader("line of the target", "figure", "value") +
-		tableRow("580 task starts/s", "processor time of placement decisions, of a core of each controller", formatPercent(decision*l.startsPerCell)) +
+		tableRow("580 task starts/s", "processor time of placement decisions, of a core of each controller", formatPercent(secondsPerDecision*l.startsPerCell)) +
 		tableRow("", "controller's core at that rate, leases and timers included", formatPercent(s["starts.controllerCPU"].at(l.startsPerCell))) +
 		tableRow("", "transactions/s of a cell", formatNumber(s["cell.writes"].measured(l.startsPerCell))) +
 		tableRow("urgent work within 1.4 s", "99% of the starts at 58/s with room, table at 10 ms", fmt.Sprintf("%.2f s", p99)) +
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -27,10 +27,10 @@
 	queuedRequests       = 1000 // for each entry
 	peakEditFactor       = 10   // peak rate of edits, as a multiple of the daily mean
 
-	budgetCores           = 0.016
+	budgetCores           = 0.016 // of a daemon, as the memory and the traffic
 	budgetMemoryBytes     = 128e6
 	budgetBytesPerSecond  = 11e3
-	budgetWritesPerSecond = 400.0
+	budgetWritesPerSecond = 400.0 // of the table, as the reads
 	budgetReadsPerSecond  = 2000.0
 	secondsPerDay         = 86_400.0
 	secondsPerHour        = 3600.0
@@ -50,6 +50,7 @@
 	startsPerCell, editsPerSecond                float64
 }
 
+// targetLayout returns the layout of the target size.
 func targetLayout() layout {
 	l := layout{entries: targetDataCentres * entriesPerDataCentre, cells: targetDataCentres * cellsPerDataCentre}
 	l.workersPerCell = targetWorkers / l.cells
