--- a/test/history_test.go
+++ b/test/history_test.go
@@ -46,8 +46,8 @@
 	}
 	for _, worker := range recorded.Workers {
 		attempts += len(worker.Runs)
-		for _, span := range worker.Runs {
-			if span.FromStep > 0 {
+		for _, run := range worker.Runs {
+			if run.FromStep > 0 {
 				resumed++
 			}
 		}
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -69,7 +69,7 @@
 	return names
 }
 
-// workload is the work that is sent while the faults of a schedule are in force.
+// workload is the work that is sent while the faults of a schedule are active.
 // Submissions and edits wait for their acceptance in goroutines of their own;
 // the goroutine of the test records the results.
 type workload struct {
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -27,8 +27,8 @@
 )
 
 // planFaults draws a schedule that depends only on the random numbers, the links
-// and the duration. Faults overlap, and one may be drawn again while it is in
-// force.
+// and the duration. Faults overlap, and one may be drawn again while it is
+// active.
 func planFaults(random *rand.Rand, links []string, duration time.Duration) []plannedFault {
 	var faults []plannedFault
 	for at := time.Duration(0); at < duration; at += time.Duration(random.Int64N(int64(2 * meanFaultInterval))) {
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -34,7 +34,7 @@
 	pendingCalls    []*pendingCall                   // not yet awaited
 	endedCalls      []history.Call                   // awaited
 	history         history.History                  // what the test itself did and observed; collectHistory adds the logs
-	openFaults      map[string]int                   // by fault in force: index in history.Faults
+	openFaults      map[string]int                   // by active fault: index in history.Faults
 	summary         string                           // of the history; set by checkHistory
 	versionWatchers []chan chan []history.ConfigView // one for each entry; a watcher answers with what it has observed
 	aliases         map[string]string                // by alias of the script: process
@@ -188,7 +188,7 @@
 	}
 }
 
-// beginFault records that a fault is in force from now on. It does nothing if
+// beginFault records that a fault is active from now on. It does nothing if
 // the fault already is.
 func (s *system) beginFault(fault string) {
 	if _, ok := s.openFaults[fault]; ok {
@@ -198,8 +198,8 @@
 	s.history.Faults = append(s.history.Faults, history.FaultInterval{Fault: fault, From: time.Now().UnixNano()})
 }
 
-// endFault records the end of a fault. It does nothing if the fault is not in
-// force.
+// endFault records the end of a fault. It does nothing if the fault is not
+// active.
 func (s *system) endFault(fault string) {
 	if i, ok := s.openFaults[fault]; ok {
 		s.history.Faults[i].Until = time.Now().UnixNano()
--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -71,12 +71,12 @@
 
 func taskState(s *system, args []string) (bool, error) {
 	for _, name := range processNames("worker", agentCount) {
-		var spans []standin.TaskRun
-		if err := s.callSimulator(name, "/control/log", nil, &spans); err != nil {
+		var runs []standin.TaskRun
+		if err := s.callSimulator(name, "/control/log", nil, &runs); err != nil {
 			return false, err
 		}
-		for _, span := range spans {
-			if span.Task == args[0] && string(span.State) == args[1] {
+		for _, run := range runs {
+			if run.Task == args[0] && string(run.State) == args[1] {
 				return true, nil
 			}
 		}
