--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -147,20 +147,20 @@
 // startAgents starts the agents of a plan. The returned function fills in the
 // agents' part of a sample.
 func startAgents(g *actor.Group, p childPlan) func(*sample) {
-	var hosts []*fakeHost
+	var workers []*fakeWorker
 	var announce []string
 	for i := range p.Agents {
-		h, l := newFakeHost(), listenLoopback()
-		hosts, announce = append(hosts, h), append(announce, l.Addr().String())
+		worker, l := newFakeWorker(), listenLoopback()
+		workers, announce = append(workers, worker), append(announce, l.Addr().String())
 		daemon.StartAgent(g, daemon.AgentConfig{
 			Worker: testWorker(i), Cell: cellName, Region: region, Entries: p.Connect,
-			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: h, Log: discardLog(),
+			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: worker, Log: discardLog(),
 		})
 	}
 	return func(s *sample) {
 		s.Announce = announce
-		for _, h := range hosts {
-			s.Running += h.running()
+		for _, worker := range workers {
+			s.Running += worker.running()
 		}
 	}
 }
--- a/internal/capacity/control_memory_test.go
+++ b/internal/capacity/control_memory_test.go
@@ -55,7 +55,7 @@
 	for _, row := range c.committedRows {
 		next.unreadRows = append(next.unreadRows, row)
 	}
-	began := processorSeconds()
+	secondsBefore := processorSeconds()
 	next.linkWorkers(workers)
-	return processorSeconds() - began
+	return processorSeconds() - secondsBefore
 }
--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -139,10 +139,10 @@
 		}
 		c.now = next
 		for len(c.dueEnds) > 0 && c.dueEnds[0].at <= c.now {
-			taskEnd := c.dueEnds[0]
+			due := c.dueEnds[0]
 			c.dueEnds = c.dueEnds[1:]
 			c.runningCount--
-			c.apply(control.Received{Worker: taskEnd.worker, Msg: &taskEnd.report})
+			c.apply(control.Received{Worker: due.worker, Msg: &due.report})
 		}
 		c.apply(control.Tick{})
 	}
@@ -181,15 +181,15 @@
 // runLoad submits rate jobs a second for d. It returns the processor time used, in
 // cores, and the commits per second of virtual time.
 func (c *controller) runLoad(rate int, d time.Duration) (cores, commits float64) {
-	startedAt, before, count := processorSeconds(), c.commitCount, 0
+	secondsBefore, commitsBefore, submitted := processorSeconds(), c.commitCount, 0
 	const ticks = 10
 	for i := range int(d.Seconds()) * ticks {
 		due := rate * (i + 1) / ticks
-		c.submit(count, due-count, false)
-		count = due
+		c.submit(submitted, due-submitted, false)
+		submitted = due
 		c.advance(time.Second / ticks)
 	}
-	return (processorSeconds() - startedAt) / d.Seconds(), float64(c.commitCount-before) / d.Seconds()
+	return (processorSeconds() - secondsBefore) / d.Seconds(), float64(c.commitCount-commitsBefore) / d.Seconds()
 }
 
 // tasksPerWorker is the mean of 129,000 tasks on 6,900 workers.
@@ -246,7 +246,7 @@
 			ledger.Adopt(testWorker(i).ID, placeTask(jobRow(10_000+i*100+jobIndex)))
 		}
 	}
-	began, placed := processorSeconds(), 0
+	secondsBefore, placed := processorSeconds(), 0
 	for round := range rounds {
 		snapshot := place.Snapshot{Workers: ledger.Workers(), TeamUse: ledger.TeamUse()}
 		for jobIndex := range perRound {
@@ -261,7 +261,7 @@
 			}
 		}
 	}
-	return (processorSeconds() - began) / float64(placed)
+	return (processorSeconds() - secondsBefore) / float64(placed)
 }
 
 func placeTask(r model.JobRow) place.Task {
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -75,6 +75,7 @@
 	return math.Round(v*scale) / scale
 }
 
+// loadSlopes returns the recorded quantities, by name.
 func loadSlopes(tb testing.TB) map[string]slope {
 	raw, err := os.ReadFile(slopesFile)
 	require.NoError(tb, err)
@@ -89,6 +90,7 @@
 	quantities   map[string]*slope
 }
 
+// newSeries returns a series that a benchmark measures; per is the unit of x.
 func newSeries(per, bench string) *series {
 	return &series{per: per, quantities: map[string]*slope{},
 		command: "go test -run '^$' -bench '^" + bench + "$' -benchtime 1x ./internal/capacity -record"}
@@ -102,6 +104,7 @@
 	return s
 }
 
+// add adds a point to a quantity.
 func (s *series) add(name, unit string, x, y float64) {
 	quantity := s.quantities[name]
 	if quantity == nil {
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -101,8 +101,8 @@
 // waits returns the waiting times of the tasks started so far.
 func (r *cellRun) waits() (waits []time.Duration) {
 	for range len(r.started) {
-		s := <-r.started
-		waits = append(waits, s.at.Sub(r.submitted[s.job]))
+		start := <-r.started
+		waits = append(waits, start.at.Sub(r.submitted[start.job]))
 	}
 	sort.Slice(waits, func(i, j int) bool { return waits[i] < waits[j] })
 	return waits
@@ -125,6 +125,7 @@
 	_ = r.control.Send(r.ctx, control.AgentUp{Worker: w, Cell: cellName, Boot: 1, Link: link})
 }
 
+// answerCommand answers a command as an agent does.
 func (r *cellRun) answerCommand(g *actor.Group, m msg.Control, reply func(msg.Control)) {
 	switch m := m.(type) {
 	case *msg.CellClaim:
--- a/internal/capacity/host_test.go
+++ b/internal/capacity/worker_test.go
@@ -12,51 +12,51 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// fakeHost is the host of an agent; its tasks run until they are stopped.
-type fakeHost struct {
+// fakeWorker is the worker client of an agent. Its tasks run until they are stopped.
+type fakeWorker struct {
 	mu    sync.Mutex
 	tasks map[model.AttemptID]time.Time
 }
 
-func newFakeHost() *fakeHost { return &fakeHost{tasks: map[model.AttemptID]time.Time{}} }
+func newFakeWorker() *fakeWorker { return &fakeWorker{tasks: map[model.AttemptID]time.Time{}} }
 
-func (h *fakeHost) running() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.tasks)
+func (w *fakeWorker) running() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.tasks)
 }
 
-func (h *fakeHost) Start(_ context.Context, r taskagent.StartRequest) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.tasks[r.Attempt] = time.Now()
+func (w *fakeWorker) Start(_ context.Context, r taskagent.StartRequest) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.tasks[r.Attempt] = time.Now()
 	return nil
 }
 
-func (h *fakeHost) Stop(_ context.Context, id model.AttemptID) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.tasks, id)
+func (w *fakeWorker) Stop(_ context.Context, id model.AttemptID) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.tasks, id)
 	return nil
 }
 
-func (h *fakeHost) List(context.Context) ([]taskagent.Task, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (w *fakeWorker) List(context.Context) ([]taskagent.Task, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	var list []taskagent.Task
-	for id, began := range h.tasks {
-		list = append(list, taskagent.Task{Attempt: id, State: model.TaskRunning, RanFor: time.Since(began),
+	for id, startedAt := range w.tasks {
+		list = append(list, taskagent.Task{Attempt: id, State: model.TaskRunning, RanFor: time.Since(startedAt),
 			Usage: model.Usage{Resources: model.Resources{CPU: 900, Memory: 1 << 30}, Age: 10 * time.Second}})
 	}
 	return list, nil
 }
 
-func (h *fakeHost) Renew(context.Context, model.AttemptID, time.Duration) error { return nil }
-func (h *fakeHost) Checkpoint(_ context.Context, id model.AttemptID) (string, error) {
+func (w *fakeWorker) Renew(context.Context, model.AttemptID, time.Duration) error { return nil }
+func (w *fakeWorker) Checkpoint(_ context.Context, id model.AttemptID) (string, error) {
 	return taskagent.CheckpointPrefix(id) + "1", nil
 }
-func (h *fakeHost) Throttle(context.Context, model.AttemptID, int) error { return nil }
-func (h *fakeHost) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
+func (w *fakeWorker) Throttle(context.Context, model.AttemptID, int) error { return nil }
+func (w *fakeWorker) Describe(context.Context) (model.Worker, error)       { return model.Worker{}, nil }
 
 // jobRow returns the row of a job of a size of which 24 fit on a worker.
 func jobRow(i int) model.JobRow {
