--- a/test/waitfor_test.go
+++ b/test/waitfor_test.go
@@ -125,11 +125,11 @@
 }
 
 // versionEverywhere reports whether every entry and agent that is linked to it
-// uses the newest accepted edit.
-func versionEverywhere(s *system, a []string) (bool, error) {
+// uses the configuration of the newest accepted edit.
+func versionEverywhere(s *system, _ []string) (bool, error) {
 	newest := uint64(0)
-	for _, entry := range s.history.Edits {
-		newest = max(newest, entry.Version)
+	for _, edit := range s.history.Edits {
+		newest = max(newest, edit.Version)
 	}
 	for _, entry := range processNames("entry", entryCount) {
 		var status struct{ Daemons []model.AppliedVersion }
