--- a/internal/capacity/child_test.go
+++ b/internal/capacity/child_test.go
@@ -23,75 +23,80 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// childVariable holds the plan of a child process, so that a role's memory and
-// processor time are measured without those of its peers.
-const childVariable = "BAMBOOSCALE_CAPACITY_CHILD"
+// childPlanVariable is the environment variable with the plan of a child process.
+// Each role runs in a process of its own, so that its memory and processor time
+// are measured without those of its peers.
+const childPlanVariable = "BAMBOOSCALE_CAPACITY_CHILD"
 
 const (
 	cellName = "cairo-nasr-1"
 	region   = "cairo"
 	loopback = "127.0.0.1:0"
 
-	queueDeadline = 10 * time.Minute
+	// queuedRequestDeadline is longer than a run, in which a queued request waits.
+	queuedRequestDeadline = 10 * time.Minute
 )
 
-// plan is what a child process runs.
-type plan struct {
+// childPlan states what a child process runs.
+type childPlan struct {
 	Entries  int      // entry role: number of entries
 	Items    int      // entry role: configuration items
 	Jobs     int      // entry role: job rows at the start
 	Agents   int      // agent role: number of agents; 0 is the entry role
 	Connect  []string // agent role: addresses of entries
-	FirstJob int
+	FirstJob int      // entry role: number of the first job row
 }
 
-// sample is what a child reports of itself.
+// sample is a measurement that a child process reports of itself.
 type sample struct {
 	CPU           float64 // seconds of processor time, user and system
-	Live          float64 // bytes of heap and stacks after a collection
-	Held          float64 // bytes that the runtime holds of the system
+	Live          float64 // bytes of heap and stacks after a garbage collection; 0 if not requested
+	Held          float64 // bytes that the runtime has obtained from the operating system and not returned; 0 if not requested
 	Goroutines    int
-	Reads, Writes int // entry: operations at the table
-	Running       int // agents: tasks
-	Agents        []string
-	Operator      []string
-	Callers       []string
-	Announce      []string
+	Reads, Writes int      // entries: operations of the table since the start
+	Running       int      // agents: running tasks
+	Agents        []string // entries: addresses for agents
+	Operator      []string // entries: addresses of the operator interface
+	Callers       []string // entries: addresses for callers
+	Announce      []string // agents: addresses for announcements of backend servers
 }
 
+// TestMain runs the tests, or a role if the process is a child.
 func TestMain(m *testing.M) {
-	raw, ok := os.LookupEnv(childVariable)
+	raw, ok := os.LookupEnv(childPlanVariable)
 	if !ok {
 		os.Exit(m.Run())
 	}
-	var p plan
+	var p childPlan
 	if err := json.Unmarshal([]byte(raw), &p); err != nil {
 		panic(err)
 	}
-	g := daemon.NewGroup(context.Background(), silent())
-	run := entries
+	g := daemon.NewGroup(context.Background(), discardLog())
+	run := startEntries
 	if p.Agents > 0 {
-		run = agents
+		run = startAgents
 	}
-	answer(run(g, p))
+	serveSamples(run(g, p))
 }
 
-func silent() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
-// answer writes a sample for each line on the standard input until its end.
-func answer(fill func(*sample)) {
+// serveSamples writes a sample to the standard output for each line on the standard
+// input until that ends. After the line "memory" it collects garbage and measures
+// the memory; fill adds the figures of the role.
+func serveSamples(fill func(*sample)) {
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
 		var s sample
-		var used syscall.Rusage
-		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-		s.CPU = float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+		var usage syscall.Rusage
+		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+		s.CPU = float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 		if in.Text() == "memory" {
 			runtime.GC()
-			runtime.GC() // the first moves pooled objects to the victim cache
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			s.Live, s.Held = float64(m.HeapAlloc+m.StackInuse), float64(m.Sys-m.HeapReleased)
+			runtime.GC() // the first collection only moves pooled objects to the victim cache
+			var stats runtime.MemStats
+			runtime.ReadMemStats(&stats)
+			s.Live, s.Held = float64(stats.HeapAlloc+stats.StackInuse), float64(stats.Sys-stats.HeapReleased)
 		}
 		s.Goroutines = runtime.NumGoroutine()
 		fill(&s)
@@ -100,9 +105,11 @@
 	}
 }
 
-func entries(g *actor.Group, p plan) func(*sample) {
+// startEntries starts the entries of a plan, which share one table. The first entry
+// owns the cell. The returned function fills in the entries' part of a sample.
+func startEntries(g *actor.Group, p childPlan) func(*sample) {
 	table := standin.NewTable(g, standin.StoreFaults{WritesPerSecond: -1, ReadsPerSecond: -1, DropHistory: true})
-	seed(g.Context(), table, p)
+	seedTable(g.Context(), table, p)
 	before, _ := table.State(g.Context())
 	var agents, operators, callers []string
 	for i := range p.Entries {
@@ -110,14 +117,14 @@
 		if err != nil {
 			panic(err)
 		}
-		operator, caller := listen(), listen()
+		operator, caller := listenLoopback(), listenLoopback()
 		s := &settings.Settings{}
 		s.Daemon.ID, s.Daemon.DataCentre, s.Daemon.Region = fmt.Sprintf("entry-%d", i+1), "cairo-nasr", region
 		s.Entry.Cells, s.Entry.DefaultCell, s.Entry.DefaultService = []model.Cell{cellName}, cellName, "permit-desk"
 		s.Entry.MaxBody, s.Entry.MaxHeader, s.Entry.MaxCallers = 64<<20, 64<<10, 65536
-		s.Entry.RequestDeadline = queueDeadline // a queued request waits for the whole run
+		s.Entry.RequestDeadline = queuedRequestDeadline
 		daemon.StartEntry(g, daemon.EntryConfig{Settings: s, Build: "capacity", Table: table,
-			Objects: standin.NewObjects(g, standin.StoreFaults{}), Callers: caller, Agents: links, Operator: operator, Log: silent()})
+			Objects: standin.NewObjects(g, standin.StoreFaults{}), Callers: caller, Agents: links, Operator: operator, Log: discardLog()})
 		agents = append(agents, links.Addr())
 		operators, callers = append(operators, operator.Addr().String()), append(callers, caller.Addr().String())
 	}
@@ -128,7 +135,8 @@
 	}
 }
 
-func listen() net.Listener {
+// listenLoopback listens on a free port.
+func listenLoopback() net.Listener {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		panic(err)
@@ -136,26 +144,29 @@
 	return l
 }
 
-func agents(g *actor.Group, p plan) func(*sample) {
-	var hosts []*host
+// startAgents starts the agents of a plan. The returned function fills in the
+// agents' part of a sample.
+func startAgents(g *actor.Group, p childPlan) func(*sample) {
+	var workers []*fakeWorker
 	var announce []string
 	for i := range p.Agents {
-		h, l := newHost(), listen()
-		hosts, announce = append(hosts, h), append(announce, l.Addr().String())
+		worker, l := newFakeWorker(), listenLoopback()
+		workers, announce = append(workers, worker), append(announce, l.Addr().String())
 		daemon.StartAgent(g, daemon.AgentConfig{
-			Worker: worker(i), Cell: cellName, Region: region, Entries: p.Connect,
-			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: h, Log: silent(),
+			Worker: testWorker(i), Cell: cellName, Region: region, Entries: p.Connect,
+			Announce: l, Dialer: link.NewDialer(g, link.Config{}), WorkerClient: worker, Log: discardLog(),
 		})
 	}
 	return func(s *sample) {
 		s.Announce = announce
-		for _, h := range hosts {
-			s.Running += h.running()
+		for _, worker := range workers {
+			s.Running += worker.running()
 		}
 	}
 }
 
-func worker(i int) model.Worker {
+// testWorker returns a worker; 20 workers share a rack.
+func testWorker(i int) model.Worker {
 	return model.Worker{ID: model.WorkerID(fmt.Sprintf("worker-%05d", i)), DataCentre: "cairo-nasr",
 		Rack:     model.Rack(fmt.Sprintf("rack-%03d", i/20)),
 		Capacity: model.Resources{CPU: 32_000, Memory: 125 << 30, Accelerators: 2},
--- a/internal/capacity/controller_test.go
+++ b/internal/capacity/controller_test.go
@@ -16,23 +16,24 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// controller drives the core of a controller in virtual time with agents that
-// answer at once and tasks that end after taskLength.
+// controller runs the core of a controller in virtual time. Its agents and its
+// table answer at once; tasks end after taskLength unless they are long-running.
 type controller struct {
-	core     *control.Core
-	now      time.Duration
-	revision storage.Revision
-	unread   []control.JobRow // rows that the next scan returns
-	events   []control.Event
-	ends     []ending                            // in the order of time
-	rows     map[model.JobID]control.JobRow      // committed
-	holds    map[model.WorkerID][]msg.TaskReport // tasks without an end
-	started  int
-	commits  int
-	running  int
+	core          *control.Core
+	now           time.Duration
+	revision      storage.Revision
+	unreadRows    []control.JobRow // rows that the next scan returns
+	events        []control.Event  // not yet applied
+	dueEnds       []taskEnd        // in order of time
+	committedRows map[model.JobID]control.JobRow
+	runningTasks  map[model.WorkerID][]msg.TaskReport // long-running tasks, as the agents report them
+	startedCount  int
+	commitCount   int
+	runningCount  int
 }
 
-type ending struct {
+// taskEnd is the end of a task at a later time.
+type taskEnd struct {
 	at     time.Duration
 	worker model.WorkerID
 	report msg.TaskReport
@@ -40,214 +41,227 @@
 
 const taskLength = 2 * time.Second
 
-// claimTime is enough for a controller to claim its cell, read its rows and
-// renew the leases of its agents twice.
-const claimTime = 2 * time.Second
+// claimDuration is long enough for a controller to claim its cell, read its rows
+// and renew the leases of its agents twice.
+const claimDuration = 2 * time.Second
 
-func blankController() *controller {
-	return &controller{revision: 1, rows: map[model.JobID]control.JobRow{}, holds: map[model.WorkerID][]msg.TaskReport{},
+// unlinkedController returns a controller without agents.
+func unlinkedController() *controller {
+	return &controller{revision: 1, committedRows: map[model.JobID]control.JobRow{}, runningTasks: map[model.WorkerID][]msg.TaskReport{},
 		core: control.NewCore(control.Options{Cell: cellName, Entry: "entry-1", Boot: 1,
 			Planner: place.New(place.Options{}), Health: health.New()})}
 }
 
+// newController returns a controller that owns its cell and is linked to the agents
+// of the workers.
 func newController(workers int) *controller {
-	c := blankController()
-	c.link(workers)
+	c := unlinkedController()
+	c.linkWorkers(workers)
 	return c
 }
 
-func (c *controller) link(workers int) {
+// linkWorkers links the agents of the workers and advances the time until the cell
+// is claimed.
+func (c *controller) linkWorkers(workers int) {
 	for i := range workers {
-		c.step(control.PeerUp{Worker: worker(i), Boot: 1})
+		c.apply(control.PeerUp{Worker: testWorker(i), Boot: 1})
 	}
-	c.pass(claimTime)
+	c.advance(claimDuration)
 }
 
-func (c *controller) step(e control.Event) {
-	c.events = append(c.events, e)
+// apply applies an event and all events that answer its effects.
+func (c *controller) apply(event control.Event) {
+	c.events = append(c.events, event)
 	for len(c.events) > 0 {
-		e, c.events = c.events[0], c.events[1:]
-		for _, f := range c.core.Step(c.now, e) {
-			c.effect(f)
+		event, c.events = c.events[0], c.events[1:]
+		for _, effect := range c.core.Step(c.now, event) {
+			c.perform(effect)
 		}
 	}
 	c.events = nil
 }
 
-func (c *controller) answer(e control.Event) { c.events = append(c.events, e) }
+func (c *controller) enqueue(e control.Event) { c.events = append(c.events, e) }
 
-func (c *controller) effect(f control.Effect) {
-	switch f := f.(type) {
+// perform carries out an effect and queues the event that answers it.
+func (c *controller) perform(effect control.Effect) {
+	switch effect := effect.(type) {
 	case control.Observe:
-		c.answer(control.Observed{})
+		c.enqueue(control.Observed{})
 	case control.Claim:
-		c.answer(control.Claimed{Won: true, Version: 1})
+		c.enqueue(control.Claimed{Won: true, Version: 1})
 	case control.WriteHeartbeat:
-		c.answer(control.HeartbeatWritten{Fence: f.Fence, Sent: f.Sent, OK: true})
+		c.enqueue(control.HeartbeatWritten{Fence: effect.Fence, Sent: effect.Sent, OK: true})
 	case control.Scan:
-		c.answer(control.Scanned{Fence: f.Fence, Rows: c.unread, Through: c.revision})
-		c.unread = nil
+		c.enqueue(control.Scanned{Fence: effect.Fence, Rows: c.unreadRows, Through: c.revision})
+		c.unreadRows = nil
 	case control.Commit:
 		c.revision++
-		c.commits++
-		for _, w := range f.Writes {
+		c.commitCount++
+		for _, w := range effect.Writes {
 			w.Version = c.revision
-			c.rows[w.ID] = w
+			c.committedRows[w.ID] = w
 		}
-		c.answer(control.Committed{Fence: f.Fence, Revision: c.revision})
+		c.enqueue(control.Committed{Fence: effect.Fence, Revision: c.revision})
 	case control.Send:
-		c.agent(f.Worker, f.Msg)
+		c.answerCommand(effect.Worker, effect.Msg)
 	}
 }
 
-// agent answers a command as the agent of a worker does.
-func (c *controller) agent(id model.WorkerID, m msg.Control) {
+// answerCommand answers a command as the agent of a worker does.
+func (c *controller) answerCommand(id model.WorkerID, m msg.Control) {
 	switch m := m.(type) {
 	case *msg.CellClaim:
-		c.answer(control.Received{Worker: id, Msg: &msg.Inventory{Cell: m.Cell, Epoch: m.Epoch, Attempts: c.holds[id]}})
+		c.enqueue(control.Received{Worker: id, Msg: &msg.Inventory{Cell: m.Cell, Epoch: m.Epoch, Attempts: c.runningTasks[id]}})
 	case *msg.LeaseRenew:
-		c.answer(control.Received{Worker: id, Msg: &msg.LeaseAck{Cell: m.Cell, Epoch: m.Epoch, Sequence: m.Sequence}})
+		c.enqueue(control.Received{Worker: id, Msg: &msg.LeaseAck{Cell: m.Cell, Epoch: m.Epoch, Sequence: m.Sequence}})
 	case *msg.StartTask:
-		c.started++
-		c.running++
-		r := msg.TaskReport{Attempt: m.Attempt, Epoch: m.Epoch, State: model.TaskRunning}
-		c.answer(control.Received{Worker: id, Msg: &r})
+		c.startedCount++
+		c.runningCount++
+		report := msg.TaskReport{Attempt: m.Attempt, Epoch: m.Epoch, State: model.TaskRunning}
+		c.enqueue(control.Received{Worker: id, Msg: &report})
 		if m.Spec.LongRunning {
-			c.holds[id] = append(c.holds[id], r)
+			c.runningTasks[id] = append(c.runningTasks[id], report)
 			return
 		}
-		done := r
+		done := report
 		done.State = model.TaskDone
-		c.ends = append(c.ends, ending{c.now + taskLength, id, done})
+		c.dueEnds = append(c.dueEnds, taskEnd{c.now + taskLength, id, done})
 	}
 }
 
-// pass lets d pass.
-func (c *controller) pass(d time.Duration) {
+// advance advances the virtual time by d, with the timers and task ends within it.
+func (c *controller) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		next := min(max(c.core.NextTick(), c.now+time.Microsecond), end)
-		if len(c.ends) > 0 {
-			next = min(next, c.ends[0].at)
+		if len(c.dueEnds) > 0 {
+			next = min(next, c.dueEnds[0].at)
 		}
 		c.now = next
-		for len(c.ends) > 0 && c.ends[0].at <= c.now {
-			x := c.ends[0]
-			c.ends = c.ends[1:]
-			c.running--
-			c.step(control.Received{Worker: x.worker, Msg: &x.report})
+		for len(c.dueEnds) > 0 && c.dueEnds[0].at <= c.now {
+			due := c.dueEnds[0]
+			c.dueEnds = c.dueEnds[1:]
+			c.runningCount--
+			c.apply(control.Received{Worker: due.worker, Msg: &due.report})
 		}
-		c.step(control.Tick{})
+		c.apply(control.Tick{})
 	}
 }
 
-// submit adds the rows of n jobs from the number first on.
+// submit adds the rows of n jobs, numbered from first, for the next scan.
 func (c *controller) submit(first, n int, long bool) {
 	for i := range n {
-		r := jobRow(first + i)
-		r.Spec.LongRunning = long
+		row := jobRow(first + i)
+		row.Spec.LongRunning = long
 		c.revision++
-		c.unread = append(c.unread, control.JobRow{ID: r.Spec.ID, Row: r, Version: c.revision})
+		c.unreadRows = append(c.unreadRows, control.JobRow{ID: row.Spec.ID, Row: row, Version: c.revision})
 	}
 }
 
-// fill runs perWorker tasks without an end on each worker.
-func (c *controller) fill(workers, perWorker int) {
+// fillWorkers submits perWorker long-running tasks for each worker and advances the
+// time until they run.
+func (c *controller) fillWorkers(workers, perWorker int) {
 	c.submit(1_000_000, workers*perWorker, true)
 	for range 600 {
-		if c.pass(time.Second); c.running == workers*perWorker {
+		if c.advance(time.Second); c.runningCount == workers*perWorker {
 			return
 		}
 	}
-	panic(fmt.Sprintf("%d tasks run, not %d", c.running, workers*perWorker))
+	panic(fmt.Sprintf("%d tasks run, want %d", c.runningCount, workers*perWorker))
 }
 
-// processorTime is the processor time of this process so far in seconds.
-func processorTime() float64 {
-	var used syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-	return float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+// processorSeconds returns the processor time that this process has used so far,
+// in seconds.
+func processorSeconds() float64 {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
-// load submits jobs at a rate for d and returns the processor time for each
-// second and the commits for each second.
-func (c *controller) load(rate int, d time.Duration) (cores, commits float64) {
-	began, before, count := processorTime(), c.commits, 0
+// runLoad submits rate jobs a second for d. It returns the processor time used, in
+// cores, and the commits per second of virtual time.
+func (c *controller) runLoad(rate int, d time.Duration) (cores, commits float64) {
+	secondsBefore, commitsBefore, submitted := processorSeconds(), c.commitCount, 0
 	const ticks = 10
 	for i := range int(d.Seconds()) * ticks {
 		due := rate * (i + 1) / ticks
-		c.submit(count, due-count, false)
-		count = due
-		c.pass(time.Second / ticks)
+		c.submit(submitted, due-submitted, false)
+		submitted = due
+		c.advance(time.Second / ticks)
 	}
-	return (processorTime() - began) / d.Seconds(), float64(c.commits-before) / d.Seconds()
+	return (processorSeconds() - secondsBefore) / d.Seconds(), float64(c.commitCount-commitsBefore) / d.Seconds()
 }
 
-const tasksPerWorker = 19 // 129,000 tasks on 6,900 workers
+// tasksPerWorker is the mean of 129,000 tasks on 6,900 workers.
+const tasksPerWorker = 19
 
-// Measures what each task start and end costs a controller of 690 workers.
+// Measures the processor time and the commits of a controller of 690 workers for
+// each task that starts and ends.
 func BenchmarkTaskStarts(b *testing.B) {
 	s := newSeries("task start/s", "BenchmarkTaskStarts")
 	for _, rate := range []int{0, 20, 58, 116} {
 		c := newController(690)
-		c.fill(690, tasksPerWorker)
-		c.started = 0
-		cores, commits := c.load(rate, 30*time.Second)
-		require.InDelta(b, rate*30, c.started, float64(rate), "task starts")
-		s.add("starts.controllerCPU", coreUnit, float64(rate), cores)
-		s.add("starts.commits", eachSecond, float64(rate), commits)
+		c.fillWorkers(690, tasksPerWorker)
+		c.startedCount = 0
+		cores, commits := c.runLoad(rate, 30*time.Second)
+		require.InDelta(b, rate*30, c.startedCount, float64(rate), "task starts")
+		s.add("starts.controllerCPU", coresUnit, float64(rate), cores)
+		s.add("starts.commits", perSecond, float64(rate), commits)
 	}
 	s.finish(b)
 }
 
-// Measures what each worker costs a controller without task starts, lease
-// renewals and timers included.
+// Measures the processor time of a controller for each worker while no task starts.
+// It includes lease renewals and timers.
 func BenchmarkWorkersOfACell(b *testing.B) {
 	s := newSeries("worker of a cell", "BenchmarkWorkersOfACell")
 	for _, n := range []int{11, 100, 345, 690} {
 		c := newController(n)
-		c.fill(n, tasksPerWorker)
-		cores, _ := c.load(0, 5*time.Minute)
-		s.add("workers.controllerCPU", coreUnit, float64(n), cores)
+		c.fillWorkers(n, tasksPerWorker)
+		cores, _ := c.runLoad(0, 5*time.Minute)
+		s.add("workers.controllerCPU", coresUnit, float64(n), cores)
 	}
 	s.finish(b)
 }
 
-// Measures a placement decision: plan, verification and reservation.
+// Measures the processor time of a placement decision: plan, verification and
+// reservation.
 func BenchmarkPlacementDecision(b *testing.B) {
 	s := newSeries("worker of a cell", "BenchmarkPlacementDecision")
 	for _, n := range []int{11, 100, 345, 690} {
-		s.add("placement.decisionCPU", "core seconds", float64(n), decisionTime(n))
+		s.add("placement.decisionCPU", "core seconds", float64(n), decisionSeconds(n))
 	}
 	s.finish(b)
 }
 
-// decisionTime places rounds of 11 jobs on workers that run 17 tasks each.
-func decisionTime(workers int) float64 {
+// decisionSeconds places rounds of 11 jobs on workers that run 17 tasks each. It
+// returns the processor time for each placed job in seconds.
+func decisionSeconds(workers int) float64 {
 	const perRound, rounds = 11, 300
 	ledger, planner := place.NewLedger(), place.New(place.Options{})
 	rules, _ := place.CompileRules(nil)
 	for i := range workers {
-		ledger.SetWorker(worker(i), model.Resources{}, nil)
-		for k := range tasksPerWorker - 2 {
-			ledger.Adopt(worker(i).ID, placeTask(jobRow(10_000+i*100+k)))
+		ledger.SetWorker(testWorker(i), model.Resources{}, nil)
+		for jobIndex := range tasksPerWorker - 2 {
+			ledger.Adopt(testWorker(i).ID, placeTask(jobRow(10_000+i*100+jobIndex)))
 		}
 	}
-	began, placed := processorTime(), 0
+	secondsBefore, placed := processorSeconds(), 0
 	for round := range rounds {
 		snapshot := place.Snapshot{Workers: ledger.Workers(), TeamUse: ledger.TeamUse()}
-		for k := range perRound {
-			r := jobRow(round*perRound + k)
-			snapshot.Jobs = append(snapshot.Jobs, place.Job{Spec: r.Spec, Labels: r.Spec.Labels, Size: r.Spec.Resources, SubmitOrder: uint64(k)})
+		for jobIndex := range perRound {
+			row := jobRow(round*perRound + jobIndex)
+			snapshot.Jobs = append(snapshot.Jobs, place.Job{Spec: row.Spec, Labels: row.Spec.Labels, Size: row.Spec.Resources, SubmitOrder: uint64(jobIndex)})
 		}
-		for _, a := range planner.Plan(snapshot).Assignments {
-			task := place.Task{Attempt: model.AttemptID{Job: a.Job, Number: 1}, Team: a.Team, Size: a.Size, Labels: a.Labels}
-			if ledger.Reserve(a, task, place.Policy{Rules: rules}) == place.ReasonNone {
+		for _, assignment := range planner.Plan(snapshot).Assignments {
+			task := place.Task{Attempt: model.AttemptID{Job: assignment.Job, Number: 1}, Team: assignment.Team, Size: assignment.Size, Labels: assignment.Labels}
+			if ledger.Reserve(assignment, task, place.Policy{Rules: rules}) == place.ReasonNone {
 				placed++
 				ledger.Release(task.Attempt)
 			}
 		}
 	}
-	return (processorTime() - began) / float64(placed)
+	return (processorSeconds() - secondsBefore) / float64(placed)
 }
 
 func placeTask(r model.JobRow) place.Task {
@@ -255,14 +269,14 @@
 		Labels: r.Spec.Labels, Size: r.Spec.Resources}
 }
 
-// Guards against a driver whose agents or table do not do what the core waits
-// for, so that the benchmarks would measure an idle controller.
+// Guards against a simulation whose agents or table do not send the answers that
+// the core waits for: the benchmarks would then measure an idle controller.
 func TestControllerDriverStartsEveryJob(t *testing.T) {
 	c := newController(11)
-	c.fill(11, 2)
-	c.started = 0
-	c.load(4, 5*time.Second)
-	c.pass(5 * time.Second)
-	require.Equal(t, 20, c.started)
-	require.Equal(t, 22, c.running)
+	c.fillWorkers(11, 2)
+	c.startedCount = 0
+	c.runLoad(4, 5*time.Second)
+	c.advance(5 * time.Second)
+	require.Equal(t, 20, c.startedCount)
+	require.Equal(t, 22, c.runningCount)
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -11,38 +11,39 @@
 
 const pageFile = "../../docs/CAPACITY.md"
 
-var write = flag.Bool("write", false, "write the tables into docs/CAPACITY.md")
+var writePage = flag.Bool("write", false, "write the tables into docs/CAPACITY.md")
 
-var generated = regexp.MustCompile(`(?s)<!-- table (\w+) -->\n.*?<!-- end -->\n`)
+// generatedTable matches a generated table of the page.
+var generatedTable = regexp.MustCompile(`(?s)<!-- table (\w+) -->\n.*?<!-- end -->\n`)
 
-// Guards against a page whose tables do not follow from the recorded slopes,
-// or that lacks one.
+// Guards against a page that lacks a table, or whose tables differ from those
+// computed from the recorded slopes, as after an edit by hand or a new measurement.
 func TestPageFollowsFromSlopes(t *testing.T) {
 	raw, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 	s := loadSlopes(t)
 	seen := map[string]bool{}
 	var stale []string
-	want := generated.ReplaceAllStringFunc(string(raw), func(part string) string {
-		name := generated.FindStringSubmatch(part)[1]
+	want := generatedTable.ReplaceAllStringFunc(string(raw), func(part string) string {
+		name := generatedTable.FindStringSubmatch(part)[1]
 		require.Contains(t, tables, name)
 		seen[name] = true
-		again := "<!-- table " + name + " -->\n\n" + tables[name](s) + "\n<!-- end -->\n"
-		if again != part {
+		recomputed := "<!-- table " + name + " -->\n\n" + tables[name](s) + "\n<!-- end -->\n"
+		if recomputed != part {
 			stale = append(stale, name)
 		}
-		return again
+		return recomputed
 	})
 	require.Len(t, seen, len(tables))
-	if *write {
+	if *writePage {
 		require.NoError(t, os.WriteFile(pageFile, []byte(want), 0o644))
 		return
 	}
-	require.Empty(t, stale, "tables that do not follow from the slopes; run: go test -run TestPageFollowsFromSlopes ./internal/capacity -write")
+	require.Empty(t, stale, "tables differ from those computed from the slopes; run: go test -run TestPageFollowsFromSlopes ./internal/capacity -write")
 }
 
-// Guards against a calculation that names a quantity which nobody measured: a
-// missing one would count as zero.
+// Guards against a calculation with a quantity that is not recorded: a missing one
+// would count as zero.
 func TestEveryQuantityOfThePageIsMeasured(t *testing.T) {
 	s := loadSlopes(t)
 	used := regexp.MustCompile(`s\["([a-zA-Z0-9.]+)"\]`)
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -13,27 +13,28 @@
 
 const (
 	slopesFile = "slopes.json"
-	// significant is the number of digits that are recorded of a figure.
-	significant = 4
+	// significantDigits is the number of recorded significant digits of a figure.
+	significantDigits = 4
 )
 
 var record = flag.Bool("record", false, "write the measured slopes to "+slopesFile)
 
-// slope is a measured quantity with its linear fit.
+// slope is a measured quantity y with its linear fit over x.
 type slope struct {
-	Per     string       `json:"per"`  // unit of x
-	Unit    string       `json:"unit"` // unit of y
-	Command string       `json:"command"`
-	Points  [][2]float64 `json:"points"`
-	Slope   float64      `json:"slope"`
-	Base    float64      `json:"base"`  // y at x = 0
-	Error   float64      `json:"error"` // standard error of the slope
+	Per     string       `json:"per"`     // unit of x
+	Unit    string       `json:"unit"`    // unit of y
+	Command string       `json:"command"` // measures the quantity again
+	Points  [][2]float64 `json:"points"`  // x and y
+	Slope   float64      `json:"slope"`   // units of y for each unit of x
+	Base    float64      `json:"base"`    // y at x = 0
+	Error   float64      `json:"error"`   // standard error of the slope
 }
 
-// at returns the fitted value.
+// at returns the fitted value at x.
 func (s slope) at(x float64) float64 { return s.Base + s.Slope*x }
 
-// measured returns the point at x, for a quantity that is not linear.
+// measured returns the measured value at x, for a quantity that is not linear. It
+// panics if no point has this x.
 func (s slope) measured(x float64) float64 {
 	for _, p := range s.Points {
 		if p[0] == x {
@@ -43,95 +44,102 @@
 	panic(fmt.Sprintf("no point at %g %s", x, s.Per))
 }
 
-// fit computes the least-squares line through the points.
+// fit computes the least-squares line through the points and the standard error of
+// its slope. It needs three points.
 func (s *slope) fit() {
 	n := float64(len(s.Points))
-	var mx, my, sxx, sxy, rest float64
+	var meanX, meanY, sumXX, sumXY, residualSum float64
 	for _, p := range s.Points {
-		mx += p[0] / n
-		my += p[1] / n
+		meanX += p[0] / n
+		meanY += p[1] / n
 	}
 	for _, p := range s.Points {
-		sxx += (p[0] - mx) * (p[0] - mx)
-		sxy += (p[0] - mx) * (p[1] - my)
+		sumXX += (p[0] - meanX) * (p[0] - meanX)
+		sumXY += (p[0] - meanX) * (p[1] - meanY)
 	}
-	s.Slope = rounded(sxy / sxx)
-	s.Base = rounded(my - sxy/sxx*mx)
+	s.Slope = roundSignificant(sumXY / sumXX)
+	s.Base = roundSignificant(meanY - sumXY/sumXX*meanX)
 	for _, p := range s.Points {
-		d := p[1] - my - sxy/sxx*(p[0]-mx)
-		rest += d * d
+		residual := p[1] - meanY - sumXY/sumXX*(p[0]-meanX)
+		residualSum += residual * residual
 	}
-	s.Error = rounded(math.Sqrt(rest / (n - 2) / sxx))
+	s.Error = roundSignificant(math.Sqrt(residualSum / (n - 2) / sumXX))
 }
 
-func rounded(v float64) float64 {
+// roundSignificant rounds to significantDigits.
+func roundSignificant(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
-	scale := math.Pow(10, significant-math.Ceil(math.Log10(math.Abs(v))))
+	scale := math.Pow(10, significantDigits-math.Ceil(math.Log10(math.Abs(v))))
 	return math.Round(v*scale) / scale
 }
 
+// loadSlopes returns the recorded quantities, by name.
 func loadSlopes(tb testing.TB) map[string]slope {
 	raw, err := os.ReadFile(slopesFile)
 	require.NoError(tb, err)
-	all := map[string]slope{}
-	require.NoError(tb, json.Unmarshal(raw, &all))
-	return all
+	slopes := map[string]slope{}
+	require.NoError(tb, json.Unmarshal(raw, &slopes))
+	return slopes
 }
 
-// series collects the points of quantities that share their runs.
+// series collects the points of quantities that are measured in the same runs.
 type series struct {
 	per, command string
 	quantities   map[string]*slope
 }
 
+// newSeries returns a series that a benchmark measures; per is the unit of x.
 func newSeries(per, bench string) *series {
 	return &series{per: per, quantities: map[string]*slope{},
 		command: "go test -run '^$' -bench '^" + bench + "$' -benchtime 1x ./internal/capacity -record"}
 }
 
-// newTestSeries is for measurements in virtual time, which only tests can make.
+// newTestSeries returns a series that a test measures: testing/synctest, which
+// provides virtual time, is available to tests only.
 func newTestSeries(per, test string) *series {
 	s := newSeries(per, "")
 	s.command = "go test -count=1 -run '^" + test + "$' ./internal/capacity -record"
 	return s
 }
 
+// add adds a point to a quantity.
 func (s *series) add(name, unit string, x, y float64) {
-	q := s.quantities[name]
-	if q == nil {
-		q = &slope{Per: s.per, Unit: unit, Command: s.command}
-		s.quantities[name] = q
+	quantity := s.quantities[name]
+	if quantity == nil {
+		quantity = &slope{Per: s.per, Unit: unit, Command: s.command}
+		s.quantities[name] = quantity
 	}
-	q.Points = append(q.Points, [2]float64{x, rounded(y)})
+	quantity.Points = append(quantity.Points, [2]float64{x, roundSignificant(y)})
 }
 
-// finish fits the quantities, reports them and records them if asked to.
+// finish fits the quantities, logs them and, with -record, writes them to
+// slopesFile.
 func (s *series) finish(b testing.TB) {
-	for name, q := range s.quantities {
-		q.fit()
-		b.Logf("%s: %v + %v per %s, error %v %s, points %v", name, q.Base, q.Slope, q.Per, q.Error, q.Unit, q.Points)
+	for name, quantity := range s.quantities {
+		quantity.fit()
+		b.Logf("%s: %v + %v per %s, error %v %s, points %v", name, quantity.Base, quantity.Slope, quantity.Per, quantity.Error, quantity.Unit, quantity.Points)
 	}
 	if !*record || b.Failed() {
 		return
 	}
-	all := loadSlopes(b)
-	for name, q := range s.quantities {
-		all[name] = *q
+	slopes := loadSlopes(b)
+	for name, quantity := range s.quantities {
+		slopes[name] = *quantity
 	}
-	raw, err := json.MarshalIndent(all, "", " ")
+	raw, err := json.MarshalIndent(slopes, "", " ")
 	require.NoError(b, err)
 	require.NoError(b, os.WriteFile(slopesFile, append(raw, '\n'), 0o644))
 }
 
-// Guards against a fit that was edited by hand, or has too few points for an
-// error.
+// Guards against a recorded fit that was edited by hand, or that has too few points
+// for a standard error.
 func TestRecordedFitsFollowFromTheirPoints(t *testing.T) {
 	for name, s := range loadSlopes(t) {
-		again := s
-		again.fit()
+		recomputed := s
+		recomputed.fit()
 		require.GreaterOrEqual(t, len(s.Points), 3, name)
-		require.Equal(t, again, s, name)
+		require.Equal(t, recomputed, s, name)
 	}
 }
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -14,16 +14,19 @@
 	"github.com/bambooscale/bambooscale/internal/standin"
 )
 
-// control calls a simulator's control interface, past the proxies.
-func (s *system) control(name, path string, in, out any) error {
-	address := s.procs[name].ready["address"]
-	return call(context.Background(), "http://"+address+path, in, out)
+// callSimulator calls the control interface of a simulator directly, not through
+// a proxy.
+func (s *system) callSimulator(name, path string, in, out any) error {
+	address := s.processes[name].addresses["address"]
+	return callJSON(context.Background(), "http://"+address+path, in, out)
 }
 
 var controlClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// call gets url, or posts in to it, and decodes the answer into out.
-func call(ctx context.Context, url string, in, out any) error {
+// callJSON sends a GET request, or a POST request with the body in if that is not
+// nil, and decodes the response into out unless that is nil. Every status but 2xx
+// is an error.
+func callJSON(ctx context.Context, url string, in, out any) error {
 	method, body := http.MethodGet, ""
 	if in != nil {
 		raw, err := json.Marshal(in)
@@ -50,82 +53,85 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// collect reads every log.
-func (s *system) collect() (history.History, error) {
-	h := s.record
-	h.Calls, h.Steps = s.past, map[string]int{}
-	for _, list := range s.watchers {
+// collectHistory returns the recorded history with the logs of the simulators, the
+// commits of the table and the observed configuration versions.
+func (s *system) collectHistory() (history.History, error) {
+	collected := s.history
+	collected.Calls, collected.Steps = s.endedCalls, map[string]int{}
+	for _, watcher := range s.versionWatchers {
 		reply := make(chan []history.ConfigView)
-		list <- reply
-		h.Views = append(h.Views, <-reply...)
+		watcher <- reply
+		collected.Views = append(collected.Views, <-reply...)
 	}
-	if err := s.control("table", "/control/history", nil, &h.Commits); err != nil {
-		return h, err
+	if err := s.callSimulator("table", "/control/history", nil, &collected.Commits); err != nil {
+		return collected, err
 	}
-	for _, name := range names("worker", agentCount) {
-		w := history.Worker{ID: name, Capacity: model.Resources{CPU: 4000, Memory: 8 << 30}}
-		if err := s.control(name, "/control/log", nil, &w.Runs); err != nil {
-			return h, err
+	for _, name := range processNames("worker", agentCount) {
+		worker := history.Worker{ID: name, Capacity: model.Resources{CPU: 4000, Memory: 8 << 30}}
+		if err := s.callSimulator(name, "/control/log", nil, &worker.Runs); err != nil {
+			return collected, err
 		}
-		h.Workers = append(h.Workers, w)
+		collected.Workers = append(collected.Workers, worker)
 	}
-	for n, name := range names("backend", agentCount) {
-		b := history.Backend{ID: name, Agent: number("agent", n+1), Drained: s.drained[name]}
-		if err := s.control(name, "/control/log", nil, &b.Records); err != nil {
-			return h, err
+	for n, name := range processNames("backend", agentCount) {
+		backend := history.Backend{ID: name, Agent: processName("agent", n+1), Drained: s.drainAcceptedAt[name]}
+		if err := s.callSimulator(name, "/control/log", nil, &backend.Records); err != nil {
+			return collected, err
 		}
-		h.Backends = append(h.Backends, b)
+		collected.Backends = append(collected.Backends, backend)
 	}
-	return h, s.collectSteps(h.Steps)
+	return collected, s.collectSteps(collected.Steps)
 }
 
+// collectSteps reads the step of every checkpoint in the object service.
 func (s *system) collectSteps(steps map[string]int) error {
 	var objects []string
-	if err := s.control("objects", "/control/names", nil, &objects); err != nil {
+	if err := s.callSimulator("objects", "/control/names", nil, &objects); err != nil {
 		return err
 	}
 	for _, name := range objects {
 		if !strings.HasPrefix(name, "checkpoint/") {
 			continue
 		}
-		var c struct{ Step int }
-		if err := s.control("objects", "/v1/objects/"+name, nil, &c); err != nil {
+		var checkpoint struct{ Step int }
+		if err := s.callSimulator("objects", "/v1/objects/"+name, nil, &checkpoint); err != nil {
 			return err
 		}
-		steps[name] = c.Step
+		steps[name] = checkpoint.Step
 	}
 	return nil
 }
 
-// rows returns the newest values of the table's rows with a prefix, also
-// during an outage.
-func (s *system) rows(prefix string) (map[string][]byte, error) {
-	var list []standin.Committed
-	if err := s.control("table", "/control/history", nil, &list); err != nil {
+// latestRows returns the newest value of each row of the table whose key has the
+// prefix. It works during an outage of the table too.
+func (s *system) latestRows(prefix string) (map[string][]byte, error) {
+	var commits []standin.Committed
+	if err := s.callSimulator("table", "/control/history", nil, &commits); err != nil {
 		return nil, err
 	}
 	values := map[string][]byte{}
-	for _, c := range list {
-		for _, p := range c.Puts {
-			if strings.HasPrefix(p.Key, prefix) {
-				values[p.Key] = p.Value
+	for _, commit := range commits {
+		for _, put := range commit.Puts {
+			if strings.HasPrefix(put.Key, prefix) {
+				values[put.Key] = put.Value
 			}
 		}
 	}
 	return values, nil
 }
 
-func (s *system) job(id string) (model.JobRow, error) {
-	values, err := s.rows(rows.JobKey(cell, model.JobID(id)))
+// jobRow returns the stored row of a job.
+func (s *system) jobRow(id string) (model.JobRow, error) {
+	values, err := s.latestRows(rows.JobKey(cell, model.JobID(id)))
 	if err != nil {
 		return model.JobRow{}, err
 	}
 	return rows.Decode[model.JobRow](values[rows.JobKey(cell, model.JobID(id))])
 }
 
-// owner names the entry that owns the cell.
+// owner returns the entry that owns the cell, or "" if none has claimed it.
 func (s *system) owner() (string, error) {
-	values, err := s.rows(rows.CellEpochKey(cell))
+	values, err := s.latestRows(rows.CellEpochKey(cell))
 	if err != nil {
 		return "", err
 	}
@@ -133,11 +139,11 @@
 	return string(row.Owner), err
 }
 
-// waitLinked waits until every entry lists every backend server and the cell
-// has an owner that knows every worker.
+// waitLinked waits until every backend server is ready at every entry and the
+// cell has an owner that knows every worker.
 func (s *system) waitLinked() error {
-	for _, e := range names("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return s.linked(e) }); err != nil {
+	for _, entry := range processNames("entry", entryCount) {
+		if err := waitUntil("every backend server is ready at "+entry, func() (bool, error) { return s.allBackendsReady(entry) }); err != nil {
 			return err
 		}
 	}
@@ -146,64 +152,69 @@
 		if owner == "" || err != nil {
 			return false, err
 		}
-		st, err := s.status(owner)
-		return err == nil && len(st.Cells) == 1 && len(st.Cells[0].Workers) == agentCount, err
+		status, err := s.status(owner)
+		return err == nil && len(status.Cells) == 1 && len(status.Cells[0].Workers) == agentCount, err
 	})
 }
 
+// statusView has the fields of an entry's status that the tests read.
 type statusView struct {
 	Services []model.ServiceStatus
 	Cells    []model.CellStatus
 }
 
-func (s *system) status(entry string) (st statusView, err error) {
+func (s *system) status(entry string) (status statusView, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	err = call(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &st)
-	return st, err
+	err = callJSON(ctx, "http://"+s.addr("operator>"+entry)+"/v1/status", nil, &status)
+	return status, err
 }
 
-func (s *system) linked(entry string) (bool, error) {
-	st, err := s.status(entry)
-	if err != nil || len(st.Services) != 1 || len(st.Services[0].Backends) != agentCount {
-		return false, fmt.Errorf("%+v: %w", st.Services, err)
+// allBackendsReady reports whether every backend server is ready at an entry.
+func (s *system) allBackendsReady(entry string) (bool, error) {
+	status, err := s.status(entry)
+	if err != nil || len(status.Services) != 1 || len(status.Services[0].Backends) != agentCount {
+		return false, fmt.Errorf("%+v: %w", status.Services, err)
 	}
-	for _, b := range st.Services[0].Backends {
-		if b.State != "ready" {
+	for _, backend := range status.Services[0].Backends {
+		if backend.State != "ready" {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// watchVersions follows the configuration versions that the entries report
-// for themselves and their agents.
+// watchVersions starts a watcher for each entry, which records the configuration
+// versions that the entry reports for itself and its agents.
 func (s *system) watchVersions() {
-	for _, e := range names("entry", entryCount) {
-		ask := make(chan chan []history.ConfigView)
-		s.watchers = append(s.watchers, ask)
-		go watchVersions(s.group.Context(), e, "http://"+s.addr("operator>"+e), ask)
+	for _, entry := range processNames("entry", entryCount) {
+		requests := make(chan chan []history.ConfigView)
+		s.versionWatchers = append(s.versionWatchers, requests)
+		go pollVersions(s.group.Context(), entry, "http://"+s.addr("operator>"+entry), requests)
 	}
 }
 
-func watchVersions(ctx context.Context, entry, base string, ask <-chan chan []history.ConfigView) {
-	var seen []history.ConfigView
-	tick := time.NewTicker(200 * time.Millisecond)
-	defer tick.Stop()
+// pollVersions polls an entry until ctx ends and answers each request with the
+// versions observed so far. A view has the time at which its request was sent, so
+// that a slow response does not make its version look outdated.
+func pollVersions(ctx context.Context, entry, base string, requests <-chan chan []history.ConfigView) {
+	var views []history.ConfigView
+	ticker := time.NewTicker(200 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			var st struct{ Daemons []model.AppliedVersion }
-			limited, cancel := context.WithTimeout(ctx, time.Second)
-			asked := time.Now().UnixNano()
-			if call(limited, base+"/v1/config/status?local=true", nil, &st) == nil {
-				for _, d := range st.Daemons {
-					seen = append(seen, history.ConfigView{Process: d.Daemon, Via: entry, At: asked, Version: uint64(d.Version)})
+		case <-ticker.C:
+			var status struct{ Daemons []model.AppliedVersion }
+			requestCtx, cancel := context.WithTimeout(ctx, time.Second)
+			requestedAt := time.Now().UnixNano()
+			if callJSON(requestCtx, base+"/v1/config/status?local=true", nil, &status) == nil {
+				for _, daemon := range status.Daemons {
+					views = append(views, history.ConfigView{Process: daemon.Daemon, Via: entry, At: requestedAt, Version: uint64(daemon.Version)})
 				}
 			}
 			cancel()
-		case reply := <-ask:
-			reply <- append([]history.ConfigView{}, seen...)
+		case reply := <-requests:
+			reply <- append([]history.ConfigView{}, views...)
 		case <-ctx.Done():
 			return
 		}
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -15,14 +15,16 @@
 	"github.com/bambooscale/bambooscale/internal/rows"
 )
 
-// The variables BAMBOOSCALE_FAULTS_SEED and BAMBOOSCALE_FAULTS_DURATION (such
-// as 20m) choose another schedule; CI runs this one.
+// The environment variables BAMBOOSCALE_FAULTS_SEED and
+// BAMBOOSCALE_FAULTS_DURATION (such as 20m) select another schedule. CI uses the
+// defaults.
 const (
 	defaultSeed     = 1
 	defaultDuration = 30 * time.Second
 )
 
-// Guards against faults that cost a guarantee only together or repeatedly.
+// Guards against violations of the guarantees that only overlapping or repeated
+// faults cause.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	seed, duration := uint64(defaultSeed), defaultDuration
@@ -36,8 +38,8 @@
 		require.NoError(t, err)
 		duration = d
 	}
-	systems <- struct{}{}
-	defer func() { <-systems }()
+	systemSlots <- struct{}{}
+	defer func() { <-systemSlots }()
 	dir, err := os.MkdirTemp("", "bambooscale-random-")
 	require.NoError(t, err)
 	s := &system{failed: true}
@@ -50,47 +52,48 @@
 		_ = os.RemoveAll(dir)
 	}()
 	require.NoError(t, s.start(dir))
-	l := &load{s: s, results: make(chan func(), 1<<16)}
-	require.NoError(t, l.run(t, moments(plan(rand.New(rand.NewPCG(seed, 0)), s.linkNames(), duration)), duration))
-	require.NoError(t, l.settle())
+	load := &workload{system: s, results: make(chan func(), 1<<16)}
+	require.NoError(t, load.run(t, scheduledActions(planFaults(rand.New(rand.NewPCG(seed, 0)), s.linkNames(), duration)), duration))
+	require.NoError(t, load.waitSettled())
 	err = s.checkHistory(true)
 	t.Log(s.summary)
 	require.NoError(t, err)
 }
 
-func (s *system) linkNames() (list []string) {
+// linkNames returns the names in order, so that a seed always draws the same links.
+func (s *system) linkNames() (names []string) {
 	for name := range s.links {
-		list = append(list, name)
+		names = append(names, name)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(names)
+	return names
 }
 
-// load is the steady work under a schedule. Submissions and edits wait in
-// goroutines of their own for their acceptance; what they found is applied by
-// the test's goroutine.
-type load struct {
-	s       *system
-	results chan func()
-	waiting int
-	sent    int
+// workload is the work that is sent while the faults of a schedule are active.
+// Submissions and edits wait for their acceptance in goroutines of their own;
+// the goroutine of the test records the results.
+type workload struct {
+	system     *system
+	results    chan func() // each records one result
+	inProgress int         // submissions and edits whose result is not recorded
+	ticks      int         // calls of sendTick
 }
 
-// run carries out the schedule under load.
-func (l *load) run(t *testing.T, schedule []moment, duration time.Duration) error {
-	began := time.Now()
-	tick := time.NewTicker(100 * time.Millisecond)
-	defer tick.Stop()
-	for len(schedule) > 0 || time.Since(began) < duration {
+// run sends work and carries out the schedule.
+func (w *workload) run(t *testing.T, schedule []scheduledAction, duration time.Duration) error {
+	startedAt := time.Now()
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for len(schedule) > 0 || time.Since(startedAt) < duration {
 		select {
-		case <-tick.C:
-			l.send()
-		case apply := <-l.results:
+		case <-ticker.C:
+			w.sendTick()
+		case apply := <-w.results:
 			apply()
 		}
-		for len(schedule) > 0 && schedule[0].at <= time.Since(began) {
-			t.Logf("%6.1fs %s", time.Since(began).Seconds(), schedule[0].text)
-			if err := schedule[0].do(l.s); err != nil {
+		for len(schedule) > 0 && schedule[0].at <= time.Since(startedAt) {
+			t.Logf("%6.1fs %s", time.Since(startedAt).Seconds(), schedule[0].description)
+			if err := schedule[0].run(w.system); err != nil {
 				return err
 			}
 			schedule = schedule[1:]
@@ -99,70 +102,74 @@
 	return nil
 }
 
-// send sends the work of one tick: requests each time, a job each half
-// second and an edit every 3 s.
-func (l *load) send() {
-	l.sent++
-	sent := l.sent
-	key, entry := fmt.Sprintf("random-%d", l.sent), number("entry", 1+l.sent%entryCount)
-	l.s.request("count-"+key, entry, "POST", "/count?key="+key, "")
-	l.s.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
-	l.s.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(l.sent%50)), "")
-	if l.sent%5 == 0 {
-		l.start(func() func() {
-			err := l.s.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(sent%30)))
+// sendTick sends the work of a tick of 100 ms: requests at every tick, a job
+// every 500 ms and an edit every 3 s.
+func (w *workload) sendTick() {
+	w.ticks++
+	tick := w.ticks
+	key, entry := fmt.Sprintf("random-%d", w.ticks), processName("entry", 1+w.ticks%entryCount)
+	w.system.request("count-"+key, entry, "POST", "/count?key="+key, "")
+	w.system.request("echo-"+key, entry, "PUT", "/echo", "body of "+key)
+	w.system.request("sleep-"+key, entry, "GET", fmt.Sprintf("/sleep?ms=%d", 10*(w.ticks%50)), "")
+	if w.ticks%5 == 0 {
+		w.startAsync(func() func() {
+			err := w.system.sendJob(entry, key, fmt.Sprintf("sleep %dms; steps 5; autosave", 100*(tick%30)))
 			return func() {
 				if err == nil {
-					l.s.record.Accepted = append(l.s.record.Accepted, key)
+					w.system.history.Accepted = append(w.system.history.Accepted, key)
 				}
 			}
 		})
 	}
-	if l.sent%30 == 0 {
-		l.start(func() func() {
-			accepted, err := l.s.acceptEdit(entry, key, "team", key, "by", entry)
+	if w.ticks%30 == 0 {
+		w.startAsync(func() func() {
+			accepted, err := w.system.acceptEdit(entry, key, "team", key, "by", entry)
 			return func() {
 				if err == nil {
-					l.s.record.Edits = append(l.s.record.Edits, accepted)
+					w.system.history.Edits = append(w.system.history.Edits, accepted)
 				}
 			}
 		})
 	}
 }
 
-func (l *load) start(work func() func()) {
-	l.waiting++
+// startAsync runs work in a goroutine. The function that work returns is run by
+// the goroutine of the test.
+func (w *workload) startAsync(work func() func()) {
+	w.inProgress++
 	go func() {
 		apply := work()
-		l.results <- func() { l.waiting--; apply() }
+		w.results <- func() { w.inProgress--; apply() }
 	}()
 }
 
-// settle waits, after the last fault, until everything accepted has ended.
-func (l *load) settle() error {
-	for l.waiting > 0 {
-		(<-l.results)()
+// waitSettled waits, after the last fault, until every request has ended, every
+// accepted job is done and the newest edit is in use everywhere.
+func (w *workload) waitSettled() error {
+	for w.inProgress > 0 {
+		(<-w.results)()
 	}
-	for _, e := range names("entry", entryCount) {
-		if err := waitUntil(e+" knows every backend server", func() (bool, error) { return l.s.linked(e) }); err != nil {
+	for _, entry := range processNames("entry", entryCount) {
+		if err := waitUntil("every backend server is ready at "+entry, func() (bool, error) { return w.system.allBackendsReady(entry) }); err != nil {
 			return err
 		}
 	}
-	if _, err := l.s.await(""); err != nil {
+	if _, err := w.system.awaitCalls(""); err != nil {
 		return err
 	}
-	if err := waitUntil("the newest version is everywhere", func() (bool, error) { return versionEverywhere(l.s, nil) }); err != nil {
+	if err := waitUntil("the newest version is in use everywhere", func() (bool, error) { return versionEverywhere(w.system, nil) }); err != nil {
 		return err
 	}
-	return waitUntil("every accepted job is done", l.jobsDone)
+	return waitUntil("every accepted job is done", w.jobsDone)
 }
 
-func (l *load) jobsDone() (bool, error) {
-	values, err := l.s.rows(rows.JobPrefix(cell))
+// jobsDone reports whether every accepted job is done.
+func (w *workload) jobsDone() (bool, error) {
+	values, err := w.system.latestRows(rows.JobPrefix(cell))
 	if err != nil {
 		return false, err
 	}
-	for _, id := range l.s.record.Accepted {
+	for _, id := range w.system.history.Accepted {
 		row, err := rows.Decode[model.JobRow](values[rows.JobKey(cell, model.JobID(id))])
 		if err != nil || row.Phase != "done" {
 			return false, fmt.Errorf("job %s: %+v: %v", id, row, err)
