--- a/internal/entry/agentlink.go
+++ b/internal/entry/agentlink.go
@@ -57,13 +57,14 @@
 type agentHandler struct {
 	links      *Links
 	conn       link.Conn
-	ctx        context.Context
-	generation uint64
-	hello      msg.AgentHello
+	ctx        context.Context // of Accept
+	generation uint64          // number of the link; increases
+	hello      msg.AgentHello  // zero until the handshake is complete
 	out        peer.Out
 	endLink    func()
 }
 
+// serve runs the link until it ends, and logs the error that ended it.
 func (h *agentHandler) serve(ctx context.Context) error {
 	linkCtx, endLink := context.WithCancel(ctx)
 	defer endLink()
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -76,7 +76,7 @@
 	_ = c.controller.SetReadDeadline(c.req.Deadline.Add(readGrace)) // an error means that a test recorder does not support it
 	c.timer = time.NewTimer(time.Until(c.req.Deadline))
 	defer c.timer.Stop()
-	c.queryTimer = time.NewTimer(time.Hour)
+	c.queryTimer = time.NewTimer(time.Hour) // effQueryLater sets it; the lifecycle ignores it in other states
 	defer c.queryTimer.Stop()
 	c.handleEvent(evAdmit)
 	for !requestChart.Final(c.state) {
@@ -131,6 +131,7 @@
 	if d, _, ok := requestChart.Timeout(c.state); ok && c.state != before {
 		c.timer.Reset(d)
 	}
+	// The effects are copied because performing one may step the lifecycle again.
 	var pending [maxEffects]effect
 	n := copy(pending[:], effects)
 	for _, f := range pending[:n] {
@@ -234,6 +235,7 @@
 	}
 }
 
+// head returns the request head for the agent of the current attempt.
 func (c *call) head() *msg.RequestHead {
 	return &msg.RequestHead{
 		ID: c.id, Generation: c.attempt.assignment.generation,
--- a/internal/entry/credits.go
+++ b/internal/entry/credits.go
@@ -85,6 +85,7 @@
 	a.out.TrySend(&msg.OutcomeQuery{ID: m.id})
 }
 
+// fromAgent handles a message from the agent at the other end of a link.
 func (d *dispatcher) fromAgent(m FromAgent) {
 	a := d.agents[m.Worker]
 	if a == nil || a.generation != m.Generation {
@@ -260,6 +261,7 @@
 	}
 }
 
+// anyLongAllowed reports whether a long request may be sent to some instance.
 func (s *service) anyLongAllowed() bool {
 	for _, i := range s.instances {
 		if s.longAllowed(i) {
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -45,11 +45,11 @@
 	hasRunning     bool                       // requests may be running
 }
 
-// agent is an agent with a link.
+// agent is the state of an agent with a link.
 type agent struct {
 	worker     model.Worker
 	boot       model.Boot
-	generation uint64
+	generation uint64 // of the link
 	conn       link.Conn
 	out        peer.Out
 	endLink    func()    // may be nil
@@ -141,7 +141,8 @@
 	}
 }
 
-// service returns the state of a service, which it creates when necessary.
+// service returns the state of a service. It creates the state, and publishes
+// the service, when it does not exist.
 func (d *dispatcher) service(name model.Service) *service {
 	if s, ok := d.services[name]; ok {
 		return s
@@ -157,6 +158,7 @@
 	return s
 }
 
+// setRouting replaces the configured routing table.
 func (d *dispatcher) setRouting(t *RoutingTable) {
 	d.configured = t
 	for _, s := range d.services {
@@ -216,8 +218,8 @@
 	}
 }
 
-// sendToCall sends to a request's actor. Its inbox has room for the replies to
-// its messages.
+// sendToCall sends to a request's actor without blocking. Its inbox has room for
+// the replies to its messages.
 func sendToCall(inbox chan<- callMessage, m callMessage) {
 	select {
 	case inbox <- m:
--- a/internal/entry/messages.go
+++ b/internal/entry/messages.go
@@ -88,7 +88,7 @@
 	class      model.Class
 	started    bool          // a backend server ran it
 	duration   time.Duration // from the start to the end
-	failed     bool
+	failed     bool          // the backend server or its agent did not serve it
 }
 
 // outcomeQuery requests the outcome of a request from its agent after the link
@@ -96,11 +96,11 @@
 type outcomeQuery struct {
 	id     model.RequestID
 	worker model.WorkerID
-	boot   model.Boot
+	boot   model.Boot // of the agent to which the request was offered
 	inbox  chan<- callMessage
 }
 
-// endOutcomeQuery cancels an outcomeQuery.
+// endOutcomeQuery cancels an outcomeQuery: a later reply is ignored.
 type endOutcomeQuery struct{ id model.RequestID }
 
 func (AgentUp) isMessage()         {}
@@ -125,7 +125,8 @@
 	kind       callMessageKind
 }
 
-// callMessageKind tells which field of a callMessage is set.
+// callMessageKind states which field of a callMessage is set: assignment,
+// refusal or outcome.
 type callMessageKind uint8
 
 const (
@@ -140,7 +141,7 @@
 	worker     model.WorkerID
 	boot       model.Boot // of the agent
 	backend    model.BackendID
-	generation uint64
+	generation uint64 // of the link on which the credit was granted
 	conn       link.Conn
-	long       bool
+	long       bool // the request uses a permit for a long request
 }
--- a/internal/entry/pausable_ticker.go
+++ b/internal/entry/pausable_ticker.go
@@ -13,19 +13,19 @@
 
 // newPausableTicker returns a stopped ticker.
 func newPausableTicker(every time.Duration) *pausableTicker {
-	a := &pausableTicker{Ticker: time.NewTicker(every), interval: every}
-	a.Stop()
-	return a
+	t := &pausableTicker{Ticker: time.NewTicker(every), interval: every}
+	t.Stop()
+	return t
 }
 
 // setRunning starts or stops the ticker. Starting a running ticker does not
 // delay its next tick.
-func (a *pausableTicker) setRunning(on bool) {
+func (t *pausableTicker) setRunning(on bool) {
 	switch {
-	case on && !a.running:
-		a.Reset(a.interval)
-	case !on && a.running:
-		a.Stop()
+	case on && !t.running:
+		t.Reset(t.interval)
+	case !on && t.running:
+		t.Stop()
 	}
-	a.running = on
+	t.running = on
 }
--- a/internal/entry/pausable_ticker_test.go
+++ b/internal/entry/pausable_ticker_test.go
@@ -12,29 +12,29 @@
 // after a restart, or that never ticks because each message restarts it.
 func TestPausableTickerTicksOnlyWhileRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newPausableTicker(20 * time.Millisecond)
-		defer a.Stop()
-		fired := func(d time.Duration) (n int) {
+		ticker := newPausableTicker(20 * time.Millisecond)
+		defer ticker.Stop()
+		countTicks := func(d time.Duration) (n int) {
 			for end := time.After(d); ; {
 				select {
-				case <-a.C:
+				case <-ticker.C:
 					n++
 				case <-end:
 					return n
 				}
 			}
 		}
-		require.Zero(t, fired(time.Second))
-		a.setRunning(true)
+		require.Zero(t, countTicks(time.Second))
+		ticker.setRunning(true)
 		for range 10 {
-			require.Zero(t, fired(1900*time.Microsecond))
-			a.setRunning(true)
+			require.Zero(t, countTicks(1900*time.Microsecond))
+			ticker.setRunning(true)
 		}
-		require.Equal(t, 1, fired(2*time.Millisecond))
-		require.Equal(t, 5, fired(100*time.Millisecond))
-		a.setRunning(false)
-		require.Zero(t, fired(time.Second))
-		a.setRunning(true)
-		require.Equal(t, 5, fired(101*time.Millisecond))
+		require.Equal(t, 1, countTicks(2*time.Millisecond))
+		require.Equal(t, 5, countTicks(100*time.Millisecond))
+		ticker.setRunning(false)
+		require.Zero(t, countTicks(time.Second))
+		ticker.setRunning(true)
+		require.Equal(t, 5, countTicks(101*time.Millisecond))
 	})
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -35,7 +35,7 @@
 	lastDemandAt time.Time
 }
 
-// runningRequest is a request with an assigned credit.
+// runningRequest is a request with an assigned credit. It need not have started.
 type runningRequest struct {
 	long          bool
 	class         model.Class
@@ -45,14 +45,18 @@
 
 // demand counts queued requests.
 type demand struct {
-	queued, short int
+	queued int // all of them, or only short ones if no instance accepts a long one
+	short  int // of classes that are not long
 }
 
+// refuse counts a refusal and sends it to the request's actor.
 func (s *service) refuse(inbox chan<- callMessage, reason dispatch.Refusal) {
 	s.refused++
 	sendToCall(inbox, callMessage{kind: callRefused, refusal: reason})
 }
 
+// currentLoad returns the running requests with the present numbers of instances
+// and slots.
 func (s *service) currentLoad() dispatch.Load {
 	load := s.load
 	load.Instances, load.Slots = len(s.instances), s.readySlots()
@@ -132,9 +136,9 @@
 func (s *service) longAllowed(i *instance) bool { return i.longPermits > 0 && !i.reserved }
 
 // reserveForShort reserves one instance of each data centre with several
-// instances for short requests, so that these find a free slot in their data
-// centre. It is called when the instances change: a search for each request
-// took time quadratic in their number.
+// instances, the one with the lowest ID, for short requests, so that these find
+// a free slot in their data centre. It is called when the instances change: a
+// search for each request took time quadratic in their number.
 func (s *service) reserveForShort() {
 	first := map[model.DataCentre]*instance{}
 	hasSeveral := map[model.DataCentre]bool{}
