--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -18,7 +18,8 @@
 	maxConnections = 65_536
 )
 
-// announcement is the JSON body of POST /v1/announce, docs/OPERATIONS.md.
+// announcement is the JSON body of POST /v1/announce. docs/OPERATIONS.md
+// documents its fields.
 type announcement struct {
 	ID          model.BackendID `json:"id"`
 	Service     model.Service   `json:"service"`
@@ -74,6 +75,7 @@
 	return mux
 }
 
+// writeReply writes status 204, or 503 with the error of the slots actor.
 func writeReply(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -48,6 +48,7 @@
 	s.stepBackend(event)
 }
 
+// refuseWaiting refuses the requests that wait for a slot.
 func (s *slots) refuseWaiting() {
 	for len(s.waiting) > 0 {
 		rec := s.waiting[0]
@@ -62,6 +63,8 @@
 	}
 }
 
+// sendBackend sends the state of the backend server to an entry. It sends nothing
+// before the first announcement.
 func (s *slots) sendBackend(e *linkedEntry) {
 	if s.backend.Backend == "" {
 		return
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -13,7 +13,7 @@
 	pushErr chan error  // error passed to fail; buffers one
 	unread  []byte      // rest of the current chunk; used by Read
 	readErr error       // returned by every later Read; used by Read
-	closed  bool        // the writer has ended the body
+	closed  bool        // the writer has ended the body; used by the writer
 }
 
 func newBody(ctx context.Context) *body {
--- a/internal/agent/entrylink.go
+++ b/internal/agent/entrylink.go
@@ -43,7 +43,8 @@
 )
 
 // Connect keeps a link to the entry at address until ctx ends. After a failure
-// it dials again with exponential backoff.
+// it dials again with exponential backoff, which starts anew after a link that
+// lasted longer than maxRedialDelay.
 func (l *Links) Connect(ctx context.Context, address string) error {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
@@ -54,7 +55,7 @@
 		if time.Since(startedAt) > maxRedialDelay {
 			delay = minRedialDelay
 		}
-		// Jitter keeps the agents of a restarted entry from dialling at once.
+		// Jitter keeps the agents of a restarted entry from dialling at the same time.
 		if !actor.Sleep(ctx, delay/2+rand.N(delay)) {
 			break
 		}
@@ -77,7 +78,7 @@
 type entryHandler struct {
 	links   *Links
 	conn    link.Conn
-	ctx     context.Context
+	ctx     context.Context // of Connect
 	address string
 	hello   msg.EntryHello
 	out     peer.Out
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -29,9 +29,9 @@
 	stream    link.Stream
 	slots     Address
 	entry     model.EntryID
-	transport http.RoundTripper
+	transport http.RoundTripper // to the backend server
 	head      *msg.RequestHead
-	startedAt time.Time
+	startedAt time.Time // when the decision to start was received
 }
 
 var (
@@ -147,8 +147,9 @@
 	}
 }
 
-// sendRequest sends the request to the backend server. It sets connected before
-// the first byte can be written.
+// sendRequest sends the request to the backend server. When it has a connection,
+// and before the first byte can be written, it sets connected and sends Started
+// to the entry.
 func (x *exchange) sendRequest(ctx context.Context, address string, body *body, connected *bool) (*http.Response, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		if !*connected {
--- a/internal/agent/granting.go
+++ b/internal/agent/granting.go
@@ -28,8 +28,8 @@
 	return n
 }
 
-// freeLong returns how many more long requests may start. Half of the slots are
-// reserved for short ones.
+// freeLong returns how many more long requests may start. Half of the slots, but
+// not the only one, are reserved for short requests. The result may be negative.
 func (s *slots) freeLong() int { return max(1, s.backend.Slots/2) - s.longRunning() }
 
 // grantCredits computes the plan of package credits and applies its grants and
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -23,9 +23,9 @@
 	stateSince time.Time // start of the wait, then of the run
 	refusal    msg.RefusedReason
 	reply      chan<- decision
-	cancel     func()  // cancels the HTTP request to the backend server
-	credit     *credit // spent on the request; nil after its end
-	address    string
+	cancel     func()    // cancels the HTTP request to the backend server
+	credit     *credit   // spent on the request; nil after its end
+	address    string    // of the backend server, host:port
 	settledAt  time.Time // until then the backend server may still run the request
 }
 
@@ -94,7 +94,9 @@
 	}
 }
 
-// outcome returns the state that an OutcomeReply reports.
+// outcome returns the state that an OutcomeReply reports. An exchange counts as
+// started until settledAt, so that the entry does not run the request again
+// while the backend server may still run it.
 func (r *exchangeRecord) outcome(now time.Time) msg.ExchangeState {
 	switch {
 	case r.state == exRefused:
--- a/internal/agent/slots.go
+++ b/internal/agent/slots.go
@@ -15,7 +15,7 @@
 // credit is the right to send one request; see charts/credit.scxml.
 type credit struct {
 	state  chart.State
-	holder *linkedEntry
+	holder *linkedEntry // nil: free, settling, or spent on a link that was lost
 }
 
 // linkedEntry is an entry with a link to the agent.
@@ -143,7 +143,7 @@
 }
 
 // tick is called each second. It halves the counts of recent requests, by which
-// idle slots are divided, and reports the usage of the classes.
+// idle slots are divided among the entries, and reports the usage of the classes.
 func (s *slots) tick() {
 	s.now = time.Now()
 	for _, e := range s.entries {
@@ -190,6 +190,8 @@
 	return nil
 }
 
+// fromEntry handles a message from an entry. It ignores those of a link that has
+// ended or was replaced.
 func (s *slots) fromEntry(m FromEntry) {
 	e := s.findEntry(m.Entry, m.Generation)
 	if e == nil {
--- a/internal/agent/slots_model_test.go
+++ b/internal/agent/slots_model_test.go
@@ -102,6 +102,7 @@
 	}
 }
 
+// checkOutcome compares a reported outcome with what the backend server observed.
 func (x *slotsTest) checkOutcome(t *rapid.T, m *msg.OutcomeReply) {
 	r := x.requests[m.ID.Seq-1]
 	switch m.State {
@@ -123,6 +124,7 @@
 	x.s.handle(FromEntry{Entry: e.id, Generation: e.generation, Msg: m})
 }
 
+// spend spends a credit of e on a new request, whose head is then in transit.
 func (x *slotsTest) spend(e *testEntry, long bool) {
 	e.credits--
 	id := model.RequestID{Entry: e.id, Seq: uint64(len(x.requests) + 1)}
@@ -130,6 +132,7 @@
 		head: &msg.RequestHead{ID: id, Generation: e.generation, Class: "read", LongClass: long}})
 }
 
+// arrive delivers the head of r to the agent.
 func (x *slotsTest) arrive(r *testRequest) {
 	r.arrived = true
 	x.s.handle(requestArrived{head: r.head, entry: r.entry.id, reply: r.reply, cancel: func() {}})
@@ -248,7 +251,7 @@
 func (x *slotsTest) drawEntry(t *rapid.T, want func(*testEntry) bool) *testEntry {
 	e := rapid.SampledFrom(x.entries).Draw(t, "entry")
 	if !want(e) {
-		t.Skip("not now")
+		t.Skip("the drawn entry does not satisfy the condition")
 	}
 	return e
 }
@@ -273,7 +276,7 @@
 	// oneInSix makes faults rare enough for long sequences without one.
 	oneInSix := func(t *rapid.T) {
 		if rapid.IntRange(0, 5).Draw(t, "rarely") > 0 {
-			t.Skip("not now")
+			t.Skip("skipped to keep faults rare")
 		}
 	}
 	deliverToAgent := func(t *rapid.T) {
--- a/internal/agent/slots_test.go
+++ b/internal/agent/slots_test.go
@@ -16,8 +16,9 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// Guards against a request that occupies a slot after its cancellation, which
-// may arrive first. A long request would occupy the slot for hours.
+// Guards against a request that occupies a slot although it was cancelled: the
+// cancellation may arrive before the request. A long request would occupy the
+// slot for hours.
 func TestCancelBeforeBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newSlotsTest()
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// minP99Samples is the number of samples in a window from which a P99 is
-	// computed.
+	// minP99Samples is the minimum number of samples in a window for a P99. With
+	// fewer, the P99 is reported as 0.
 	minP99Samples = 20
 	// maxSamples bounds the samples of a class in a window; later ones are
 	// dropped.
 	maxSamples = 4096
 	// arrivalSmoothing is the weight of the last second in the arrival rate.
 	arrivalSmoothing = 0.5
-	// maxIdleWindows is the number of windows without a request after which a
-	// class is removed.
+	// maxIdleWindows is the number of consecutive windows without an ended
+	// request after which a class is removed.
 	maxIdleWindows = 6
 )
 
@@ -31,7 +31,7 @@
 
 type classUsage struct {
 	durations         []time.Duration // of the current window, at most maxSamples
-	slotTime          time.Duration   // in the current window
+	slotTime          time.Duration   // sum of durations that ended in the current window
 	arrivedThisSecond int
 	arrivals          float64 // smoothed, requests per second
 	idleWindows       int     // consecutive windows without an ended request
