--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -42,8 +42,8 @@
 // actor, only that actor may use it.
 type pending struct {
 	op       Op
-	rows     map[string]access
-	separate bool // must not share a transaction
+	rows     map[string]access // by key
+	separate bool              // must not share a transaction
 	// The caller no longer waits and has received ErrOutcomeUnknown.
 	withdrawn bool
 	reply     actor.Reply[WriteResult]
--- a/internal/storage/http.go
+++ b/internal/storage/http.go
@@ -19,8 +19,8 @@
 	// DefaultTimeout bounds one operation at a platform service.
 	DefaultTimeout = 5 * time.Second
 	connectTimeout = 2 * time.Second
-	idleTimeout    = 90 * time.Second
-	idlePerHost    = 8
+	idleTimeout    = 90 * time.Second // after which an unused connection is closed
+	idlePerHost    = 8                // unused connections that are kept open
 	// A scan of 46,000 job rows of 1 KB returns 61 MB in base64.
 	maxResponseBytes = 128 << 20
 	maxErrorText     = 200 // bytes of a response that an error includes
@@ -95,6 +95,9 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
+		// The error of a dial after GotConn is that of a repetition by net/http on
+		// a new connection. It repeats a Put, Post or Delete only if nothing of it
+		// was sent, and a read has no effect.
 		var opErr *net.OpError
 		sent := connected && !(errors.As(err, &opErr) && opErr.Op == "dial")
 		return Response{}, transportError(ctx, sent, err)
--- a/internal/storage/poller_chart.go
+++ b/internal/storage/poller_chart.go
@@ -69,8 +69,8 @@
 
 	// Inputs of the event that is being handled.
 	now     time.Time
-	scanned Changes
-	cause   error
+	scanned Changes // result of the latest successful scan
+	cause   error   // of the latest failed scan; nil: the revision has decreased
 }
 
 func (p *pollerCore) step(e chart.Event, now time.Time) {
@@ -117,6 +117,7 @@
 	p.wait = max(p.wait, time.Duration(share*float64(p.interval)))
 }
 
+// backOff sets the wait after a failed scan.
 func (p *pollerCore) backOff() {
 	if p.backoff.Healthy() && p.cause != nil {
 		p.logEvent(event.StoreUnavailable, log.Fields{"error": p.cause.Error()})
@@ -125,6 +126,8 @@
 	p.schedule()
 }
 
+// reportRegression logs that the revision of the table service has decreased. It
+// clears cause so that backOff does not also log the service as unavailable.
 func (p *pollerCore) reportRegression() {
 	p.logEvent(event.PollRegressed, log.Fields{"revision": p.scanned.UpTo, "known": p.after})
 	p.cause = nil
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -30,7 +30,7 @@
 	ErrUnavailable    = errors.New("platform service is unavailable")
 	ErrOutcomeUnknown = errors.New("outcome of the operation at the platform service is unknown")
 	ErrCompacted      = errors.New("the table service no longer has the changes")
-	ErrNotListening   = errors.New("nothing listens at the address") // besides ErrUnavailable
+	ErrNotListening   = errors.New("nothing listens at the address") // the connection was refused; wrapped together with ErrUnavailable
 	ErrNotFound       = errors.New("not found")
 	ErrRefused        = errors.New("refused by the platform service as invalid")
 )
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	defaultWriterQueue = 4096
-	writerMailbox      = 256
+	defaultWriterQueue = 4096 // operations
+	writerMailbox      = 256  // messages
 	// callTimeout ends a call for which the client has no timeout of its own.
 	callTimeout = 2 * DefaultTimeout
 )
--- a/internal/storage/writer_actions.go
+++ b/internal/storage/writer_actions.go
@@ -95,6 +95,8 @@
 	}
 }
 
+// requeue returns the operations of the current transaction to the front of the
+// queue, without those that were withdrawn.
 func (w *writerCore) requeue() {
 	ops := slices.DeleteFunc(w.current.ops, func(p *pending) bool { return p.withdrawn })
 	w.queue = append(ops, w.queue...)
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -42,17 +42,19 @@
 }
 
 // writerCore makes the decisions of a writer. It is pure: the caller passes the
-// events and the time, and carries out the effects. An operation is either in
-// queue, and has had no effect, or in batches.
+// events and the time, and carries out the effects. An operation that is not
+// settled is either in queue, and has had no effect, or in current or a batch of
+// unconfirmed.
 type writerCore struct {
-	key, prefix string
-	maxQueued   int // operations in queue
-	state       chart.State
-	wakeAt      time.Time // when the state's delay ends; zero: never
-	backoff     *Backoff
+	key       string // of the writer's row
+	prefix    string // of the operation ids
+	maxQueued int    // operations in queue
+	state     chart.State
+	wakeAt    time.Time // when the state's delay ends; zero: never
+	backoff   *Backoff
 
 	version Revision // of the writer's row; 0 until the first commit or read
-	lastSeq uint64
+	lastSeq uint64   // in the last operation id
 	queue   []*pending
 	current *batch
 	// unconfirmed are the versions of current that were sent and may have
--- a/internal/storage/writer_core_test.go
+++ b/internal/storage/writer_core_test.go
@@ -207,7 +207,7 @@
 			}
 			p, err := newPending(op)
 			require.NoError(t, err)
-			p.separate = rapid.IntRange(0, 9).Draw(t, "alone") == 0
+			p.separate = rapid.IntRange(0, 9).Draw(t, "separate") == 0
 			queue = append(queue, p)
 		}
 		all, position := queue, map[*pending]int{}
