--- a/internal/configstore/configstore_test.go
+++ b/internal/configstore/configstore_test.go
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// link connects an agent and an entry by mailboxes. unlink ends the link.
+// link connects agent a, named worker, and the entry of s by mailboxes. unlink
+// ends the link.
 func (f *fixture) link(s *Store, a Handle, worker string) (unlink func()) {
 	g := f.group.Sub()
 	ctx := f.t.Context()
@@ -117,7 +118,7 @@
 func TestRacingEdits(t *testing.T) {
 	withFixture(t, func(t *testing.T, f *fixture) {
 		require.EqualValues(t, 1, f.edit(setEdit("a", 0, "w1", "1")).Version)
-		require.EqualValues(t, 2, f.edit(setEdit("b", 0, "w2", "1")).Version, "another key merges")
+		require.EqualValues(t, 2, f.edit(setEdit("b", 0, "w2", "1")).Version, "an edit of another key is accepted")
 		_, err := f.store.Edit(t.Context(), setEdit("c", 0, "w1", "2"))
 		var conflict *ConflictError
 		require.ErrorAs(t, err, &conflict)
@@ -141,8 +142,8 @@
 	})
 }
 
-// Guards against an edit written twice, or reported as refused although it
-// was written, when responses of the table are lost.
+// Guards against an edit written twice, or reported as refused although it was
+// written, when requests to the table or their responses are lost or delayed.
 func TestLostResponses(t *testing.T) {
 	cases := map[string]struct {
 		commits []fault
--- a/internal/configstore/edit.go
+++ b/internal/configstore/edit.go
@@ -155,6 +155,7 @@
 	return findings
 }
 
+// knownKind reports whether k is a kind of configuration items.
 func knownKind(k model.ConfigKind) bool {
 	switch k {
 	case model.KindService, model.KindClass, model.KindTeam, model.KindWorker, model.KindBackend, model.KindJob, model.KindSelector:
@@ -184,8 +185,8 @@
 
 // keyState is the row of one key, which holds its newest change.
 type keyState struct {
-	revision storage.Revision // 0: absent
-	change   model.ConfigChange
+	revision storage.Revision   // 0: absent
+	change   model.ConfigChange // zero if the row is absent
 }
 
 // defaultKeepVersions is the number of versions for which the log and the
--- a/internal/configstore/editor.go
+++ b/internal/configstore/editor.go
@@ -27,7 +27,7 @@
 	// maxRepeatLookback bounds how many log rows are read to recognise a
 	// repeated edit. A repetition after more edits is reported as a conflict.
 	maxRepeatLookback = 200
-	minRetryDelay     = 50 * time.Millisecond
+	minRetryDelay     = 50 * time.Millisecond // between attempts; doubles up to maxRetryDelay
 	maxRetryDelay     = time.Second
 )
 
@@ -71,6 +71,7 @@
 	}
 }
 
+// logOutcome logs an accepted edit, and one whose outcome is unknown.
 func (e *editor) logOutcome(edit Edit, result EditResult, err error) {
 	fields := log.Fields{"edit": edit.ID, "author": edit.Author, "version": uint64(result.Version)}
 	switch {
@@ -227,6 +228,8 @@
 	_ = e.node.Send(ctx, &committedEdits{entries: []rows.ConfigLog{entry}})
 }
 
+// readLogEntry reads the log row of a version. It returns false if the row is
+// absent.
 func (e *editor) readLogEntry(ctx context.Context, v model.ConfigVersion) (rows.ConfigLog, bool, error) {
 	row, err := e.table.Read(ctx, rows.ConfigLogKey(v))
 	if errors.Is(err, storage.ErrNotFound) {
--- a/internal/configstore/fake_table_test.go
+++ b/internal/configstore/fake_table_test.go
@@ -14,7 +14,7 @@
 const (
 	healthy        fault = iota
 	unavailable          // no effect, ErrUnavailable
-	responseLost         // takes effect, ErrOutcomeUnknown
+	responseLost         // takes effect if its checks hold, ErrOutcomeUnknown
 	requestLost          // no effect, ErrOutcomeUnknown
 	requestDelayed       // takes effect before the next commit, ErrOutcomeUnknown
 )
@@ -24,6 +24,7 @@
 	addr actor.Address[func(*tableData)]
 }
 
+// tableData is the state of a fakeTable. Only the table's goroutine may use it.
 type tableData struct {
 	rev             storage.Revision
 	rows            map[string]storage.Row
--- a/internal/configstore/handle.go
+++ b/internal/configstore/handle.go
@@ -15,6 +15,7 @@
 		version model.ConfigVersion
 		delta   *msg.ConfigDelta
 	}
+	// pollFailed reports that the table could not be read.
 	pollFailed struct{ err error }
 	// setSource passes the address of the poller to an entry's node.
 	setSource struct{ poller actor.Address[pollRequest] }
--- a/internal/configstore/node.go
+++ b/internal/configstore/node.go
@@ -29,7 +29,7 @@
 	Daemons []model.AppliedVersion `json:"daemons"` // itself and its linked peers
 }
 
-// message is a message to a node.
+// message is a message to a node, which its actor handles by calling handle.
 type message interface{ handle(n *node) }
 
 type (
@@ -39,10 +39,12 @@
 		version model.ConfigVersion
 		to      actor.Address[msg.Control]
 	}
+	// linkDown announces the end of the link with the address to.
 	linkDown struct {
 		peer string
 		to   actor.Address[msg.Control]
 	}
+	// fromPeer carries a message from a linked peer.
 	fromPeer struct {
 		peer string
 		m    msg.Control
@@ -149,6 +151,7 @@
 	}
 }
 
+// resetDeadline sets the deadline for the timeout of the state, if it has one.
 func (n *node) resetDeadline() {
 	n.deadline = time.Time{}
 	if d, _, ok := configChart.Timeout(n.lifecycle.state); ok {
@@ -156,6 +159,7 @@
 	}
 }
 
+// install applies the incoming delta to the snapshot.
 func (n *node) install() {
 	d := n.incoming
 	oldVersion := n.snapshot.version
@@ -176,6 +180,7 @@
 	}
 }
 
+// anyPeerAhead reports whether a linked peer uses a higher version.
 func (n *node) anyPeerAhead() bool {
 	for _, p := range n.peers {
 		if p.version > n.snapshot.version {
@@ -186,6 +191,8 @@
 }
 
 // applyDelta handles a received delta. Only a higher version is installed.
+// authority means that the sender knows the newest version: the table or, on an
+// agent, an entry.
 func (n *node) applyDelta(d *msg.ConfigDelta, authority bool) {
 	n.lifecycle.fromAuthority, n.incoming = authority, d
 	switch n.snapshot.classify(d) {
@@ -210,6 +217,8 @@
 	n.distribute()
 }
 
+// publish delivers the current update to the subscribers that have not received
+// it. A delivery that fails is repeated at the next tick.
 func (n *node) publish() {
 	if !n.lifecycle.loaded {
 		return
--- a/internal/configstore/poller.go
+++ b/internal/configstore/poller.go
@@ -25,7 +25,7 @@
 	// that another entry writes after the recovery is in use here within 5 s,
 	// and at this rate the polls of a few entries are a small load.
 	maxPollDelay = 2 * time.Second
-	pollTimeout  = 3 * time.Second
+	pollTimeout  = 3 * time.Second // for all reads of one poll
 )
 
 // pollRequest asks the poller to poll at once; with reload it reads the whole
@@ -67,6 +67,8 @@
 
 func (p *poller) notify(ctx context.Context, m message) { _ = p.node.Send(ctx, m) }
 
+// poll reads the version of the table and, if it is higher than loaded, the
+// changes. pollCtx in the functions that it calls bounds only the reads.
 func (p *poller) poll(ctx context.Context) error {
 	pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
--- a/internal/configstore/properties.go
+++ b/internal/configstore/properties.go
@@ -21,7 +21,7 @@
 	LabelDefaultTenant     = "default-tenant"     // service: tenant of requests that name none
 	LabelQuotaCPU          = "quota-cpu"          // team: milli-CPU
 	LabelQuotaMemory       = "quota-memory"       // team: bytes
-	LabelQuotaAccelerators = "quota-accelerators" // team
+	LabelQuotaAccelerators = "quota-accelerators" // team: number of accelerators
 )
 
 // ClassProperties are the properties of a class, read from its labels.
@@ -192,7 +192,7 @@
 	case isList(kind, label) && len(value) > maxListBytes:
 		return fmt.Errorf("is longer than %d bytes", maxListBytes)
 	case kind == model.KindClass && (label == LabelDeadline || label == model.LabelTargetP99):
-		return checkNumber(1, 24*3600*1000)
+		return checkNumber(1, 24*3600*1000) // milliseconds; one day
 	case kind == model.KindClass && label == LabelLong, kind == model.KindWorker && label == model.LabelDrain:
 		if value != "true" && value != "false" {
 			return fmt.Errorf("%q is neither true nor false", value)
--- a/internal/configstore/prune.go
+++ b/internal/configstore/prune.go
@@ -9,10 +9,11 @@
 	"github.com/bambooscale/bambooscale/internal/storage"
 )
 
-// prune deletes the log row of the edit that is no longer kept after version
-// newest was accepted, and the rows of the items that this edit removed. Without it, the number of
-// rows of removed items would grow by up to 3,300 a day. A failure is not
-// retried: a row that stays is harmless.
+// prune deletes the log row of version newest-keepVersions, which is no longer
+// kept after version newest was accepted, and the rows of the items that the
+// deleted version removed. Without prune, the number of rows of removed items
+// would grow by up to 3,300 a day. A failure is not retried: a row that stays is
+// harmless.
 func (e *editor) prune(ctx context.Context, newest model.ConfigVersion) {
 	if newest <= e.keepVersions {
 		return
@@ -45,7 +46,7 @@
 	}
 	for i, k := range state.keys {
 		if k.revision == 0 || k.change.Version != entry.Version || k.change.Item != nil {
-			continue // set again, or removed by a later edit
+			continue // absent, set by this edit, or changed by a later one
 		}
 		row := rows.ConfigKey(entry.Changes[i].Key)
 		t.Checks = append(t.Checks, storage.Check{Key: row, Version: k.revision})
--- a/internal/configstore/random_faults_test.go
+++ b/internal/configstore/random_faults_test.go
@@ -136,6 +136,7 @@
 	}
 }
 
+// replay applies an edit of the log to items.
 func (r *randomRun) replay(items map[model.ConfigKey]Item, e rows.ConfigLog) {
 	for _, c := range e.Changes {
 		if c.Item == nil {
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -75,6 +75,7 @@
 	fitGap                   // changes before it are missing
 )
 
+// classify returns the relation of d to s.
 func (s *Snapshot) classify(d *msg.ConfigDelta) deltaFit {
 	switch {
 	case d.To < s.version:
