--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -45,7 +45,8 @@
 	})
 }
 
-// List holds the running entries as of revision UpTo.
+// List holds the running entries as of revision UpTo. Rows that changed later are
+// not in it; see Current.
 type List struct {
 	Entries []rows.Entry
 	UpTo    storage.Revision
@@ -66,7 +67,7 @@
 // follower tracks the rows of entries. It expires entries by its own clock, so
 // that clocks of different hosts are not compared.
 type follower struct {
-	expiry   time.Duration
+	expiry   time.Duration // since the last change of a row
 	deliver  func(List)
 	upTo     storage.Revision
 	observed map[model.EntryID]*observedRow
@@ -99,8 +100,8 @@
 	}
 }
 
-// apply records changed rows, removes expired entries and delivers the list if
-// it has changed.
+// apply records changed rows, removes expired entries, and delivers the list if a
+// row has changed or an entry has expired.
 func (f *follower) apply(now time.Time, changed []storage.Row) {
 	listChanged := len(changed) > 0
 	for _, r := range changed {
@@ -110,8 +111,8 @@
 		}
 		f.observed[e.ID] = &observedRow{entry: e, changedAt: now}
 	}
-	for id, s := range f.observed {
-		if now.Sub(s.changedAt) > f.expiry {
+	for id, row := range f.observed {
+		if now.Sub(row.changedAt) > f.expiry {
 			delete(f.observed, id)
 			listChanged = true
 		}
@@ -144,8 +145,8 @@
 // entries returns the entries that have not expired, in random order.
 func (f *follower) entries() []rows.Entry {
 	list := make([]rows.Entry, 0, len(f.observed))
-	for _, s := range f.observed {
-		list = append(list, s.entry)
+	for _, row := range f.observed {
+		list = append(list, row.entry)
 	}
 	return list
 }
