--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -44,7 +44,9 @@
 type Handler interface {
 	// Up is called with the peer's hello. An error ends the link.
 	Up(hello msg.Control, out Out) error
+	// Receive is called with each later message, heartbeats included.
 	Receive(m msg.Control)
+	// Down is called with the error that ended the link.
 	Down(err error)
 }
 
@@ -138,7 +140,7 @@
 		"deliver":        func(s *session) { s.handler.Receive(s.current) },
 		"reportProtocol": func(s *session) { s.err = errors.Wrapf(ErrProtocol, "unexpected %T", s.current) },
 		"reportSilent":   func(s *session) { s.err = ErrSilent },
-		"reportFailed":   func(*session) {},
+		"reportFailed":   func(*session) {}, // serve has set err
 	},
 	Delays: map[string]time.Duration{"handshakeTimeout": handshakeTimeout, "silenceTimeout": silenceTimeout},
 })
@@ -151,16 +153,19 @@
 	silence  time.Duration   // silence timeout of an established link
 	state    chart.State
 	current  msg.Control // message that is applied at present
-	wasUp    bool
-	err      error
+	wasUp    bool        // Up succeeded
+	err      error       // that ends the link
 }
 
+// announceUp calls the handler with the peer's hello.
 func (s *session) announceUp() {
 	if s.err = s.handler.Up(s.current, s.out); s.err == nil {
 		s.wasUp = true
 	}
 }
 
+// serve handles messages, time-outs and failures until the link ends, and returns
+// the reason.
 func (s *session) serve(ctx context.Context, in <-chan msg.Control, readFailed actor.Reply[error], writerDone <-chan struct{}) error {
 	s.state = linkChart.Initial()
 	defer func() {
@@ -169,8 +174,8 @@
 		}
 	}()
 	d, _, _ := linkChart.Timeout(s.state)
-	silence := time.NewTimer(d)
-	defer silence.Stop()
+	timer := time.NewTimer(d) // of the handshake, then of the silence
+	defer timer.Stop()
 	for !linkChart.Final(s.state) && s.err == nil {
 		event := evMessage
 		select {
@@ -182,7 +187,7 @@
 			s.err, event = link.ErrClosed, evFailed
 		case <-s.overflow:
 			s.err, event = ErrOverflow, evFailed
-		case <-silence.C:
+		case <-timer.C:
 			event = evSilence
 		case <-ctx.Done():
 			s.err = ctx.Err()
@@ -193,12 +198,13 @@
 			if s.wasUp {
 				d = s.silence
 			}
-			silence.Reset(d)
+			timer.Reset(d)
 		}
 	}
 	return s.err
 }
 
+// eventOf returns the event of a received message.
 func eventOf(m msg.Control) chart.Event {
 	switch m.(type) {
 	case *msg.AgentHello, *msg.EntryHello, *msg.PeerHello:
