--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -30,6 +30,7 @@
 	return agent, entry
 }
 
+// benchmarkBody measures the transfer of body chunks of size bytes on one stream.
 func benchmarkBody(b *testing.B, size int) {
 	agent, entry := newBenchLink(b)
 	out, err := entry.OpenStream(b.Context())
@@ -90,6 +91,7 @@
 	}
 }
 
+// answer receives a request without a body and sends a response of 512 bytes.
 func answer(s Stream) {
 	for range 2 {
 		_, _ = s.Receive()
--- a/internal/link/envelope.go
+++ b/internal/link/envelope.go
@@ -61,6 +61,8 @@
 // and 82 us for 256 KiB.
 const maxJoinedBody = 64 << 10
 
+// writeFrame writes a frame in one write, or in two if its body is larger than
+// maxJoinedBody.
 func (w *envelopeWriter) writeFrame(f msg.Frame) error {
 	head, body, err := wire.AppendFrame(w.buf[:0], f)
 	w.buf = head
@@ -80,6 +82,8 @@
 	return err
 }
 
+// writeControl writes a control message. It keeps no buffer larger than
+// maxControlBuffer.
 func (w *envelopeWriter) writeControl(m msg.Control) error {
 	b, err := wire.AppendControl(w.buf[:0], m)
 	if w.buf = b; cap(b) > maxControlBuffer {
--- a/internal/link/joinedconn_test.go
+++ b/internal/link/joinedconn_test.go
@@ -22,6 +22,7 @@
 	return c.bytes.Write(b)
 }
 
+// muxHeader returns a yamux frame header.
 func muxHeader(kind byte, length int) []byte {
 	h := make([]byte, muxHeaderSize)
 	h[muxTypeOffset] = kind
--- a/internal/link/listen.go
+++ b/internal/link/listen.go
@@ -50,9 +50,11 @@
 	cfg            Config
 	sock           net.Listener
 	accepted       chan Conn
-	handshakeSlots chan struct{}
+	handshakeSlots chan struct{} // semaphore of maxHandshakes
 }
 
+// acceptSockets accepts sockets while handshake slots are free, and starts their
+// handshakes.
 func (l *tcpListener) acceptSockets(ctx context.Context) error {
 	for {
 		select {
@@ -76,7 +78,8 @@
 	}
 }
 
-// handshake offers the link over sock to Accept, or a failedConn.
+// handshake performs the handshake over sock and passes the link to Accept, or a
+// failedConn if the handshake failed.
 func (l *tcpListener) handshake(ctx context.Context, sock net.Conn) {
 	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -92,6 +95,8 @@
 	}
 }
 
+// newLink performs the accepting side of the handshake over sock. It takes
+// ownership of sock and closes it on an error.
 func (l *tcpListener) newLink(ctx context.Context, sock net.Conn) (Conn, error) {
 	sock, err := l.cfg.secure(ctx, sock, tls.Server)
 	if err != nil {
--- a/internal/link/memconn.go
+++ b/internal/link/memconn.go
@@ -102,9 +102,10 @@
 	peer               *memConn
 	incoming, outgoing *direction // control messages
 	accept             chan *memStream
-	acceptWindow       chan struct{}
+	acceptWindow       chan struct{} // semaphore: the peer acquires a slot for each stream it opens
 }
 
+// newMemPair returns the two ends of a link between processes a and b.
 func newMemPair(ctx context.Context, a, b string) (*memConn, *memConn) {
 	ab, ba := newDirection(memControlWindow), newDirection(memControlWindow)
 	connA, connB := newMemConn(ctx, a, b, ba, ab), newMemConn(ctx, b, a, ab, ba)
@@ -121,10 +122,12 @@
 	return c
 }
 
+// end ends this end of the link for the given reason.
 func (c *memConn) end(reason string) {
 	c.cancel(fmt.Errorf("link with %s: %w: %s", c.remote, ErrClosed, reason))
 }
 
+// endError returns the error with which this end of the link ended.
 func (c *memConn) endError() error {
 	if err := context.Cause(c.ctx); isProtocolError(err) || isClosedError(err) {
 		return err
--- a/internal/link/memory.go
+++ b/internal/link/memory.go
@@ -132,8 +132,10 @@
 func (c resetLinks) apply(n *network) error  { return n.reset(c.a, c.b) }
 func (c dialLink) apply(n *network) error    { return n.connect(c.path, c.reply) }
 
+// path is one direction between two processes. In rules, a name may be Any.
 type path struct{ from, to string }
 
+// delay is the one-way delay of a message: fixed, plus up to jitter.
 type delay struct{ fixed, jitter time.Duration }
 
 // pathState holds the settings of a path that a pipe applies.
@@ -168,6 +170,7 @@
 	}
 }
 
+// listen registers l. A name may be used again after its listener is closed.
 func (n *network) listen(l *memListener) error {
 	if old := n.listeners[l.name]; old != nil && old.ctx.Err() == nil {
 		return fmt.Errorf("listen on %s: name is in use", l.name)
@@ -193,6 +196,7 @@
 	return dialled.enqueue(packet{kind: packetConnect, listener: l})
 }
 
+// pipe starts the actor that delivers packets on path p to dst.
 func (n *network) pipe(p path, dst *memConn) actor.Address[pipeMessage] {
 	pathHash := fnv.New64a()
 	_, _ = fmt.Fprintf(pathHash, "%s\x00%s\x00%d", p.from, p.to, n.dialCounts[p])
@@ -229,6 +233,7 @@
 	return nil
 }
 
+// reset ends the links between two processes without delivering packets.
 func (n *network) reset(a, b string) error {
 	for _, l := range n.links {
 		first, second := l.ends[0], l.ends[1]
--- a/internal/link/memory_test.go
+++ b/internal/link/memory_test.go
@@ -11,7 +11,8 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// inVirtualTime runs a test on a link in memory between "agent" and "entry".
+// inVirtualTime runs a test in virtual time on an in-memory link from "agent" to
+// "entry".
 func inVirtualTime(t *testing.T, seed uint64, test func(t *testing.T, m *Memory, p linkPair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/link/mempipe.go
+++ b/internal/link/mempipe.go
@@ -21,6 +21,7 @@
 	packetHangup                        // ends the far end
 )
 
+// packet is a message on a path. Its kind determines which fields are set.
 type packet struct {
 	kind      packetKind
 	direction *direction
@@ -48,6 +49,7 @@
 	lastDue time.Time // due time of the newest packet
 }
 
+// duePacket is a packet and the time at which it is delivered.
 type duePacket struct {
 	packet
 	due time.Time
@@ -74,6 +76,8 @@
 	return nil
 }
 
+// handle applies a new state, or queues a packet. Packets that are queued already
+// keep their due times.
 func (p *pipe) handle(m pipeMessage) {
 	if m.state != nil {
 		p.state = *m.state
@@ -91,6 +95,7 @@
 	p.queue = append(p.queue, duePacket{m.packet, due})
 }
 
+// flush delivers the packets that are due, unless the path is cut.
 func (p *pipe) flush() {
 	now := time.Now()
 	for len(p.queue) > 0 && !p.state.cut && !p.queue[0].due.After(now) {
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -23,8 +23,8 @@
 	// writeTimeout bounds the wait for the socket, not for a stream's window.
 	writeTimeout = 4 * time.Second
 	// closeTimeout bounds the wait for the peer to close a stream that this
-	// process has closed. yamux then resets the stream and the peer loses what
-	// it has not read, so the time has to suffice for a slow caller to read
+	// process has closed. When it expires, yamux resets the stream and the peer
+	// loses what it has not read, so the time has to suffice for a slow caller to read
 	// the last window of a response.
 	closeTimeout = 5 * time.Minute
 )
@@ -49,14 +49,16 @@
 	remote  string
 	mux     *yamux.Session
 	control *yamux.Stream
-	in      envelopeReader
-	out     envelopeWriter
+	in      envelopeReader // of the control stream
+	out     envelopeWriter // of the control stream
 	group   *actor.Group
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
-	done    <-chan struct{}
+	done    <-chan struct{} // closed when the link's actor has ended
 }
 
+// newMuxConn starts the actor of a link in g. The actor takes ownership of sock
+// and mux.
 func newMuxConn(g *actor.Group, sock net.Conn, mux *yamux.Session, control *yamux.Stream) *muxConn {
 	c := &muxConn{remote: sock.RemoteAddr().String(), mux: mux, control: control, group: g.Sub()}
 	c.in = envelopeReader{src: control, maxPayload: wire.MaxControl, maxBuffer: maxControlBuffer}
@@ -113,6 +115,7 @@
 	return fmt.Errorf("link with %s: %w", c.remote, ErrClosed) // the group was stopped
 }
 
+// isProtocolError reports whether the peer violated the protocol.
 func isProtocolError(err error) bool {
 	return errors.Is(err, ErrMalformed) || errors.Is(err, ErrVersion)
 }
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -27,8 +27,8 @@
 	return sock
 }
 
-// rawAgent connects with a correct handshake and returns the control stream
-// and the session for sending arbitrary bytes.
+// rawAgent connects with a correct handshake and returns the session and the
+// control stream, on which a test can send arbitrary bytes.
 func rawAgent(t *testing.T, address string) (*yamux.Session, *yamux.Stream) {
 	t.Helper()
 	mux, control, err := dialHandshake(t.Context(), rawDial(t, address))
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -88,6 +88,7 @@
 	})
 }
 
+// load reads the files. The error is a finding.List.
 func (f KeyFiles) load() (*tls.Config, error) {
 	var findings finding.List
 	cert, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -70,6 +70,7 @@
 	return f
 }
 
+// processKeys are the keys of a process and the directory of their files.
 type processKeys struct {
 	keys *Keys
 	dir  string
