--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -43,10 +43,10 @@
 	nextSampleAge time.Duration // minimum age for the next sample
 }
 
-// demand counts queued requests.
+// demand counts queued requests: short ones, and all of them. If no instance
+// accepts a long request, queued counts only the short ones.
 type demand struct {
-	queued int // all of them, or only short ones if no instance accepts a long one
-	short  int // of classes that are not long
+	queued, short int
 }
 
 // refuse counts a refusal and sends it to the request's actor.
--- a/internal/storage/writer_core.go
+++ b/internal/storage/writer_core.go
@@ -46,12 +46,11 @@
 // settled is either in queue, and has had no effect, or in current or a batch of
 // unconfirmed.
 type writerCore struct {
-	key       string // of the writer's row
-	prefix    string // of the operation ids
-	maxQueued int    // operations in queue
-	state     chart.State
-	wakeAt    time.Time // when the state's delay ends; zero: never
-	backoff   *Backoff
+	key, prefix string // of the writer's row; of the operation ids
+	maxQueued   int    // operations in queue
+	state       chart.State
+	wakeAt      time.Time // when the state's delay ends; zero: never
+	backoff     *Backoff
 
 	version Revision // of the writer's row; 0 until the first commit or read
 	lastSeq uint64   // in the last operation id
