--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -98,9 +98,9 @@
 // command sends a command to the agent of the attempt's worker.
 func (j *job) command(m msg.Control) { j.core.send(j.core.peers[j.attempt.worker], m) }
 
-// sendStart sends the start command of a committed attempt. An owner that
-// cannot write its heartbeat starts nothing; the command is repeated, and sent
-// once the heartbeat can be written again.
+// sendStart sends the start command of a committed attempt. It sends nothing
+// while the owner holds or the agent is not ready; the chart calls it again
+// after commandRetryInterval, until the agent reports the attempt.
 func (c *Core) sendStart(j *job) {
 	p := c.peers[j.attempt.worker]
 	if c.cell.state != stOwning || p.state != stReady {
--- a/internal/control/cell.go
+++ b/internal/control/cell.go
@@ -228,7 +228,7 @@
 }
 
 // leaseTTL returns the length of a lease renewal for long-running or other
-// work. It is 0 once the hold bound of that kind of work has passed.
+// work. It is 0 once the renewal limit of that kind of work has passed.
 func (c *Core) leaseTTL(long bool) time.Duration {
 	if c.now-c.cell.lastHeartbeatAt >= lease.RenewalLimitOf(long) {
 		return 0
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -122,8 +122,8 @@
 }
 
 // Guards against an owner that stops running tasks when the table service is
-// unavailable, places jobs during the outage, or renews leases beyond the hold
-// bound.
+// unavailable, places jobs during the outage, or renews leases beyond their
+// renewal limits.
 func TestTableServiceUnavailable(t *testing.T) {
 	runScenario(t, 2, []model.EntryID{"a", "b"}, func(w *world) {
 		owner := w.owner()
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -175,7 +175,7 @@
 }
 
 // isOwner reports whether this entry acts as the owner of the cell: it owns
-// the cell, or it holds because it cannot write its heartbeat.
+// the cell, or it holds until its next heartbeat is written.
 func (c *Core) isOwner() bool { return c.cell.state == stOwning || c.cell.state == stHolding }
 
 func (c *Core) runTimers() {
@@ -207,8 +207,10 @@
 	c.flush()
 }
 
-// sweep handles the timeouts of peers and attempts, abandons the attempts whose
-// lease has certainly expired, and removes peers that are unlinked for long.
+// sweep does the periodic work of an owner: it runs the timeouts of the health
+// tracker, of peers and of attempts, throttles tasks, drains workers, abandons
+// the attempts whose lease has certainly expired, and removes peers that have
+// been unlinked for peerRetention.
 func (c *Core) sweep() {
 	c.tickHealth()
 	c.throttle()
--- a/internal/control/interference.go
+++ b/internal/control/interference.go
@@ -72,7 +72,7 @@
 }
 
 func (c *Core) throttleWorker(p *peer) {
-	host := interfere.Host{Worker: p.worker.ID, CPU: p.worker.Capacity.CPU, Services: p.services(c.now)}
+	host := interfere.Host{Worker: p.worker.ID, CPU: p.worker.Capacity.CPU, Services: p.recentLoads(c.now)}
 	if len(host.Services) == 0 || host.CPU <= 0 {
 		return
 	}
@@ -99,9 +99,9 @@
 	c.repeatThrottles(p)
 }
 
-// services returns the recent service loads of the worker in a fixed order, and
+// recentLoads returns the recent service loads of the worker in a fixed order, and
 // removes older ones.
-func (p *peer) services(now time.Duration) []interfere.ServiceLoad {
+func (p *peer) recentLoads(now time.Duration) []interfere.ServiceLoad {
 	var list []interfere.ServiceLoad
 	for key, load := range p.serviceLoads {
 		if now-load.receivedAt > loadMaxAge {
--- a/internal/control/peer.go
+++ b/internal/control/peer.go
@@ -210,14 +210,14 @@
 	for _, id := range sortedAttempts(p.abandoned) {
 		c.send(p, &msg.StopTask{Command: c.newCommand(), Attempt: id})
 	}
-	ttl, long := c.leaseTTL(false), c.leaseTTL(true)
-	if long > 0 {
-		seq, fresh := p.grants.Renew(c.now, ttl, long)
+	ttl, longRunningTTL := c.leaseTTL(false), c.leaseTTL(true)
+	if longRunningTTL > 0 {
+		seq, fresh := p.grants.Renew(c.now, ttl, longRunningTTL)
 		if !fresh {
 			p.ackedRenewals = 0 // an agent that does not answer gets no tasks
 			c.updateWorkerState(p)
 		}
-		c.send(p, &msg.LeaseRenew{Command: c.newCommand(), Sequence: seq, TTL: ttl, LongRunningTTL: long})
+		c.send(p, &msg.LeaseRenew{Command: c.newCommand(), Sequence: seq, TTL: ttl, LongRunningTTL: longRunningTTL})
 	}
 }
 
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -32,8 +32,8 @@
 }
 
 // onInventory compares the attempts of an agent with those charged to it. An
-// attempt that the agent does not know is stopped, so that a start command that
-// arrives later has no effect.
+// attempt that may have been running and that the agent does not know is
+// stopped, so that a start command that arrives later has no effect.
 func (c *Core) onInventory(p *peer, m *msg.Inventory) {
 	if m.Epoch != c.cell.owner.Epoch {
 		return // sent before the agent adopted the present epoch
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -22,7 +22,7 @@
 	minBackoff  = 100 * time.Millisecond
 	maxBackoff  = 10 * time.Second
 	callTimeout = 5 * time.Second
-	// heartbeatTimeout is below lease.HoldAfter, so that after a lost response
+	// heartbeatTimeout is below lease.StopPlacingAfter, so that after a lost response
 	// the heartbeat can be written again before the owner has to hold.
 	heartbeatTimeout = 2 * time.Second
 )
@@ -100,7 +100,7 @@
 	case errors.As(err, &conflict):
 		return w.conflict(ctx, op, conflict.Keys)
 	case !errors.Is(err, storage.ErrUnavailable):
-		w.versionKnown = false
+		w.versionKnown = false // the transaction may have taken effect
 	}
 	return 0, false, err
 }
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -202,7 +202,8 @@
 	}
 }
 
-// pauseAgent pauses the agent of a worker until resume is called.
+// pauseAgent pauses the agent of a worker until resume is called: the agent logs
+// that it rejects a claim of another cell, and the log entry waits.
 func (w *world) pauseAgent(id model.WorkerID) (resume func()) {
 	a := w.agents[id]
 	pause := make(chan struct{})
