--- a/internal/policy/place/order.go
+++ b/internal/policy/place/order.go
@@ -24,7 +24,7 @@
 type teamQueue struct {
 	team  model.Team
 	jobs  []*Job
-	ratio float64 // usage relative to quota, rounded to multiples of fairStep
+	ratio float64 // usage relative to quota, in whole steps of fairStep
 	*budget
 }
 
--- a/internal/policy/place/preempt.go
+++ b/internal/policy/place/preempt.go
@@ -48,7 +48,7 @@
 	rules   *Rules
 	job     *Job
 	profile profile
-	claimed map[model.WorkerID]model.Resources
+	claimed map[model.WorkerID]model.Resources // set aside by claims of other jobs
 }
 
 // evictionCost rates a set of victims. Its fields are compared in their order.
@@ -106,7 +106,8 @@
 
 // dropUnneeded removes the victims that are not needed, the least preferred
 // first: a later victim can make an earlier one unnecessary. The victims are
-// the first n candidates; remaining holds the tasks that are not evicted.
+// the first n candidates; remaining is the worker with only the tasks that are
+// never evicted. The last result is always true.
 func (e *victimSelector) dropUnneeded(remaining *Worker, candidates []Task, n int) ([]Task, evictionCost, bool) {
 	victims, kept := candidates[:n:n], slices.Clone(candidates[n:])
 	for i := len(victims) - 1; i >= 0; i-- {
--- a/internal/policy/place/round.go
+++ b/internal/policy/place/round.go
@@ -12,7 +12,7 @@
 	planner    *Planner
 	snapshot   *Snapshot
 	plan       Plan
-	unplaced   map[jobKey]Verdict
+	unplaced   map[jobKey]Verdict // of jobs that no worker could take in this round
 	claims     map[model.JobID]Claim
 	triedFirst map[model.JobID]bool // jobs with a claim or a reserved worker
 }
--- a/internal/policy/place/view.go
+++ b/internal/policy/place/view.go
@@ -14,14 +14,14 @@
 	free             model.Resources
 	claimed          model.Resources // part of free that claims set aside
 	state            WorkerState
-	tasks            int
+	tasks            int // number of charged tasks
 	unproven         int
 	maxUnproven      int       // limit of unproven, 0 for none
 	services         occupancy // of the services only, which do not end as tasks do
 	work             occupancy // of the services and tasks
 	rack, dataCentre int       // indexes of the domains in planner.domains
-	classes          []int
-	reserved         bool // the worker is reserved for a job that has waited long
+	classes          []int     // class index of each task that is counted in planner.domains
+	reserved         bool      // the worker is reserved for a job that has waited long
 }
 
 // available returns the resources that a job without a claim may use.
