--- a/internal/taskagent/attempt.go
+++ b/internal/taskagent/attempt.go
@@ -59,9 +59,9 @@
 	adoptedAt          time.Duration
 	adopted            bool // found running; no renewal has been received since
 	stopRequested      bool // the task is stopped as soon as the start call returns
-	cpuLimitPercent    int
+	cpuLimitPercent    int  // of the newest throttle command; 100 removes the limit
 	report             report
-	stateChangedAt     time.Duration
+	stateChangedAt     time.Duration // when the attempt entered its state
 	renewInFlight      bool
 	listed             bool // the most recent list of the worker contains the task
 	checkpointInFlight bool
--- a/internal/taskagent/commands.go
+++ b/internal/taskagent/commands.go
@@ -89,6 +89,9 @@
 	c.stepAttempt(a, evStart)
 }
 
+// onCommand applies a command as an event to the attempt. A stop command for an
+// unknown attempt is recorded, so that a start command that arrives later has no
+// effect.
 func (c *Core) onCommand(from model.EntryID, cmd msg.Command, id model.AttemptID, e chart.Event) {
 	if !c.checkEpoch(from, cmd) {
 		return
@@ -103,7 +106,7 @@
 }
 
 // renewAdopted renews the worker's leases of adopted attempts without waiting
-// for the next renewal, because these may end soon.
+// for the next renewal, because these leases may end soon.
 func (c *Core) renewAdopted() {
 	for _, a := range c.sortedAttempts() {
 		if a.adopted && c.lease.Valid(c.now, a.spec.LongRunning) {
@@ -223,6 +226,8 @@
 	}
 }
 
+// onListedTask updates the attempt of a listed task. It adopts a running task
+// without a record, such as one that was started before the agent restarted.
 func (c *Core) onListedTask(t Task) {
 	known := c.attempts[t.Attempt] != nil
 	a := c.findOrCreate(t.Attempt)
--- a/internal/taskagent/events.go
+++ b/internal/taskagent/events.go
@@ -75,8 +75,9 @@
 // Effect is an output of Core.
 type Effect interface{ isEffect() }
 
-// Effects of Core. Until is the end of the agent's lease. The worker's lease
-// must not end later, so its length is computed immediately before the call.
+// Effects of Core: a message to an entry, calls to the worker and a log entry.
+// Until is the end of the agent's lease. The worker's lease must not end later,
+// so its length is computed immediately before the call.
 type (
 	Send struct {
 		Entry model.EntryID
--- a/internal/taskagent/snapshot.go
+++ b/internal/taskagent/snapshot.go
@@ -57,6 +57,8 @@
 			ints(0)
 		}
 	}
+	// rel encodes times relative to now. Times more than oldest ago are encoded
+	// alike.
 	rel := func(oldest time.Duration, values ...time.Duration) {
 		for _, v := range values {
 			if v != 0 {
@@ -65,10 +67,10 @@
 			ints(int64(v / time.Millisecond))
 		}
 	}
-	number, ackAt, basis := c.lease.State()
+	number, ackAt, ackValid := c.lease.State()
 	ints(int64(c.epoch), seq(number), int64(len(c.controller)))
 	b = append(b, c.controller...)
-	flag(basis)
+	flag(ackValid)
 	flag(c.listReceived)
 	flag(c.listInFlight)
 	rel(time.Hour, ackAt)
--- a/internal/taskagent/taskagent.go
+++ b/internal/taskagent/taskagent.go
@@ -55,7 +55,7 @@
 }
 
 const (
-	mailbox = 256
+	mailboxSize = 256
 	// callTimeout bounds every call to the worker except Checkpoint, which
 	// writes the state of the task and may take longer.
 	callTimeout       = 5 * time.Second
@@ -66,13 +66,13 @@
 func Start(g *actor.Group, cfg Config) actor.Address[Message] {
 	links := map[model.EntryID]actor.Address[msg.Control]{} // kept when the actor is restarted
 	return actor.Spawn(g, actor.Spec[Message]{
-		Name: "tasks", Mailbox: mailbox, Restart: actor.OnFailure,
+		Name: "tasks", Mailbox: mailboxSize, Restart: actor.OnFailure,
 		Run: func(ctx context.Context, in <-chan Message) error {
 			sub := g.Sub()
 			defer sub.Stop()
 			a := &agent{
 				cfg: cfg, group: sub, core: NewCore(cfg.Worker, cfg.Cell), startedAt: time.Now(),
-				links: links, results: make(chan Event, mailbox),
+				links: links, results: make(chan Event, mailboxSize),
 			}
 			return a.run(ctx, in)
 		},
