--- a/internal/policy/dispatch/bench_test.go
+++ b/internal/policy/dispatch/bench_test.go
@@ -23,7 +23,7 @@
 
 func newSteadyLoad(queued, instances int) *steadyLoad {
 	classes := newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "consent": 25 * time.Millisecond})
-	s := &steadyLoad{queue: NewQueue(Options{}, classes), candidates: make([]Candidate, instances), now: epoch}
+	s := &steadyLoad{queue: NewQueue(Options{}, classes), candidates: make([]Candidate, instances), now: startTime}
 	for i := range s.candidates {
 		s.candidates[i] = Candidate{Credits: 1, Running: i % 8, Slots: 8, RTT: time.Millisecond, Slowness: 1}
 	}
--- a/internal/policy/dispatch/choose.go
+++ b/internal/policy/dispatch/choose.go
@@ -23,13 +23,14 @@
 // Without it a backend server that fails quickly would get most requests.
 const failurePenalty = 100 * time.Millisecond
 
-// maxPenalisedFailures bounds the penalty, so that a recovered backend server is tried
-// again when the others are busy.
+// maxPenalisedFailures bounds the penalty, so that a recovered backend server is
+// tried again when the others are busy.
 const maxPenalisedFailures = 10
 
 // Choose returns the index of the candidate with the lowest expected time for
-// a request with the mean slot time, or -1 when none has a credit. Ties go to
-// the one with the most idle credits, so that each keeps some.
+// a request, or -1 when none has a credit. mean is the mean slot time of the
+// request's class. Ties go to the one with the most idle credits, so that each
+// keeps some.
 func Choose(candidates []Candidate, mean time.Duration) int {
 	best, bestCost := -1, time.Duration(0)
 	for i := range candidates {
--- a/internal/policy/dispatch/estimate.go
+++ b/internal/policy/dispatch/estimate.go
@@ -63,7 +63,8 @@
 }
 
 // P95 returns the 95% quantile of the slot times of the class, or 0 if it is
-// not known. A request with less time to its deadline would probably miss it.
+// not known. A request that starts this long before its deadline most likely
+// meets it.
 func (c *ClassEstimates) P95(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.95)
@@ -71,7 +72,8 @@
 	return 0
 }
 
-// Median returns the median slot time of the class, or 0 if it is not known.
+// Median returns the median slot time of the class, or 0 if it is not known. A
+// request with less time to its deadline would most likely miss it.
 func (c *ClassEstimates) Median(name model.Class) time.Duration {
 	if s := c.known(name); s != nil {
 		return s.quantile(0.5)
--- a/internal/policy/dispatch/fairqueue.go
+++ b/internal/policy/dispatch/fairqueue.go
@@ -22,7 +22,7 @@
 type tenantQueue struct {
 	name        model.Tenant
 	requests    startHeap
-	work        profile
+	work        profile       // of the tenant's queued requests
 	used        time.Duration // slot time charged to the tenant
 	activeIndex int           // in fairQueue.active; -1: no request is queued
 }
@@ -31,7 +31,7 @@
 type queuedRequest struct {
 	req         Request
 	cost        time.Duration // expected slot time
-	latestStart time.Time     // a later start would most likely miss the deadline
+	latestStart time.Time     // latest start that most likely still meets the deadline
 	bucket      int64         // bucket in the tenant's profile
 	queueIndex  int           // in Queue.queues
 	tenant      *tenantQueue
--- a/internal/policy/dispatch/queue.go
+++ b/internal/policy/dispatch/queue.go
@@ -165,6 +165,7 @@
 	weight := 1 - math.Exp(-now.Sub(q.slotsUpdatedAt).Seconds()/smoothingTime.Seconds())
 	q.slotsUpdatedAt = now
 	q.updateQueueSlots(shortQueue, weight, load.Slots, load.Sent.Short, load.Started.Short)
+	// Agents reserve half of the slots for short requests.
 	q.updateQueueSlots(longQueue, weight, load.Slots/2, load.Sent.Long, load.Started.Long)
 	// An entry that has just started, or was idle, has few requests in
 	// progress, but each backend server grants it a credit as soon as it has
@@ -174,6 +175,8 @@
 	}
 }
 
+// updateQueueSlots updates the estimate for one fair queue. slots is the number
+// of slots that its requests may hold, and weight that of the new value.
 func (q *Queue) updateQueueSlots(queue int, weight float64, slots, sent, started int) {
 	if sent == 0 || q.queues[queue].size == 0 {
 		// Without queued requests, the number of requests in progress does
--- a/internal/policy/dispatch/queue_test.go
+++ b/internal/policy/dispatch/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // newEstimates returns estimates in which the given classes are known.
 func newEstimates(means map[model.Class]time.Duration) *ClassEstimates {
@@ -25,7 +25,7 @@
 }
 
 func request(key Key, tenant model.Tenant, deadline time.Duration) Request {
-	return Request{Key: key, Class: "read", Tenant: tenant, Arrived: epoch, Deadline: epoch.Add(deadline)}
+	return Request{Key: key, Class: "read", Tenant: tenant, Arrived: startTime, Deadline: startTime.Add(deadline)}
 }
 
 func failOnDrop(t require.TestingT) func(Request, Refusal) {
@@ -45,7 +45,7 @@
 				next++
 				tenant := model.Tenant(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant"))
 				r := request(next, tenant, time.Duration(rapid.IntRange(1, 600).Draw(t, "deadline"))*time.Second)
-				if q.Admit(epoch, r, Load{}, true) == Accepted {
+				if q.Admit(startTime, r, Load{}, true) == Accepted {
 					queued[r.Key] = r
 				}
 			},
@@ -56,7 +56,7 @@
 				delete(queued, k)
 			},
 			"next": func(t *rapid.T) {
-				r, ok := q.Next(epoch, true, failOnDrop(t))
+				r, ok := q.Next(startTime, true, failOnDrop(t))
 				assert.Equal(t, len(queued) > 0, ok)
 				if !ok {
 					return
@@ -100,13 +100,13 @@
 				key++
 				r := request(key, tenant, time.Hour)
 				r.Class = rapid.SampledFrom([]model.Class{"read", "roster"}).Draw(t, "class")
-				require.Equal(t, Accepted, q.Admit(epoch, r, Load{}, true))
+				require.Equal(t, Accepted, q.Admit(startTime, r, Load{}, true))
 				left[tenant]++
 			}
 		}
 		used := map[model.Tenant]time.Duration{}
 		for left["heavy"] > 0 && left["light"] > 0 {
-			r, ok := q.Next(epoch, true, failOnDrop(t))
+			r, ok := q.Next(startTime, true, failOnDrop(t))
 			require.True(t, ok)
 			left[r.Tenant]--
 			used[r.Tenant] += means[r.Class]
@@ -121,16 +121,16 @@
 func TestDroppedRequestsAreNotCharged(t *testing.T) {
 	q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond}))
 	for k := range Key(50) {
-		require.Equal(t, Accepted, q.Admit(epoch, request(k, "late", 20*time.Millisecond), Load{}, true))
+		require.Equal(t, Accepted, q.Admit(startTime, request(k, "late", 20*time.Millisecond), Load{}, true))
 	}
 	for k := range Key(20) {
-		require.Equal(t, Accepted, q.Admit(epoch, request(100+k, "late", time.Hour), Load{}, true))
-		require.Equal(t, Accepted, q.Admit(epoch, request(200+k, "other", time.Hour), Load{}, true))
+		require.Equal(t, Accepted, q.Admit(startTime, request(100+k, "late", time.Hour), Load{}, true))
+		require.Equal(t, Accepted, q.Admit(startTime, request(200+k, "other", time.Hour), Load{}, true))
 	}
 	served := map[model.Tenant]int{}
 	dropped := 0
 	for range 20 {
-		r, ok := q.Next(epoch.Add(time.Second), true, func(Request, Refusal) { dropped++ })
+		r, ok := q.Next(startTime.Add(time.Second), true, func(Request, Refusal) { dropped++ })
 		require.True(t, ok)
 		served[r.Tenant]++
 	}
@@ -149,7 +149,7 @@
 		wait := time.Duration(rapid.IntRange(100, 2000).Draw(t, "wait")) * time.Millisecond
 		admitted, refused := 0, 0
 		for k := range Key(4 * int(wait/mean) * slots) {
-			if q.Admit(epoch, request(k, "a", wait), load, false) == Accepted {
+			if q.Admit(startTime, request(k, "a", wait), load, false) == Accepted {
 				admitted++
 			} else {
 				refused++
@@ -169,12 +169,12 @@
 // deadline, and against a queue without a bound.
 func TestAdmissionBounds(t *testing.T) {
 	q := NewQueue(Options{MaxQueued: 3}, newEstimates(map[model.Class]time.Duration{"read": 100 * time.Millisecond}))
-	assert.Equal(t, RefusedLate, q.Admit(epoch, request(1, "a", 50*time.Millisecond), Load{}, false))
+	assert.Equal(t, RefusedLate, q.Admit(startTime, request(1, "a", 50*time.Millisecond), Load{}, false))
 	busy := Load{Sent: Count{Short: 8}, Started: Count{Short: 8}}
 	for k := range Key(3) {
-		assert.Equal(t, Accepted, q.Admit(epoch, request(10+k, "a", time.Hour), busy, false))
+		assert.Equal(t, Accepted, q.Admit(startTime, request(10+k, "a", time.Hour), busy, false))
 	}
-	assert.Equal(t, RefusedFull, q.Admit(epoch, request(20, "a", time.Hour), busy, false))
+	assert.Equal(t, RefusedFull, q.Admit(startTime, request(20, "a", time.Hour), busy, false))
 }
 
 // Guards against an entry that refuses a burst because no request is in
@@ -182,13 +182,13 @@
 func TestIdleEntryAdmitsBurst(t *testing.T) {
 	q := NewQueue(Options{}, NewClassEstimates())
 	for k := range Key(28) {
-		assert.Equal(t, Accepted, q.Admit(epoch, request(k, "a", 10*time.Second), Load{Instances: 3}, false))
+		assert.Equal(t, Accepted, q.Admit(startTime, request(k, "a", 10*time.Second), Load{Instances: 3}, false))
 	}
 	for range 28 {
-		q.Next(epoch, true, failOnDrop(t))
+		q.Next(startTime, true, failOnDrop(t))
 	}
 	for k := range Key(28) {
-		assert.Equal(t, Accepted, q.Admit(epoch.Add(time.Minute), request(k, "a", 70*time.Second), Load{Instances: 3}, false))
+		assert.Equal(t, Accepted, q.Admit(startTime.Add(time.Minute), request(k, "a", 70*time.Second), Load{Instances: 3}, false))
 	}
 }
 
@@ -197,23 +197,23 @@
 func TestShortAndLongClassesShareSlots(t *testing.T) {
 	q := NewQueue(Options{}, newEstimates(map[model.Class]time.Duration{"read": 10 * time.Millisecond, "watch": time.Second}))
 	for k := range Key(500) {
-		require.Equal(t, Accepted, q.Admit(epoch, request(k, "a", time.Hour), Load{}, true))
+		require.Equal(t, Accepted, q.Admit(startTime, request(k, "a", time.Hour), Load{}, true))
 	}
 	for k := range Key(10) {
 		r := request(1000+k, "a", time.Hour)
 		r.Class = "watch"
-		require.Equal(t, Accepted, q.Admit(epoch, r, Load{}, true))
+		require.Equal(t, Accepted, q.Admit(startTime, r, Load{}, true))
 	}
 	long := 0
 	for range 450 {
-		r, ok := q.Next(epoch, true, failOnDrop(t))
+		r, ok := q.Next(startTime, true, failOnDrop(t))
 		require.True(t, ok)
 		if r.Class == "watch" {
 			long++
 		}
 	}
 	assert.InDelta(t, 2, long, 1, "one second of long work for four of short work")
-	for r, ok := q.Next(epoch, false, failOnDrop(t)); ok; r, ok = q.Next(epoch, false, failOnDrop(t)) {
+	for r, ok := q.Next(startTime, false, failOnDrop(t)); ok; r, ok = q.Next(startTime, false, failOnDrop(t)) {
 		assert.Equal(t, model.Class("read"), r.Class)
 	}
 	assert.Positive(t, q.Len(), "long requests stay queued while no slot allows them")
