--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -81,7 +81,8 @@
 	return 0, 0
 }
 
-// Avoid returns the workers on which the job failed, in ascending order.
+// Avoid returns the workers on which the job failed, in ascending order. The
+// job should not be placed on them.
 func (t *Tracker) Avoid(job model.JobID) []model.WorkerID {
 	j := t.jobs[job]
 	if j == nil {
@@ -156,12 +157,12 @@
 		t.step(now, w, evTaskFailed, fmt.Sprintf("tasks of %d different jobs failed without a success in between", w.attributedFailures()))
 	}
 	t.releaseCleared(now)
-	t.parkIfHopeless(now, a.Job, j)
+	t.parkIfBroken(now, a.Job, j)
 	return t.takeChanges()
 }
 
-// releaseCleared ends the restriction of workers more than half of whose
-// failures are no longer attributed to them.
+// releaseCleared ends the restriction of workers of whose failures fewer than
+// half are still attributed to them.
 func (t *Tracker) releaseCleared(now time.Duration) {
 	t.now = now
 	for _, id := range t.workerIDs() {
@@ -171,8 +172,8 @@
 	}
 }
 
-// parkIfHopeless parks a job that failed on enough good workers or too often.
-func (t *Tracker) parkIfHopeless(now time.Duration, job model.JobID, j *jobRecord) {
+// parkIfBroken parks a job that failed on enough good workers or too often.
+func (t *Tracker) parkIfBroken(now time.Duration, job model.JobID, j *jobRecord) {
 	good := 0
 	for id, at := range j.failed {
 		if t.wasGood(now, id, job, at) {
@@ -209,9 +210,9 @@
 	return false
 }
 
-// classFailsElsewhere reports whether the failures of a class are attributed
-// to the class.
-func (t *Tracker) classFailsElsewhere(class model.Class) bool {
+// classFails reports whether the failures of a class are attributed to the
+// class.
+func (t *Tracker) classFails(class model.Class) bool {
 	return len(t.failedOn[class]) >= classFailureWorkers
 }
 
--- a/internal/policy/health/worker.go
+++ b/internal/policy/health/worker.go
@@ -73,21 +73,20 @@
 	id             model.WorkerID
 	tracker        *Tracker
 	state          chart.State
-	enteredAt      time.Duration
-	failures       []failure // since the last success
-	successes      int       // since the last failure
+	enteredAt      time.Duration // when the worker entered its state
+	failures       []failure     // since the last success
+	successes      int           // since the last failure
 	lastSuccess    time.Duration
 	lastSuccessJob model.JobID
 	hasSucceeded   bool
-	startedAt      map[model.AttemptID]time.Duration
-	restricted     bool // quarantined or in probation, even if the link is lost or the worker drains
+	startedAt      map[model.AttemptID]time.Duration // of the attempts that have not ended
+	restricted     bool                              // quarantined or in probation, even if the link is lost or the worker drains
 	drainRequested bool
 }
 
 var workerChart = chart.MustCompile(charts.Files, WorkerBinding())
 
-// WorkerBinding returns the binding of charts/worker.scxml. It is exported for
-// the checks that explore the chart.
+// WorkerBinding returns the binding of charts/worker.scxml.
 func WorkerBinding() chart.Binding[worker] {
 	return chart.Binding[worker]{
 		Chart:  "worker",
@@ -111,8 +110,8 @@
 }
 
 // attributedFailures counts the different jobs whose failures are attributed
-// to the worker: those that do not fail on other workers, and whose class does
-// not either.
+// to the worker: not those that also fail on another good worker, or whose
+// failures are attributed to their class.
 func (w *worker) attributedFailures() int {
 	n := 0
 	for i, f := range w.failures {
@@ -120,7 +119,7 @@
 		for _, earlier := range w.failures[:i] {
 			first = first && earlier.job != f.job
 		}
-		if first && !w.tracker.failsElsewhere(w.tracker.now, f.job, w.id) && !w.tracker.classFailsElsewhere(f.class) {
+		if first && !w.tracker.failsElsewhere(w.tracker.now, f.job, w.id) && !w.tracker.classFails(f.class) {
 			n++
 		}
 	}
