--- a/internal/policy/credits/credits_test.go
+++ b/internal/policy/credits/credits_test.go
@@ -10,14 +10,14 @@
 
 func drawHolders(t *rapid.T) []Holder {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Holder {
-		b := Holder{
+		holder := Holder{
 			SameDataCentre: rapid.Bool().Draw(t, "near"), Idle: rapid.IntRange(0, 6).Draw(t, "idle"), Running: rapid.IntRange(0, 6).Draw(t, "running"),
 			Queued: rapid.IntRange(0, 40).Draw(t, "queued"), RecentRequests: rapid.Float64Range(0, 1000).Draw(t, "recent"),
 			MinRemaining: time.Duration(rapid.IntRange(0, 500).Draw(t, "tightest")) * time.Millisecond,
 		}
-		b.Recalled = rapid.IntRange(0, b.Idle).Draw(t, "recalled")
-		b.GrantedSinceReport = rapid.IntRange(0, 8).Draw(t, "granted")
-		return b
+		holder.Recalled = rapid.IntRange(0, holder.Idle).Draw(t, "recalled")
+		holder.GrantedSinceReport = rapid.IntRange(0, 8).Draw(t, "granted")
+		return holder
 	}), 0, 5).Draw(t, "holders")
 }
 
