--- a/internal/policy/interfere/controller.go
+++ b/internal/policy/interfere/controller.go
@@ -62,6 +62,8 @@
 	// maxMissedShare is the share of a service class's windows that may miss
 	// the target. A host with three classes then misses less than 1%.
 	maxMissedShare = 0.005
+	// confidenceGain is added to the confidence for a window that misses the
+	// target. Each window subtracts confidenceGain*maxMissedShare.
 	confidenceGain = 0.2
 	minConfidence  = 1
 	maxConfidence  = 4
--- a/internal/policy/interfere/learner.go
+++ b/internal/policy/interfere/learner.go
@@ -49,8 +49,8 @@
 	baseDeviation        = 3.0
 	interactionDeviation = 0.3
 	initialNoise         = 0.15 // standard deviation of one sample before the first measurement
-	minNoise             = 0.03
-	noiseGain            = 0.01
+	minNoise             = 0.03 // lower bound of that deviation
+	noiseGain            = 0.01 // weight of a new squared residual in the noise
 	// sampleDecay is the factor by which each sample reduces the weight of
 	// earlier ones. It averages over about 5,000 samples: 75 minutes of 11
 	// workers that report every 10 s.
--- a/internal/policy/interfere/load.go
+++ b/internal/policy/interfere/load.go
@@ -38,7 +38,7 @@
 // once and a fall slowly, because a surge comes in several waves. At the start
 // of a rise it assumes that the load rises as far as it did in earlier rises.
 type loadTracker struct {
-	value       float64
+	value       float64           // smoothed load
 	recent      [riseSpan]float64 // loads of the last updates, the newest first
 	updatedAt   time.Duration
 	initialized bool
--- a/internal/policy/interfere/sim_test.go
+++ b/internal/policy/interfere/sim_test.go
@@ -27,8 +27,8 @@
 // see.
 type groundTruth struct {
 	coefficients map[model.Class]map[model.Class]float64 // service class, batch class
-	base, rise   map[model.Class]float64
-	offsets      []map[model.Class]float64 // by host
+	base, rise   map[model.Class]float64                 // ln(p99/target) without load, and its rise up to full load
+	offsets      []map[model.Class]float64               // by host
 }
 
 func newGroundTruth(rng *rand.Rand, hosts int, base, rise float64) *groundTruth {
@@ -70,14 +70,14 @@
 type simHost struct {
 	Host
 	tasks     []*simTask
-	windowMax map[model.Class]float64 // in the present window
+	windowMax map[model.Class]float64 // largest ln(p99/target) in the present window
 }
 
 // simPolicy is called for each host once a second.
 type simPolicy interface {
 	report(now int, r Report, host int)
-	step(now int, host int, h Host, next float64) []Action
-	admit(host int, h Host, t Task) int // returns the limit in percent at the start
+	step(now int, host int, h Host, next float64) []Action // next is the load of the next second
+	admit(host int, h Host, t Task) int                    // returns the limit in percent at the start
 }
 
 type sim struct {
@@ -90,13 +90,16 @@
 	hosts      []*simHost
 	backlog    []*simTask
 	policy     simPolicy
-	scheduled  map[int][]func()
+	scheduled  map[int][]func() // reports to deliver, by second
 
+	// Results of the measured time. A window is inside if every class met its
+	// target.
 	windows, windowsInside int
-	work                   float64
+	work                   float64 // core-seconds
 	stops, throttles       int
-	measureFrom, lastJob   int
-	maxMissed              int // ends the run after so many missed windows; 0: never
+
+	measureFrom, lastJob int // first measured second; number of jobs drawn
+	maxMissed            int // ends the run after so many missed windows; 0: never
 }
 
 func newSim(deployment measure.Deployment, seed uint64, base, rise float64, load func(int, int) float64) *sim {
--- a/internal/policy/interfere/targets_test.go
+++ b/internal/policy/interfere/targets_test.go
@@ -135,8 +135,8 @@
 type scenario struct {
 	name       string
 	deployment measure.Deployment
-	base, rise float64
-	load       func(uint64, int) func(int, int) float64
+	base, rise float64                                  // of the ground truth
+	load       func(uint64, int) func(int, int) float64 // from seed and seconds; by host and second
 }
 
 func scenarios() []scenario {
