--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -11,71 +11,75 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// Kind is a kind of fault or of disturbance.
+// Kind is a kind of fault, which lasts for a time, or of disturbance, which is
+// a single event.
 type Kind uint8
 
-// Kinds. The first group concerns a controller, the second an agent, the third
-// the link between both, the last nothing in particular.
+// The kinds are grouped by what they concern: a controller, an agent, the link
+// between both, and the first job. The order of the groups matters to the
+// methods of fault.
 const (
 	FreezeController Kind = iota
 	KillController
-	TableAway
-	TableLossy // transactions take effect, their responses are lost
+	TableUnavailable
+	TableResponsesLost // transactions take effect, but their responses are lost
 
 	FreezeAgent
 	KillAgent
-	WorkerLossy // calls take effect, their answers are lost
+	WorkerResponsesLost // calls take effect, but their responses are lost
 
 	CutLink
-	HoldToAgent
-	HoldToController
+	DelayToAgent
+	DelayToController
 
-	Evict // at the start of the fault; without duration
+	Evict // Evict and Cancel have no duration
 	Cancel
 )
 
-var kindNames = [...]string{"freeze controller", "kill controller", "table away", "table lossy", "freeze agent", "kill agent",
-	"worker lossy", "cut link", "hold messages to agent", "hold messages to controller", "evict", "cancel"}
+var kindNames = [...]string{"freeze controller", "kill controller", "table unavailable", "table responses lost", "freeze agent", "kill agent",
+	"worker responses lost", "cut link", "delay messages to agent", "delay messages to controller", "evict", "cancel"}
 
-// fault is a kind of fault at a place.
+// fault is a kind of fault and the controller and agent that it concerns, by
+// index.
 type fault struct {
-	kind Kind
-	c, a int
+	kind              Kind
+	controller, agent int
 }
 
 func (f fault) String() string {
 	switch {
-	case f.kind <= TableLossy:
-		return fmt.Sprintf("%s %s", kindNames[f.kind], entryID(f.c))
-	case f.kind <= WorkerLossy:
-		return fmt.Sprintf("%s %s", kindNames[f.kind], workerID(f.a))
-	case f.kind <= HoldToController:
-		return fmt.Sprintf("%s, %s and %s", kindNames[f.kind], entryID(f.c), workerID(f.a))
+	case f.kind <= TableResponsesLost:
+		return fmt.Sprintf("%s %s", kindNames[f.kind], entryID(f.controller))
+	case f.kind <= WorkerResponsesLost:
+		return fmt.Sprintf("%s %s", kindNames[f.kind], workerID(f.agent))
+	case f.kind <= DelayToController:
+		return fmt.Sprintf("%s, %s and %s", kindNames[f.kind], entryID(f.controller), workerID(f.agent))
 	}
 	return kindNames[f.kind]
 }
 
-// active is a fault until a time.
-type active struct {
+// activeFault is a fault that ends at a time.
+type activeFault struct {
 	fault
 	until time.Duration
 }
 
-// places lists the faults of a set of kinds.
-func places(kinds []Kind) (list []fault) {
+// faultsOf returns the faults of the given kinds at every controller, agent and
+// link.
+func faultsOf(kinds []Kind) (list []fault) {
 	for _, k := range kinds {
 		switch {
-		case k <= TableLossy:
-			for c := range controllers {
-				list = append(list, fault{kind: k, c: c})
+		case k <= TableResponsesLost:
+			for c := range controllerCount {
+				list = append(list, fault{kind: k, controller: c})
 			}
-		case k <= WorkerLossy:
-			for a := range agents {
-				list = append(list, fault{kind: k, a: a})
+		case k <= WorkerResponsesLost:
+			for a := range agentCount {
+				list = append(list, fault{kind: k, agent: a})
 			}
-		case k <= HoldToController:
-			for c := range controllers {
-				for a := range agents {
+		case k <= DelayToController:
+			for c := range controllerCount {
+				for a := range agentCount {
 					list = append(list, fault{k, c, a})
 				}
 			}
@@ -86,120 +90,126 @@
 	return list
 }
 
-func (f fault) timed() bool { return f.kind < Evict }
+func (f fault) hasDuration() bool { return f.kind < Evict }
 
-// begin puts a fault in force.
-func (w *world) begin(f fault, d time.Duration) {
-	w.spent++
-	if f.timed() {
-		w.note("fault: %s for %s", f, d)
-		w.active = append(slices.Clip(w.active), active{f, w.now + d})
+// beginFault starts a fault that lasts for d, or applies a disturbance.
+func (w *world) beginFault(f fault, d time.Duration) {
+	w.faultsBegun++
+	if f.hasDuration() {
+		w.tracef("fault: %s for %s", f, d)
+		w.activeFaults = append(slices.Clip(w.activeFaults), activeFault{f, w.now + d})
 	} else {
-		w.note("disturbance: %s", f)
+		w.tracef("disturbance: %s", f)
 	}
-	w.set(f, true)
+	w.setFault(f, true)
 }
 
+// endFaults ends the faults whose duration has passed.
 func (w *world) endFaults() {
-	for i := 0; i < len(w.active); i++ {
-		if f := w.active[i]; f.until <= w.now {
-			w.active = slices.Concat(w.active[:i], w.active[i+1:])
+	for i := 0; i < len(w.activeFaults); i++ {
+		if f := w.activeFaults[i]; f.until <= w.now {
+			w.activeFaults = slices.Concat(w.activeFaults[:i], w.activeFaults[i+1:])
 			i--
-			w.note("end of fault: %s", f.fault)
-			w.set(f.fault, false)
+			w.tracef("end of fault: %s", f.fault)
+			w.setFault(f.fault, false)
 		}
 	}
 }
 
-func (w *world) set(f fault, on bool) {
-	c, a, l := &w.ctl[f.c], &w.agent[f.a], &w.link[f.c][f.a]
+// setFault turns a fault on or off. A process that was frozen for longer than
+// lease.PauseGap detects the pause before it handles other events.
+func (w *world) setFault(f fault, on bool) {
+	c, a, l := &w.controllers[f.controller], &w.agents[f.agent], &w.links[f.controller][f.agent]
 	switch f.kind {
 	case FreezeController:
 		if c.frozen = on; on {
-			c.since = w.now
-		} else if w.now-c.since > lease.PauseGap && c.core != nil {
+			c.frozenAt = w.now
+		} else if w.now-c.frozenAt > lease.PauseGap && c.core != nil {
 			c.inbox = append([]control.Event{control.Paused{}}, c.inbox...)
 		}
 	case FreezeAgent:
 		if a.frozen = on; on {
-			a.since = w.now
-		} else if w.now-a.since > lease.PauseGap && a.core != nil {
+			a.frozenAt = w.now
+		} else if w.now-a.frozenAt > lease.PauseGap && a.core != nil {
 			a.inbox = append([]taskagent.Event{taskagent.Paused{}}, a.inbox...)
 		}
 	case KillController:
-		w.killController(f.c, on)
+		w.killController(f.controller, on)
 	case KillAgent:
-		w.killAgent(f.a, on)
-	case TableAway:
-		c.away = on
-	case TableLossy:
-		c.lossy = on
-	case WorkerLossy:
-		a.lossy = on
+		w.killAgent(f.agent, on)
+	case TableUnavailable:
+		c.tableUnavailable = on
+	case TableResponsesLost:
+		c.responsesLost = on
+	case WorkerResponsesLost:
+		a.responsesLost = on
 	case CutLink:
 		if on {
-			w.disconnect(f.c, f.a)
+			w.disconnect(f.controller, f.agent)
 		} else {
-			w.connect(f.c, f.a)
+			w.connect(f.controller, f.agent)
 		}
-	case HoldToAgent:
-		l.holdDown = on
-	case HoldToController:
-		l.holdUp = on
+	case DelayToAgent:
+		l.delayToAgent = on
+	case DelayToController:
+		l.delayToController = on
 	default:
-		w.disturb(f.kind)
+		w.applyDisturbance(f.kind)
 	}
 }
 
+// killController kills a controller, or starts it again when on is false.
 func (w *world) killController(i int, on bool) {
-	for a := range w.agent {
+	for a := range w.agents {
 		w.disconnect(i, a)
 	}
 	if on {
-		w.ctl[i].core, w.ctl[i].inbox, w.ctl[i].ops = nil, nil, nil
+		w.controllers[i].core, w.controllers[i].inbox, w.controllers[i].operations = nil, nil, nil
 		return
 	}
 	w.startController(i)
-	for a := range w.agent {
+	for a := range w.agents {
 		w.connect(i, a)
 	}
 }
 
+// killAgent kills an agent, or starts it again when on is false. Its worker and
+// the worker's tasks go on.
 func (w *world) killAgent(i int, on bool) {
-	for c := range w.ctl {
+	for c := range w.controllers {
 		w.disconnect(c, i)
 	}
 	if on {
-		w.agent[i].core, w.agent[i].inbox, w.agent[i].calls = nil, nil, nil
+		w.agents[i].core, w.agents[i].inbox, w.agents[i].calls = nil, nil, nil
 		return
 	}
 	w.startAgent(i)
-	for c := range w.ctl {
+	for c := range w.controllers {
 		w.connect(c, i)
 	}
 }
 
-// cut reports whether a link cannot be established.
-func (w *world) cut(c, a int) bool {
-	for _, f := range w.active {
-		if f.kind == CutLink && f.c == c && f.a == a {
+// isCut reports whether an active fault prevents the link.
+func (w *world) isCut(c, a int) bool {
+	for _, f := range w.activeFaults {
+		if f.kind == CutLink && f.controller == c && f.agent == a {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) disturb(k Kind) {
+func (w *world) applyDisturbance(k Kind) {
 	const id = model.JobID("j")
 	if k == Evict {
-		for i := range w.ctl {
-			w.ctl[i].inbox = append(w.ctl[i].inbox, control.EvictRequested{Job: id})
+		for i := range w.controllers {
+			w.controllers[i].inbox = append(w.controllers[i].inbox, control.EvictRequested{Job: id})
 		}
 		return
 	}
-	if r := w.table.jobs[id]; !over(r.Row.Phase) {
-		w.table.rev++
-		r.Row.CancelRequested, r.Version = true, w.table.rev
+	if r := w.table.jobs[id]; !isFinal(r.Row.Phase) {
+		w.table.revision++
+		r.Row.CancelRequested, r.Version = true, w.table.revision
 		w.table.jobs[id] = r
 	}
 }
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -15,90 +15,90 @@
 	"github.com/bambooscale/bambooscale/internal/taskagent"
 )
 
-// sum is a fingerprint of the state. Two states with the same one have the
-// same future, but for a collision of 64 bits.
-func (x *explorer) sum(w *world) uint64 {
-	scale := w.scale()
+// fingerprint returns a hash of the state. Apart from collisions of the 64 bit
+// hash, states with equal fingerprints have the same successors.
+func (x *explorer) fingerprint(w *world) uint64 {
+	norm := w.normalizer()
 	b := x.buf[:0]
-	if !x.mayBranch(w) {
-		b = append(b, "tail"...) // compared at other points of a round
+	if !x.canBeginFault(w) {
+		b = append(b, "tail"...) // visit compares these states only when time advances
 	}
 	ints := func(values ...int64) {
 		for _, v := range values {
 			b = binary.AppendVarint(b, v)
 		}
 	}
-	ints(int64(w.spent), int64(w.table.epoch.Epoch), int64(scale.RevisionRank(w.table.epochVersion)), int64(scale.RevisionRank(w.table.beatVersion)))
-	ints(int64(min(w.now, x.model.Window)), int64(w.boots))
+	ints(int64(w.faultsBegun), int64(w.table.epoch.Epoch), int64(norm.RevisionRank(w.table.epochVersion)), int64(norm.RevisionRank(w.table.heartbeatVersion)))
+	ints(int64(min(w.now, x.model.Window)), int64(w.lastBoot))
 	for _, id := range slices.Sorted(maps.Keys(w.table.jobs)) {
 		r := w.table.jobs[id]
-		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.CancelRequested, scale.RevisionRank(r.Version))
+		b = fmt.Appendf(b, "%s %s %d %s %s %v %d", id, r.Row.Phase, r.Row.Attempt, r.Row.Worker, r.Row.Checkpoint, r.Row.CancelRequested, norm.RevisionRank(r.Version))
 	}
-	for _, f := range w.active {
-		ints(int64(f.kind), int64(f.c), int64(f.a), int64(f.until-w.now))
+	for _, f := range w.activeFaults {
+		ints(int64(f.kind), int64(f.controller), int64(f.agent), int64(f.until-w.now))
 	}
-	for i := range w.ctl {
-		b = w.appendController(b, i, scale)
+	for i := range w.controllers {
+		b = w.appendController(b, i, norm)
 	}
-	for i := range w.agent {
-		b = w.appendAgent(b, i, scale)
+	for i := range w.agents {
+		b = w.appendAgent(b, i, norm)
 	}
-	for c := range w.link {
-		for a := range w.link[c] {
-			l := &w.link[c][a]
+	for c := range w.links {
+		for a := range w.links[c] {
+			l := &w.links[c][a]
 			b = fmt.Appendf(b, "%v|", l.up)
-			b = w.appendMessages(b, a, l.down, scale)
-			b = w.appendMessages(b, a, l.upward, scale)
+			b = w.appendMessages(b, a, l.toAgent, norm)
+			b = w.appendMessages(b, a, l.toController, norm)
 		}
 	}
 	x.buf = b
 	return xxhash.Sum64(b)
 }
 
-func (w *world) appendController(b []byte, i int, scale control.Normalizer) []byte {
-	c := &w.ctl[i]
+func (w *world) appendController(b []byte, i int, norm control.Normalizer) []byte {
+	c := &w.controllers[i]
 	if c.core == nil {
 		return append(b, "killed"...)
 	}
-	b = c.core.AppendState(b, scale)
-	for _, op := range c.ops {
+	b = c.core.AppendState(b, norm)
+	for _, op := range c.operations {
 		b = fmt.Appendf(b, "op %T %v", op.effect, op.applied)
 		switch f := op.effect.(type) {
 		case control.Commit:
-			b = fmt.Appendf(b, "%d", scale.RevisionRank(f.Fence))
+			b = fmt.Appendf(b, "%d", norm.RevisionRank(f.Fence))
 			for _, r := range f.Writes {
-				b = fmt.Appendf(b, "%s %s %d %d", r.ID, r.Row.Phase, r.Row.Attempt, scale.RevisionRank(r.Version))
+				b = fmt.Appendf(b, "%s %s %d %d", r.ID, r.Row.Phase, r.Row.Attempt, norm.RevisionRank(r.Version))
 			}
 		case control.Claim:
-			b = fmt.Appendf(b, "%d", scale.RevisionRank(f.Version))
+			b = fmt.Appendf(b, "%d", norm.RevisionRank(f.Version))
 		case control.WriteHeartbeat:
-			b = fmt.Appendf(b, "%d %d", scale.RevisionRank(f.Fence), f.Sent-w.now)
+			b = fmt.Appendf(b, "%d %d", norm.RevisionRank(f.Fence), f.Sent-w.now)
 		}
 	}
 	for _, e := range c.inbox {
-		b = w.appendControlEvent(b, e, scale)
+		b = w.appendControlEvent(b, e, norm)
 	}
 	return b
 }
 
-func (w *world) appendControlEvent(b []byte, e control.Event, scale control.Normalizer) []byte {
+func (w *world) appendControlEvent(b []byte, e control.Event, norm control.Normalizer) []byte {
 	b = fmt.Appendf(b, "in %T", e)
 	switch e := e.(type) {
 	case control.Received:
 		b = append(b, e.Worker...)
-		b = w.appendMessages(b, index(e.Worker), []msg.Control{e.Msg}, scale)
+		b = w.appendMessages(b, workerIndex(e.Worker), []msg.Control{e.Msg}, norm)
 	case control.HeartbeatWritten:
-		b = fmt.Appendf(b, "%d %d %v %v", scale.RevisionRank(e.Fence), e.Sent-w.now, e.OK, e.Fenced)
+		b = fmt.Appendf(b, "%d %d %v %v", norm.RevisionRank(e.Fence), e.Sent-w.now, e.OK, e.Fenced)
 	case control.Scanned:
-		b = fmt.Appendf(b, "%d %v %d", scale.RevisionRank(e.Fence), e.Err != nil, len(e.Rows))
+		b = fmt.Appendf(b, "%d %v %d", norm.RevisionRank(e.Fence), e.Err != nil, len(e.Rows))
 	case control.Committed:
-		b = fmt.Appendf(b, "%d", scale.RevisionRank(e.Fence))
+		b = fmt.Appendf(b, "%d", norm.RevisionRank(e.Fence))
 	case control.Rejected:
-		b = fmt.Appendf(b, "%d %v %d", scale.RevisionRank(e.Fence), e.Fenced, len(e.Rows))
+		b = fmt.Appendf(b, "%d %v %d", norm.RevisionRank(e.Fence), e.Fenced, len(e.Rows))
 	case control.Claimed:
-		b = fmt.Appendf(b, "%v %d", e.Won, scale.RevisionRank(e.Version))
+		b = fmt.Appendf(b, "%v %d", e.Won, norm.RevisionRank(e.Version))
 	case control.Observed:
-		b = fmt.Appendf(b, "%v %d %d", e.Err != nil, scale.RevisionRank(e.EpochVersion), scale.RevisionRank(e.HeartbeatVersion))
+		b = fmt.Appendf(b, "%v %d %d", e.Err != nil, norm.RevisionRank(e.EpochVersion), norm.RevisionRank(e.HeartbeatVersion))
 	case control.PeerUp:
 		b = fmt.Appendf(b, "%s %d", e.Worker.ID, e.Boot)
 	case control.PeerDown:
@@ -107,13 +107,13 @@
 	return b
 }
 
-func (w *world) appendAgent(b []byte, i int, scale control.Normalizer) []byte {
-	a := &w.agent[i]
-	seq := func(n uint64) int64 { return scale.SequenceOffset(a.id, n) }
-	for _, t := range a.runs {
-		b = fmt.Appendf(b, "%s %s %d", t.id, t.state, t.saved)
+func (w *world) appendAgent(b []byte, i int, norm control.Normalizer) []byte {
+	a := &w.agents[i]
+	seq := func(n uint64) int64 { return norm.SequenceOffset(a.id, n) }
+	for _, t := range a.tasks {
+		b = fmt.Appendf(b, "%s %s %d", t.id, t.state, t.checkpoints)
 		if t.state == model.TaskRunning {
-			b = fmt.Appendf(b, "%d %d", t.began-w.now, t.lease-w.now)
+			b = fmt.Appendf(b, "%d %d", t.startedAt-w.now, t.leaseEnd-w.now)
 		}
 	}
 	if a.core == nil {
@@ -132,17 +132,17 @@
 		}
 	}
 	for _, e := range a.inbox {
-		b = w.appendTaskEvent(b, i, e, scale)
+		b = w.appendTaskEvent(b, i, e, norm)
 	}
 	return b
 }
 
-func (w *world) appendTaskEvent(b []byte, i int, e taskagent.Event, scale control.Normalizer) []byte {
+func (w *world) appendTaskEvent(b []byte, i int, e taskagent.Event, norm control.Normalizer) []byte {
 	b = fmt.Appendf(b, "in %T", e)
 	switch e := e.(type) {
 	case taskagent.Received:
 		b = append(b, e.Entry...)
-		b = w.appendMessages(b, i, []msg.Control{e.Msg}, scale)
+		b = w.appendMessages(b, i, []msg.Control{e.Msg}, norm)
 	case taskagent.CallResult:
 		b = fmt.Appendf(b, "%d %s %v %v %s", e.Call, e.Attempt, e.Err != nil, e.Refused, e.Checkpoint)
 	case taskagent.ListResult:
@@ -158,8 +158,8 @@
 	return b
 }
 
-func index(id model.WorkerID) int {
-	for i := range agents {
+func workerIndex(id model.WorkerID) int {
+	for i := range agentCount {
 		if workerID(i) == id {
 			return i
 		}
@@ -167,9 +167,10 @@
 	return 0
 }
 
-// appendMessages encodes messages; usage reports have no influence here.
-func (w *world) appendMessages(b []byte, a int, list []msg.Control, scale control.Normalizer) []byte {
-	seq := func(n uint64) int64 { return scale.SequenceOffset(workerID(a), n) }
+// appendMessages encodes the messages of a link to or from agent a. Usage
+// reports have no contents here, since they do not affect the outcome.
+func (w *world) appendMessages(b []byte, a int, list []msg.Control, norm control.Normalizer) []byte {
+	seq := func(n uint64) int64 { return norm.SequenceOffset(workerID(a), n) }
 	for _, m := range list {
 		b = fmt.Appendf(b, "%T", m)
 		switch m := m.(type) {
@@ -197,20 +198,22 @@
 	return b
 }
 
-// scale ranks the revisions of the state and counts lease sequence numbers
-// from the smallest one in use for a worker.
-func (w *world) scale() control.Normalizer {
-	revisions := []storage.Revision{0, w.table.rev, w.table.epochVersion, w.table.beatVersion}
+// normalizer replaces revisions by their rank among those of the state, and
+// lease sequence numbers by their offset from the highest that a controller
+// keeps for the worker. States that differ only in absolute numbers then have
+// equal fingerprints.
+func (w *world) normalizer() control.Normalizer {
+	revisions := []storage.Revision{0, w.table.revision, w.table.epochVersion, w.table.heartbeatVersion}
 	add := func(r storage.Revision) { revisions = append(revisions, r) }
 	for _, r := range w.table.jobs {
 		add(r.Version)
 	}
-	var base [agents]uint64
-	for i := range w.ctl {
-		if c := w.ctl[i].core; c != nil {
+	var maxSequence [agentCount]uint64
+	for i := range w.controllers {
+		if c := w.controllers[i].core; c != nil {
 			c.EachRevision(add)
-			for a := range base {
-				base[a] = max(base[a], c.Sequence(workerID(a)))
+			for a := range maxSequence {
+				maxSequence[a] = max(maxSequence[a], c.Sequence(workerID(a)))
 			}
 		}
 	}
@@ -222,7 +225,7 @@
 			if n == 0 {
 				return 1 << 40
 			}
-			return int64(n) - int64(base[index(id)])
+			return int64(n) - int64(maxSequence[workerIndex(id)])
 		},
 	}
 }
--- a/internal/explore/worker.go
+++ b/internal/explore/worker.go
@@ -13,48 +13,50 @@
 
 // task is a task on a worker.
 type task struct {
-	id    model.AttemptID
-	began time.Duration
-	lease time.Duration // end of the worker's own lease
-	state model.TaskState
-	saved int
+	id          model.AttemptID
+	startedAt   time.Duration
+	leaseEnd    time.Duration // end of the worker's own lease
+	state       model.TaskState
+	checkpoints int
 }
 
-func (w *world) settle(t *task) {
-	end := t.began + w.model.Work
+// updateTask ends a task whose work is complete or whose lease has expired.
+func (w *world) updateTask(t *task) {
+	end := t.startedAt + w.model.Work
 	switch {
 	case t.state != model.TaskRunning:
-	case end <= w.now && end <= t.lease:
+	case end <= w.now && end <= t.leaseEnd:
 		t.state = model.TaskDone
-	case t.lease <= w.now:
+	case t.leaseEnd <= w.now:
 		t.state = model.TaskStopped
-		w.note("the worker's lease of %s ends", t.id)
+		w.tracef("the worker's lease of %s expires", t.id)
 	}
 }
 
-// call carries out the calls of an agent to its worker. A frozen process
+// performCalls carries out the calls of agent i to its worker. A frozen agent
 // makes no calls.
-func (w *world) call(i int) {
-	a := &w.agent[i]
+func (w *world) performCalls(i int) {
+	a := &w.agents[i]
 	if a.frozen || a.core == nil || len(a.calls) == 0 {
 		return
 	}
-	w.events = true
+	w.progressed = true
 	calls := a.calls
 	a.calls = nil
-	for j := range a.runs {
-		w.settle(&a.runs[j])
+	for j := range a.tasks {
+		w.updateTask(&a.tasks[j])
 	}
 	for _, f := range calls {
-		e := w.answer(a, f)
-		if a.lossy {
-			e = lost(e)
+		e := w.callWorker(a, f)
+		if a.responsesLost {
+			e = withoutResponse(e)
 		}
 		a.inbox = append(a.inbox, e)
 	}
 }
 
-func lost(e taskagent.Event) taskagent.Event {
+// withoutResponse returns the result of a call whose response was lost.
+func withoutResponse(e taskagent.Event) taskagent.Event {
 	switch e := e.(type) {
 	case taskagent.CallResult:
 		return taskagent.CallResult{Call: e.Call, Attempt: e.Attempt, Err: context.DeadlineExceeded}
@@ -63,83 +65,86 @@
 	}
 }
 
-func (w *world) answer(a *agent, f taskagent.Effect) taskagent.Event {
+// callWorker applies a call to the worker and returns its result.
+func (w *world) callWorker(a *agent, f taskagent.Effect) taskagent.Event {
 	switch f := f.(type) {
 	case taskagent.CallStart:
-		return w.start(a, f)
+		return w.startTask(a, f)
 	case taskagent.CallRenew:
-		t := a.task(f.Attempt)
+		t := a.findTask(f.Attempt)
 		if d := min(lease.WorkerTTL, f.Until-w.now); t != nil && t.state == model.TaskRunning && d > 0 {
-			t.lease = w.now + d
+			t.leaseEnd = w.now + d
 		}
 		return taskagent.CallResult{Call: taskagent.RenewCall, Attempt: f.Attempt}
 	case taskagent.CallCheckpoint:
-		ans := taskagent.CallResult{Call: taskagent.CheckpointCall, Attempt: f.Attempt}
-		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
-			t.saved++
-			ans.Checkpoint = taskagent.CheckpointPrefix(f.Attempt) + string(rune('0'+t.saved))
+		result := taskagent.CallResult{Call: taskagent.CheckpointCall, Attempt: f.Attempt}
+		if t := a.findTask(f.Attempt); t != nil && t.state == model.TaskRunning {
+			t.checkpoints++
+			result.Checkpoint = taskagent.CheckpointPrefix(f.Attempt) + string(rune('0'+t.checkpoints))
 		}
-		return ans
+		return result
 	case taskagent.CallThrottle:
 		return taskagent.CallResult{Call: taskagent.ThrottleCall, Attempt: f.Attempt}
 	case taskagent.CallStop:
-		if t := a.task(f.Attempt); t != nil && t.state == model.TaskRunning {
+		if t := a.findTask(f.Attempt); t != nil && t.state == model.TaskRunning {
 			t.state = model.TaskStopped
-			w.note("%s stops %s", a.id, f.Attempt)
+			w.tracef("%s stops %s", a.id, f.Attempt)
 		}
 		return taskagent.CallResult{Call: taskagent.StopCall, Attempt: f.Attempt}
 	}
 	var list []taskagent.Task
-	for _, t := range a.runs {
+	for _, t := range a.tasks {
 		list = append(list, taskagent.Task{Attempt: t.id, State: t.state, Result: taskagent.ResultName(t.id)})
 	}
 	return taskagent.ListResult{Tasks: list}
 }
 
-// taskCPU is the size of every job, capacityCPU that of a worker.
+// taskCPU is the size of every job and capacityCPU the capacity of a worker, in
+// thousandths of a core.
 const taskCPU, capacityCPU = 500, 1000
 
-// start runs a task and checks that no other attempt of the job is live and
-// that the worker has room.
-func (w *world) start(a *agent, f taskagent.CallStart) taskagent.Event {
+// startTask starts a task and checks that no other attempt of the job is live
+// and that the worker has the capacity.
+func (w *world) startTask(a *agent, f taskagent.CallStart) taskagent.Event {
 	id := f.Request.Attempt
 	d := min(lease.WorkerTTL, f.Until-w.now)
 	if d <= 0 {
-		return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id, Refused: true, Err: errors.New("the lease ended")}
+		return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id, Refused: true, Err: errors.New("the lease has expired")}
 	}
-	if a.task(id) != nil {
+	if a.findTask(id) != nil {
 		return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id}
 	}
-	w.note("%s starts %s", a.id, id)
-	for i := range w.agent {
-		for j := range w.agent[i].runs {
-			t := &w.agent[i].runs[j]
-			if w.settle(t); t.id.Job == id.Job && t.state == model.TaskRunning {
-				w.failure = "two live attempts: " + t.id.String() + " on " + string(w.agent[i].id) + " and " + id.String() + " on " + string(a.id)
+	w.tracef("%s starts %s", a.id, id)
+	for i := range w.agents {
+		for j := range w.agents[i].tasks {
+			t := &w.agents[i].tasks[j]
+			if w.updateTask(t); t.id.Job == id.Job && t.state == model.TaskRunning {
+				w.failure = "two live attempts: " + t.id.String() + " on " + string(w.agents[i].id) + " and " + id.String() + " on " + string(a.id)
 			}
 		}
 	}
-	if (a.running()+1)*taskCPU > capacityCPU {
-		w.failure = string(a.id) + " has no room for " + id.String()
+	if (a.runningTasks()+1)*taskCPU > capacityCPU {
+		w.failure = string(a.id) + " has no capacity for " + id.String()
 	}
-	a.runs = append(a.runs, task{id: id, began: w.now, lease: w.now + d, state: model.TaskRunning})
+	a.tasks = append(a.tasks, task{id: id, startedAt: w.now, leaseEnd: w.now + d, state: model.TaskRunning})
 	return taskagent.CallResult{Call: taskagent.StartCall, Attempt: id}
 }
 
-// running counts the tasks that run, once each is settled.
-func (a *agent) running() (n int) {
-	for i := range a.runs {
-		if a.runs[i].state == model.TaskRunning {
+// runningTasks counts the running tasks; updateTask must have been called for
+// each of them.
+func (a *agent) runningTasks() (n int) {
+	for i := range a.tasks {
+		if a.tasks[i].state == model.TaskRunning {
 			n++
 		}
 	}
 	return n
 }
 
-func (a *agent) task(id model.AttemptID) *task {
-	for i := range a.runs {
-		if a.runs[i].id == id {
-			return &a.runs[i]
+func (a *agent) findTask(id model.AttemptID) *task {
+	for i := range a.tasks {
+		if a.tasks[i].id == id {
+			return &a.tasks[i]
 		}
 	}
 	return nil
