--- a/internal/shape/shape.go
+++ b/internal/shape/shape.go
@@ -20,7 +20,7 @@
 const Module = "github.com/bambooscale/bambooscale/"
 
 // layers lists the packages from low to high. A package may import only
-// packages of lower layers. An entry ending in "/" covers what is below it.
+// packages of lower layers. An entry also covers the packages below its path.
 var layers = [][]string{
 	{"charts", "internal/finding", "internal/event", "internal/table", "internal/workload"},
 	{"internal/chart", "internal/model", "internal/actor"},
@@ -34,7 +34,9 @@
 	{"cmd/", "internal/shape", "internal/faultproxy", "internal/history", "internal/measure", "internal/capacity", "internal/explore", "test"},
 }
 
-// Check reads every Go file below fsys that is neither a test nor generated.
+// Check checks the charts and every Go file below fsys that is neither a test
+// nor generated. It returns the violations, and an error if a file cannot be
+// read. Hidden folders, testdata and tools are skipped.
 func Check(fsys fs.FS) (finding.List, error) {
 	c := &checker{fset: token.NewFileSet(), charts: map[string]bool{}}
 	err := fs.WalkDir(fsys, ".", func(name string, d fs.DirEntry, err error) error {
@@ -47,20 +49,20 @@
 			}
 			return nil
 		}
-		return c.file(fsys, name)
+		return c.checkFile(fsys, name)
 	})
 	c.checkCharts()
-	return c.found, err
+	return c.findings, err
 }
 
 type checker struct {
-	fset   *token.FileSet
-	found  finding.List
-	charts map[string]bool // chart file name to "bound by code"
-	bound  []string
+	fset        *token.FileSet
+	findings    finding.List
+	charts      map[string]bool // by name without extension: code interprets it
+	boundCharts []string        // values of the Chart fields in composite literals
 }
 
-func (c *checker) file(fsys fs.FS, name string) error {
+func (c *checker) checkFile(fsys fs.FS, name string) error {
 	if strings.HasSuffix(name, ".scxml") {
 		c.charts[strings.TrimSuffix(path.Base(name), ".scxml")] = false
 		return nil
@@ -72,35 +74,35 @@
 	if err != nil {
 		return err
 	}
-	c.pageWords(name, string(raw))
+	c.checkPlatformTerms(name, string(raw))
 	f, err := parser.ParseFile(c.fset, name, raw, parser.SkipObjectResolution)
 	if err != nil {
-		c.found.Add(name, 0, "", "does not parse: %v", err)
+		c.findings.Add(name, 0, "", "does not parse: %v", err)
 		return nil
 	}
-	c.imports(name, f)
-	ast.Inspect(f, func(n ast.Node) bool { c.node(name, n); return true })
+	c.checkImports(name, f)
+	ast.Inspect(f, func(n ast.Node) bool { c.checkNode(name, n); return true })
 	return nil
 }
 
-// pageWords are words of the users' pages, and names of their protocol, for
-// which the product has words of its own.
-var pageWords = []string{
+// platformTerms are terms and protocol names of the users' platform, in lower
+// case. The rest of the code uses the project's own terms for them.
+var platformTerms = []string{
 	"minion", "rows-tx", "rows-get", "rows-feed", "api/run-", "ack-cursor", "fencing-token", "heartbeat-address",
 	"memory-request-mb", "max-per-server", "allow-duplicates", "requirements\"", "may-miss", "/api/instances",
 }
 
-// adapter is the one folder that knows the users' words.
-const adapter = "platform"
+// adapterDir is the only folder that may use platformTerms.
+const adapterDir = "platform"
 
-func (c *checker) pageWords(name, source string) {
-	if path.Dir(name) == adapter || path.Dir(name) == "internal/shape" {
+func (c *checker) checkPlatformTerms(name, source string) {
+	if path.Dir(name) == adapterDir || path.Dir(name) == "internal/shape" {
 		return
 	}
 	for i, line := range strings.Split(strings.ToLower(source), "\n") {
-		for _, word := range pageWords {
-			if strings.Contains(line, word) {
-				c.found.Add(name, i+1, word, "a word of the users' pages stands outside %s/", adapter)
+		for _, term := range platformTerms {
+			if strings.Contains(line, term) {
+				c.findings.Add(name, i+1, term, "a term of the users' platform may be used only in %s/", adapterDir)
 			}
 		}
 	}
@@ -108,16 +110,17 @@
 
 func (c *checker) line(n ast.Node) int { return c.fset.Position(n.Pos()).Line }
 
-func (c *checker) imports(name string, f *ast.File) {
+func (c *checker) checkImports(name string, f *ast.File) {
 	dir := path.Dir(name)
 	for _, spec := range f.Imports {
 		imp, _ := strconv.Unquote(spec.Path.Value)
-		if why := forbiddenImport(dir, imp); why != "" {
-			c.found.Add(name, c.line(spec), imp, "%s", why)
+		if reason := forbiddenImport(dir, imp); reason != "" {
+			c.findings.Add(name, c.line(spec), imp, "%s", reason)
 		}
 	}
 }
 
+// forbiddenImport returns why dir may not import imp, or "" if it may.
 func forbiddenImport(dir, imp string) string {
 	switch {
 	case (imp == "sync" || imp == "sync/atomic") && dir != "internal/actor":
@@ -128,12 +131,13 @@
 		return "decisions do no input or output"
 	}
 	if own, ok := strings.CutPrefix(imp, Module); ok {
-		return forbiddenLayer(dir, own)
+		return forbiddenByLayer(dir, own)
 	}
 	return ""
 }
 
-func forbiddenLayer(dir, imp string) string {
+// forbiddenByLayer returns why the layers forbid the import, or "".
+func forbiddenByLayer(dir, imp string) string {
 	from, to := layerOf(dir), layerOf(imp)
 	switch {
 	case from < 0:
@@ -150,6 +154,7 @@
 	return ""
 }
 
+// layerOf returns the index in layers of a package, or -1.
 func layerOf(dir string) int {
 	for i, names := range layers {
 		for _, n := range names {
@@ -161,29 +166,29 @@
 	return -1
 }
 
-func (c *checker) node(name string, n ast.Node) {
+func (c *checker) checkNode(name string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.SelectorExpr:
 		if id, ok := n.X.(*ast.Ident); ok && id.Name == "time" && n.Sel.Name == "Sleep" {
-			c.found.Add(name, c.line(n), "time.Sleep", "wait on a timer and the context, as actor.Sleep does")
+			c.findings.Add(name, c.line(n), "time.Sleep", "wait on a timer and the context, as actor.Sleep does")
 		}
 	case *ast.KeyValueExpr:
 		key, ok := n.Key.(*ast.Ident)
 		lit, isLit := n.Value.(*ast.BasicLit)
 		if ok && isLit && key.Name == "Chart" && lit.Kind == token.STRING {
 			v, _ := strconv.Unquote(lit.Value)
-			c.bound = append(c.bound, v)
+			c.boundCharts = append(c.boundCharts, v)
 		}
 	}
 }
 
 func (c *checker) checkCharts() {
-	for _, b := range c.bound {
+	for _, b := range c.boundCharts {
 		c.charts[b] = true
 	}
 	for name, bound := range c.charts {
 		if !bound {
-			c.found.Add("charts/"+name+".scxml", 0, "", "no code interprets this chart")
+			c.findings.Add("charts/"+name+".scxml", 0, "", "no code interprets this chart")
 		}
 	}
 }
--- a/internal/shape/shape_test.go
+++ b/internal/shape/shape_test.go
@@ -10,9 +10,9 @@
 
 // Guards against a change that breaks a structural rule of the design page.
 func TestRepositoryKeepsTheRules(t *testing.T) {
-	found, err := Check(os.DirFS("../.."))
+	findings, err := Check(os.DirFS("../.."))
 	require.NoError(t, err)
-	require.NoError(t, found.Err())
+	require.NoError(t, findings.Err())
 }
 
 // Guards against a rule that no longer detects its violation.
@@ -25,15 +25,15 @@
 		"upward import":       {"internal/msg/a.go", "package msg\nimport _ \"" + Module + "internal/entry\"\n", "only lower layers"},
 		"unknown layer":       {"internal/misc/a.go", "package misc\nimport _ \"" + Module + "internal/model\"\n", "has no layer"},
 		"sleep":               {"internal/entry/a.go", "package entry\nimport \"time\"\nfunc f() { time.Sleep(1) }\n", "wait on a timer"},
-		"page word":           {"internal/entry/a.go", "package entry\n\n// f asks the minion.\nfunc f() {}\n", "users' pages"},
+		"platform term":       {"internal/entry/a.go", "package entry\n\n// f asks the minion.\nfunc f() {}\n", "users' platform"},
 		"unbound chart":       {"charts/x.scxml", "<scxml/>", "no code interprets"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			found, err := Check(fstest.MapFS{c.file: {Data: []byte(c.source)}})
+			findings, err := Check(fstest.MapFS{c.file: {Data: []byte(c.source)}})
 			require.NoError(t, err)
-			require.Len(t, found, 1)
-			require.Contains(t, found[0].Text, c.want)
+			require.Len(t, findings, 1)
+			require.Contains(t, findings[0].Text, c.want)
 		})
 	}
 }
