--- a/internal/measure/baseline_test.go
+++ b/internal/measure/baseline_test.go
@@ -6,24 +6,28 @@
 	"time"
 )
 
-// baseline is a policy of which an event model replays a load: each request
-// is sent to an instance on arrival and waits there, first come first served,
-// without refusal. Callers give up at the deadline; the server runs on.
+// baseline is a load balancing policy for comparison. It sends each request to
+// an instance on arrival, where it waits first come, first served, and is never
+// refused. Callers give up at the deadline, but the backend server still runs
+// the request.
 type baseline struct {
-	name   string
+	name string
+	// choose returns the instance for a request.
 	choose func(m *eventModel, r *rand.Rand) int
 }
 
-// eventModel has the free time of each slot of each instance, and for a central
-// queue one instance with all slots.
+// eventModel is a discrete event model of a deployment under a baseline. The
+// central queue is modelled as one instance with all slots.
 type eventModel struct {
 	now  time.Duration
-	free []slotHeap
-	// outstanding counts requests by instance as one of several entries sees
-	// them: its own only.
+	free []slotHeap // by instance: when each slot becomes free
+	// outstanding counts requests by entry and instance; an entry knows only its
+	// own requests.
 	outstanding [][]int
-	done        []endHeap
-	next        int
+	pendingEnds []endHeap // by entry
+	// position is the last instance chosen by roundRobin, and the index of the
+	// current entry for leastOutstanding.
+	position int
 }
 
 type slotHeap []time.Duration
@@ -60,11 +64,11 @@
 var (
 	randomChoice = baseline{"random", func(m *eventModel, r *rand.Rand) int { return r.IntN(len(m.free)) }}
 	roundRobin   = baseline{"round robin", func(m *eventModel, _ *rand.Rand) int {
-		m.next++
-		return m.next % len(m.free)
+		m.position++
+		return m.position % len(m.free)
 	}}
 	leastOutstanding = baseline{"least outstanding", func(m *eventModel, _ *rand.Rand) int {
-		best, own := 0, m.outstanding[m.next%2]
+		best, own := 0, m.outstanding[m.position%2]
 		for i := range own {
 			if own[i] < own[best] {
 				best = i
@@ -75,55 +79,56 @@
 	central = baseline{"central queue", func(*eventModel, *rand.Rand) int { return 0 }}
 )
 
-// replay returns the answers of a load under a baseline. delay is the time
-// between an entry and an instance, one way.
+// replay returns the answers to a load under the baseline. delay is the one-way
+// delay between an entry and an instance.
 func (b baseline) replay(d deployment, load []arrival, seed uint64, delay time.Duration) []answer {
 	instances, slots := d.instances, d.slots
 	if b.name == central.name {
 		instances, slots, delay = 1, instances*slots, 0
 	}
-	m := &eventModel{free: make([]slotHeap, instances), outstanding: make([][]int, d.entries), done: make([]endHeap, d.entries)}
-	for i := range m.free {
-		m.free[i] = make(slotHeap, slots)
+	model := &eventModel{free: make([]slotHeap, instances), outstanding: make([][]int, d.entries), pendingEnds: make([]endHeap, d.entries)}
+	for i := range model.free {
+		model.free[i] = make(slotHeap, slots)
 	}
-	for e := range m.outstanding {
-		m.outstanding[e] = make([]int, instances)
+	for e := range model.outstanding {
+		model.outstanding[e] = make([]int, instances)
 	}
 	r := rand.New(rand.NewPCG(seed, 2))
 	answers := make([]answer, len(load))
-	for k, a := range load {
-		m.now, m.next = a.at+d.client, max(m.next, 0)
-		entry := k % d.entries
+	for index, a := range load {
+		model.now, model.position = a.at+d.clientDelay, max(model.position, 0)
+		entry := index % d.entries
 		if b.name == leastOutstanding.name {
-			m.next = entry
+			model.position = entry
 		}
-		m.expire(entry)
-		answers[k] = m.send(d, a, entry, b.choose(m, r), delay)
+		model.expire(entry)
+		answers[index] = model.send(d, a, entry, b.choose(model, r), delay)
 	}
 	return answers
 }
 
-// expire counts the requests of an entry that have ended.
+// expire removes the requests of an entry that have ended from outstanding.
 func (m *eventModel) expire(entry int) {
-	h := &m.done[entry]
+	h := &m.pendingEnds[entry]
 	for len(*h) > 0 && (*h)[0].at <= m.now {
 		m.outstanding[entry][heap.Pop(h).(end).instance]--
 	}
 }
 
+// send runs a request on instance i and returns its answer.
 func (m *eventModel) send(d deployment, a arrival, entry, i int, delay time.Duration) answer {
-	begin := max(m.free[i][0], m.now+delay)
-	finish := begin + a.service
+	start := max(m.free[i][0], m.now+delay)
+	finish := start + a.service
 	m.free[i][0] = finish
 	heap.Fix(&m.free[i], 0)
 	m.outstanding[entry][i]++
-	heap.Push(&m.done[entry], end{finish + delay, i})
-	got := answer{arrival: a, status: 200, took: finish + delay + d.client - a.at}
-	got.inEntry = got.took - 2*d.client
+	heap.Push(&m.pendingEnds[entry], end{finish + delay, i})
+	result := answer{arrival: a, status: 200, latency: finish + delay + d.clientDelay - a.at}
+	result.inEntry = result.latency - 2*d.clientDelay
 	for _, c := range d.classes {
-		if len(a.path) >= len(c.PathPrefixes[0]) && a.path[:len(c.PathPrefixes[0])] == c.PathPrefixes[0] && got.inEntry > c.Deadline {
-			got.status = 504
+		if len(a.path) >= len(c.PathPrefixes[0]) && a.path[:len(c.PathPrefixes[0])] == c.PathPrefixes[0] && result.inEntry > c.Deadline {
+			result.status = 504
 		}
 	}
-	return got
+	return result
 }
--- a/internal/measure/cluster_test.go
+++ b/internal/measure/cluster_test.go
@@ -24,22 +24,23 @@
 	"github.com/bambooscale/bambooscale/internal/msg"
 )
 
-// deployment is the size of a user of design section 1.
+// deployment is the size of a deployment of docs/design.md section 1, as the
+// measurements of requests need it.
 type deployment struct {
-	service     model.Service
-	dataCentres []string
-	between     time.Duration // one way between data centres
-	client      time.Duration // one way to clients
-	instances   int
-	slots       int
-	connections int
-	entries     int
-	classes     []entry.ClassRule
+	service         model.Service
+	dataCentres     []string
+	dataCentreDelay time.Duration // one-way delay between data centres
+	clientDelay     time.Duration // one-way delay to clients
+	instances       int
+	slots           int
+	connections     int
+	entries         int
+	classes         []entry.ClassRule
 }
 
 var nilegate = deployment{
 	service: "permit-desk", dataCentres: []string{"cairo-nasr", "cairo-maadi", "cairo-giza"},
-	between: 1500 * time.Microsecond, client: 3 * time.Millisecond,
+	dataCentreDelay: 1500 * time.Microsecond, clientDelay: 3 * time.Millisecond,
 	instances: 11, slots: 8, connections: 64, entries: 2,
 	classes: []entry.ClassRule{
 		{Name: "read", PathPrefixes: []string{"/slips"}, Deadline: 300 * time.Millisecond},
@@ -50,7 +51,7 @@
 
 var wickramasinghe = deployment{
 	service: "wick-orders", dataCentres: []string{"dip-shed", "braid-hall", "dye-yard"},
-	between: time.Millisecond, client: 3 * time.Millisecond,
+	dataCentreDelay: time.Millisecond, clientDelay: 3 * time.Millisecond,
 	instances: 11, slots: 8, connections: 64, entries: 2,
 	classes: []entry.ClassRule{
 		{Name: "stock", PathPrefixes: []string{"/stock"}, Deadline: time.Second},
@@ -58,39 +59,40 @@
 	},
 }
 
-// cluster is an assembly of entries and agents over links in memory.
+// cluster runs entries and agents that are connected by in-memory links.
 type cluster struct {
-	t        *testing.T
-	d        deployment
-	group    *actor.Group
-	net      *link.Memory
-	entries  []*actor.Value[entry.Frontend] // replaced at a restart
-	backends []*fakeBackend
-	// transport makes the backend server of an agent; nil: a fakeBackend.
+	t          *testing.T
+	deployment deployment
+	group      *actor.Group
+	network    *link.Memory
+	entries    []*actor.Value[entry.Frontend] // an entry replaces its value when it restarts
+	backends   []*fakeBackend
+	// transport returns the backend server of agent i; nil: a fakeBackend.
 	transport func(i int) http.RoundTripper
-	boots     model.Boot // drawn so far
+	lastBoot  model.Boot // boot number of the process started last
 	processes map[string]*process
 }
 
 // process is one entry or agent process, which may be killed and started again.
 type process struct {
 	group    *actor.Group
-	listener link.Listener // of an entry
-	slots    agent.Address // of an agent
+	listener link.Listener // entries only
+	slots    agent.Address // agents only
 }
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.Default, Level: log.FatalLevel} }
 
-// newCluster must be called inside a synctest bubble.
+// newCluster starts a cluster and waits until its links are up. It must be
+// called inside a synctest bubble.
 func newCluster(t *testing.T, d deployment, seed uint64) *cluster {
 	return newClusterWith(t, d, seed, nil)
 }
 
 func newClusterWith(t *testing.T, d deployment, seed uint64, transport func(i int) http.RoundTripper) *cluster {
-	c := &cluster{t: t, d: d, group: actor.NewGroup(t.Context(), func(e actor.Exit) { t.Log(e.Actor, e.Err) }),
+	c := &cluster{t: t, deployment: d, group: actor.NewGroup(t.Context(), func(e actor.Exit) { t.Log(e.Actor, e.Err) }),
 		transport: transport, processes: map[string]*process{}}
-	c.net = link.NewMemory(c.group.Context(), seed)
-	c.net.SetDelay(link.Any, link.Any, 50*time.Microsecond, 0)
+	c.network = link.NewMemory(c.group.Context(), seed)
+	c.network.SetDelay(link.Any, link.Any, 50*time.Microsecond, 0)
 	for i := range d.entries {
 		c.entries = append(c.entries, &actor.Value[entry.Frontend]{})
 		c.startEntry(i)
@@ -98,19 +100,20 @@
 	for i := range d.instances {
 		c.startAgent(i)
 	}
-	time.Sleep(time.Second) // links come up
+	time.Sleep(time.Second) // until the links are up
 	return c
 }
 
-// process begins a process in a group of its own.
-func (c *cluster) process(name string) *process {
+// newProcess registers a process with an actor group of its own and a new boot
+// number.
+func (c *cluster) newProcess(name string) *process {
 	p := &process{group: c.group.Sub()}
 	c.processes[name] = p
-	c.boots++
+	c.lastBoot++
 	return p
 }
 
-// kill ends a process and its connections at once.
+// kill stops a process and resets its connections.
 func (c *cluster) kill(name string) {
 	p := c.processes[name]
 	p.group.Cancel()
@@ -118,26 +121,26 @@
 		p.listener.Close()
 	}
 	for other := range c.processes {
-		c.net.Reset(name, other)
+		c.network.Reset(name, other)
 	}
 	p.group.Wait()
 }
 
 func (c *cluster) dataCentre(i int) model.DataCentre {
-	return model.DataCentre(c.d.dataCentres[i%len(c.d.dataCentres)])
+	return model.DataCentre(c.deployment.dataCentres[i%len(c.deployment.dataCentres)])
 }
 
 func entryName(i int) string { return "entry-" + string(rune('a'+i)) }
 func agentName(i int) string { return "worker-" + string(rune('a'+i)) }
 
 func (c *cluster) startEntry(i int) {
-	p := c.process(entryName(i))
-	self := entry.Self{Entry: model.EntryID(entryName(i)), Boot: c.boots, DataCentre: c.dataCentre(i)}
-	rules := &entry.RoutingTable{DefaultService: c.d.service, Services: map[model.Service]entry.ServiceRule{
-		c.d.service: {Name: c.d.service, Classes: c.d.classes}}}
+	p := c.newProcess(entryName(i))
+	self := entry.Self{Entry: model.EntryID(entryName(i)), Boot: c.lastBoot, DataCentre: c.dataCentre(i)}
+	rules := &entry.RoutingTable{DefaultService: c.deployment.service, Services: map[model.Service]entry.ServiceRule{
+		c.deployment.service: {Name: c.deployment.service, Classes: c.deployment.classes}}}
 	table := &actor.Value[entry.RoutingTable]{}
 	dispatcher := entry.SpawnDispatcher(p.group, self, rules, table)
-	l, err := c.net.Listen(entryName(i))
+	l, err := c.network.Listen(entryName(i))
 	require.NoError(c.t, err)
 	p.listener = l
 	links := &entry.Links{Self: self, Dispatcher: dispatcher, Log: discardLog(),
@@ -149,15 +152,15 @@
 
 func (c *cluster) startAgent(i int) {
 	worker := model.Worker{ID: model.WorkerID(agentName(i)), DataCentre: c.dataCentre(i)}
-	p := c.process(agentName(i))
-	slots, boot := agent.SpawnSlots(p.group, worker), c.boots
+	p := c.newProcess(agentName(i))
+	slots, boot := agent.SpawnSlots(p.group, worker), c.lastBoot
 	p.slots = slots
-	links := &agent.Links{Dialer: c.net.Dialer(agentName(i)), Slots: slots, Transport: c.backend(i), Log: discardLog(),
+	links := &agent.Links{Dialer: c.network.Dialer(agentName(i)), Slots: slots, Transport: c.backend(i), Log: discardLog(),
 		Hello: func() *msg.AgentHello { return &msg.AgentHello{Worker: worker, Boot: boot} }}
-	for e := range c.d.entries {
+	for e := range c.deployment.entries {
 		if c.dataCentre(e) != worker.DataCentre {
-			c.net.SetDelay(entryName(e), agentName(i), c.d.between, 0)
-			c.net.SetDelay(agentName(i), entryName(e), c.d.between, 0)
+			c.network.SetDelay(entryName(e), agentName(i), c.deployment.dataCentreDelay, 0)
+			c.network.SetDelay(agentName(i), entryName(e), c.deployment.dataCentreDelay, 0)
 		}
 		actor.Go(p.group, "entry link", func(ctx context.Context) error { return links.Connect(ctx, entryName(e)) })
 	}
@@ -168,10 +171,11 @@
 	})
 }
 
-// announcement is that of an instance of the backend server beside an agent.
+// announcement returns the announcement of an instance of agent i's backend
+// server.
 func (c *cluster) announcement(i, instance int) agent.Announce {
-	return agent.Announce{Backend: model.BackendID(string(c.d.service) + "@" + agentName(i)), Service: c.d.service,
-		Address: "192.0.2.1:80", Slots: c.d.slots, Connections: c.d.connections, Instance: fmt.Sprint(instance)}
+	return agent.Announce{Backend: model.BackendID(string(c.deployment.service) + "@" + agentName(i)), Service: c.deployment.service,
+		Address: "192.0.2.1:80", Slots: c.deployment.slots, Connections: c.deployment.connections, Instance: fmt.Sprint(instance)}
 }
 
 func (c *cluster) backend(i int) http.RoundTripper {
@@ -185,23 +189,24 @@
 
 func (c *cluster) stop() {
 	c.group.Cancel()
-	c.net.Close()
+	c.network.Close()
 	c.group.Wait()
 }
 
-// most returns the highest number of requests that ran at once on any
+// maxRunning returns the highest number of requests that ran at once on one
 // backend server.
-func (c *cluster) most() int64 {
+func (c *cluster) maxRunning() int64 {
 	n := int64(0)
 	for _, b := range c.backends {
-		n = max(n, b.most.Load())
+		n = max(n, b.maxRunning.Load())
 	}
 	return n
 }
 
-// fakeBackend runs a request for the time that its header says.
+// fakeBackend is a backend server that runs each request for the time given in
+// serviceHeader.
 type fakeBackend struct {
-	running, most, ran, longRunning atomic.Int64
+	running, maxRunning, started, longStarted atomic.Int64
 }
 
 const serviceHeader = "X-Service-Time"
@@ -212,7 +217,7 @@
 	}
 	n := b.running.Add(1)
 	defer b.running.Add(-1)
-	for old := b.most.Load(); n > old && !b.most.CompareAndSwap(old, n); old = b.most.Load() {
+	for old := b.maxRunning.Load(); n > old && !b.maxRunning.CompareAndSwap(old, n); old = b.maxRunning.Load() {
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return nil, err
@@ -221,9 +226,9 @@
 	if err != nil {
 		return nil, err
 	}
-	b.ran.Add(1)
+	b.started.Add(1)
 	if d > time.Minute {
-		b.longRunning.Add(1)
+		b.longStarted.Add(1)
 	}
 	if !actor.Sleep(r.Context(), d) {
 		return nil, r.Context().Err()
@@ -234,40 +239,41 @@
 
 // arrival is one request of a load.
 type arrival struct {
-	at      time.Duration
+	at      time.Duration // since the start of the load
 	method  string
 	path    string
 	tenant  string
-	service time.Duration
+	service time.Duration // time that the backend server needs
 }
 
-// answer is what a caller saw.
+// answer is the answer to a request as its caller sees it.
 type answer struct {
 	arrival
-	took    time.Duration // as the caller sees it
-	inEntry time.Duration
+	latency time.Duration // with the delays to and from the client
+	inEntry time.Duration // without these delays
 	status  int
 	outcome string
 }
 
-// run sends the load open loop and returns the answers in order of arrival.
-func (c *cluster) run(load []arrival) []answer {
-	answers, g := c.start(load)
+// runLoad sends the load in an open loop and returns the answers in order of
+// arrival.
+func (c *cluster) runLoad(load []arrival) []answer {
+	answers, g := c.startLoad(load)
 	g.Wait()
 	return answers
 }
 
-// runUntil is run for a load whose long requests do not end: it gives them up
-// after the time given.
-func (c *cluster) runUntil(load []arrival, length time.Duration) []answer {
+// runLoadFor is runLoad for a load with requests that do not end. It cancels the
+// remaining requests after length.
+func (c *cluster) runLoadFor(load []arrival, length time.Duration) []answer {
 	begin := time.Now()
-	answers, g := c.start(load)
+	answers, g := c.startLoad(load)
 	time.Sleep(length - time.Since(begin))
 	g.Stop()
 	return answers
 }
 
-func (c *cluster) start(load []arrival) ([]answer, *actor.Group) {
+func (c *cluster) startLoad(load []arrival) ([]answer, *actor.Group) {
 	answers := make([]answer, len(load))
 	start := time.Now()
 	g := actor.NewGroup(c.t.Context(), nil)
@@ -284,8 +290,8 @@
 }
 
 func (c *cluster) request(ctx context.Context, e *entry.Frontend, a arrival) answer {
-	time.Sleep(c.d.client)
-	r := httptest.NewRequestWithContext(ctx, a.method, "http://"+string(c.d.service)+".example"+a.path, nil)
+	time.Sleep(c.deployment.clientDelay)
+	r := httptest.NewRequestWithContext(ctx, a.method, "http://"+string(c.deployment.service)+".example"+a.path, nil)
 	r.Header.Set(serviceHeader, a.service.String())
 	if a.tenant != "" {
 		r.Header.Set("Bambooscale-Tenant", a.tenant)
@@ -294,6 +300,6 @@
 	arrived := time.Now()
 	e.ServeHTTP(w, r)
 	inEntry := time.Since(arrived)
-	return answer{arrival: a, took: inEntry + 2*c.d.client, inEntry: inEntry, status: w.Code,
+	return answer{arrival: a, latency: inEntry + 2*c.deployment.clientDelay, inEntry: inEntry, status: w.Code,
 		outcome: w.Header().Get(model.OutcomeHeader)}
 }
--- a/internal/measure/faultbackend_test.go
+++ b/internal/measure/faultbackend_test.go
@@ -16,18 +16,19 @@
 const (
 	keyHeader   = "X-Key"
 	faultHeader = "X-Fault"
-	// noticeLag is how long a backend server runs on after its client closed
-	// the connection.
-	noticeLag = 10 * time.Millisecond
+	// disconnectDelay is the time after which a backend server detects that its
+	// client closed the connection and ends the run.
+	disconnectDelay = 10 * time.Millisecond
 )
 
 var errReset = errors.New("connection reset")
 
-// recordingBackend records each run. Half of a request's service time passes
-// before the response begins, the other half in its middle.
+// recordingBackend is a backend server that records each run. Half of the
+// service time passes before the response begins, the other half between its
+// first and second half.
 type recordingBackend struct {
 	instance int
-	rec      recorder
+	recorder recorder
 }
 
 func (b *recordingBackend) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -38,9 +39,9 @@
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
 	key := r.Header.Get(keyHeader)
-	n := b.rec.began(key, b.instance)
+	n := b.recorder.recordStart(key, b.instance)
 	fail := func(err error) (*http.Response, error) {
-		b.rec.ended(n, false, noticeLag)
+		b.recorder.recordEnd(n, false, disconnectDelay)
 		return nil, err
 	}
 	body, err := io.ReadAll(r.Body)
@@ -61,56 +62,57 @@
 		return fail(errReset)
 	}
 	text := responseBody(key)
-	resp := &recordedBody{ctx: r.Context(), rest: text, half: len(text) / 2, pause: d / 2, backend: b, run: n,
-		cut: r.Header.Get(faultHeader) == "cut"}
+	resp := &recordedBody{ctx: r.Context(), remaining: text, firstHalf: len(text) / 2, pause: d / 2, backend: b, run: n,
+		truncated: r.Header.Get(faultHeader) == "cut"}
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, ContentLength: int64(len(text)), Body: resp}, nil
 }
 
-// recordedBody is a response that pauses, or is cut, in its middle.
+// recordedBody is a response body that pauses after its first half or, if
+// truncated is set, ends there with an error.
 type recordedBody struct {
-	ctx     context.Context
-	rest    string
-	half    int
-	pause   time.Duration
-	backend *recordingBackend
-	run     int
-	cut     bool
-	done    bool
+	ctx       context.Context
+	remaining string // not yet read
+	firstHalf int    // bytes of the first half that are not yet read
+	pause     time.Duration
+	backend   *recordingBackend
+	run       int
+	truncated bool
+	ended     bool
 }
 
-func (r *recordedBody) end(complete bool, lag time.Duration) {
-	if !r.done {
-		r.done = true
-		r.backend.rec.ended(r.run, complete, lag)
+func (r *recordedBody) recordEnd(complete bool, lag time.Duration) {
+	if !r.ended {
+		r.ended = true
+		r.backend.recorder.recordEnd(r.run, complete, lag)
 	}
 }
 
 func (r *recordedBody) Read(p []byte) (int, error) {
 	switch {
-	case r.half > 0:
-		n := copy(p, r.rest[:r.half])
-		r.rest, r.half = r.rest[n:], r.half-n
+	case r.firstHalf > 0:
+		n := copy(p, r.remaining[:r.firstHalf])
+		r.remaining, r.firstHalf = r.remaining[n:], r.firstHalf-n
 		return n, nil
-	case r.cut:
-		r.end(false, 0)
+	case r.truncated:
+		r.recordEnd(false, 0)
 		return 0, io.ErrUnexpectedEOF
 	case r.pause > 0:
 		if !actor.Sleep(r.ctx, r.pause) {
-			r.end(false, noticeLag)
+			r.recordEnd(false, disconnectDelay)
 			return 0, r.ctx.Err()
 		}
 		r.pause = 0
 	}
-	if r.rest == "" {
-		r.end(true, 0)
+	if r.remaining == "" {
+		r.recordEnd(true, 0)
 		return 0, io.EOF
 	}
-	n, _ := strings.NewReader(r.rest).Read(p)
-	r.rest = r.rest[n:]
+	n, _ := strings.NewReader(r.remaining).Read(p)
+	r.remaining = r.remaining[n:]
 	return n, nil
 }
 
 func (r *recordedBody) Close() error {
-	r.end(false, noticeLag)
+	r.recordEnd(false, disconnectDelay)
 	return nil
 }
--- a/internal/measure/history_test.go
+++ b/internal/measure/history_test.go
@@ -10,34 +10,34 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// run is one run of a request as a backend server saw it.
+// run is one run of a request as recorded by its backend server.
 type run struct {
 	key        string
 	instance   int
-	begin, end time.Duration // since the start; end is when the server noticed
+	begin, end time.Duration // since the start of the recorder; end is when the backend server detects it
 	complete   bool
 }
 
-// seen is what a caller saw of its request.
-type seen struct {
+// callerResult is the result of a request as its caller sees it.
+type callerResult struct {
 	key        string
 	idempotent bool
-	left       bool // the caller left before the answer
+	cancelled  bool // the caller closed the connection before the answer
 	status     int  // 0: the connection was aborted
 	body       string
 	outcome    string
 }
 
-// history is what callers and backend servers saw. Nothing in it comes from
-// the system under test.
+// history contains the observations of callers and backend servers, and nothing
+// from the system under test.
 type history struct {
-	slots  int
-	runs   []run
-	seen   []seen
-	drains map[int]time.Duration // first drain of an instance, without a return
+	slots   int
+	runs    []run
+	results []callerResult
+	drains  map[int]time.Duration // time of the drain of each drained instance; none returns to service
 }
 
-// responseBody is the whole answer to the request with a key.
+// responseBody returns the complete response body for the request with a key.
 func responseBody(key string) string { return fmt.Sprintf("answer to %s: %s", key, key+key+key) }
 
 // check returns every violation of guarantees G2 and G4 to G7 in h.
@@ -46,41 +46,43 @@
 	for _, r := range h.runs {
 		byKey[r.key] = append(byKey[r.key], r)
 	}
-	var found []string
-	for _, s := range h.seen {
-		found = append(found, s.check(byKey[s.key])...)
+	var violations []string
+	for _, result := range h.results {
+		violations = append(violations, result.check(byKey[result.key])...)
 	}
 	for key, runs := range byKey {
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if a.begin < b.end && b.begin < a.end {
-					found = append(found, fmt.Sprintf("G2: %s runs twice at once", key))
+					violations = append(violations, fmt.Sprintf("G2: %s has two concurrent runs", key))
 				}
 			}
 		}
 	}
-	return append(append(found, h.checkSlots()...), h.checkDrains()...)
+	return append(append(violations, h.checkSlots()...), h.checkDrains()...)
 }
 
-func (s seen) check(runs []run) (found []string) {
+// check returns the violations of G4 to G6 by one request; runs are its runs.
+func (s callerResult) check(runs []run) (violations []string) {
 	if !s.idempotent && len(runs) > 1 {
-		found = append(found, fmt.Sprintf("G6: %s ran %d times", s.key, len(runs)))
+		violations = append(violations, fmt.Sprintf("G6: %s ran %d times", s.key, len(runs)))
 	}
 	switch {
 	case s.status == 200 && s.body != responseBody(s.key):
-		found = append(found, fmt.Sprintf("G4: %s was answered %q", s.key, s.body))
+		violations = append(violations, fmt.Sprintf("G4: %s was answered %q", s.key, s.body))
 	case s.status == 200 && len(runs) == 0:
-		found = append(found, fmt.Sprintf("G4: %s was answered but never ran", s.key))
+		violations = append(violations, fmt.Sprintf("G4: %s was answered but never ran", s.key))
 	case s.outcome == model.OutcomeNotRun.String() && len(runs) > 0:
-		found = append(found, fmt.Sprintf("G5: %s is reported as not run and ran", s.key))
+		violations = append(violations, fmt.Sprintf("G5: %s is reported as not run but ran", s.key))
 	case s.outcome == model.OutcomeRun.String() && len(runs) == 0:
-		found = append(found, fmt.Sprintf("G5: %s is reported as run and did not", s.key))
+		violations = append(violations, fmt.Sprintf("G5: %s is reported as run but never ran", s.key))
 	}
-	return found
+	return violations
 }
 
-// checkSlots counts the runs at once on each instance.
-func (h history) checkSlots() (found []string) {
+// checkSlots returns a violation for each start of a run that exceeds the slots
+// of its instance.
+func (h history) checkSlots() (violations []string) {
 	type edge struct {
 		at       time.Duration
 		instance int
@@ -100,22 +102,24 @@
 	for _, e := range edges {
 		running[e.instance] += e.change
 		if e.change > 0 && running[e.instance] > h.slots {
-			found = append(found, fmt.Sprintf("slots: %d runs at once on instance %d at %v", running[e.instance], e.instance, e.at))
+			violations = append(violations, fmt.Sprintf("slots: %d concurrent runs on instance %d at %v", running[e.instance], e.instance, e.at))
 		}
 	}
-	return found
+	return violations
 }
 
-func (h history) checkDrains() (found []string) {
+// checkDrains returns the violations of G7: runs that start more than 3 s after
+// the drain of their instance.
+func (h history) checkDrains() (violations []string) {
 	for _, r := range h.runs {
 		if at, ok := h.drains[r.instance]; ok && r.begin > at+3*time.Second {
-			found = append(found, fmt.Sprintf("G7: %s starts on instance %d %v after its drain", r.key, r.instance, r.begin-at))
+			violations = append(violations, fmt.Sprintf("G7: %s starts on instance %d %v after its drain", r.key, r.instance, r.begin-at))
 		}
 	}
-	return found
+	return violations
 }
 
-// recorder is the actor that collects the runs and the answers.
+// recorder is the actor that owns the history.
 type recorder struct {
 	actor.Address[func(*history)]
 	start time.Time
@@ -136,6 +140,7 @@
 		}})}
 }
 
+// add applies a change to the history.
 func (r recorder) add(f func(*history)) { _ = r.Send(context.Background(), f) }
 
 // get returns a copy of the history so far.
@@ -146,8 +151,8 @@
 	return h
 }
 
-// began records the begin of a run and returns its number.
-func (r recorder) began(key string, instance int) int {
+// recordStart records the start of a run and returns its index in the history.
+func (r recorder) recordStart(key string, instance int) int {
 	at := time.Since(r.start)
 	n, _ := actor.Ask(context.Background(), r.Address, func(reply actor.Reply[int]) func(*history) {
 		return func(h *history) {
@@ -158,8 +163,8 @@
 	return n
 }
 
-// ended records that a server noticed the end of a run, now or after a lag.
-func (r recorder) ended(n int, complete bool, lag time.Duration) {
+// recordEnd records that the backend server detects the end of run n after lag.
+func (r recorder) recordEnd(n int, complete bool, lag time.Duration) {
 	at := time.Since(r.start) + lag
 	r.add(func(h *history) { h.runs[n].end, h.runs[n].complete = at, complete })
 }
--- a/internal/measure/load_test.go
+++ b/internal/measure/load_test.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// kind is one kind of request in a mix.
-type kind struct {
+// requestKind describes one kind of request in a mix. Its service time is
+// log-normal.
+type requestKind struct {
 	method, path, tenant string
-	share                float64
+	share                float64 // fraction of the requests
 	median               time.Duration
-	sigma                float64 // of the logarithm; the tail grows with it
+	sigma                float64 // standard deviation of the logarithm
 }
 
-func (k kind) mean() float64 { return float64(k.median) * math.Exp(k.sigma*k.sigma/2) }
+func (k requestKind) mean() float64 { return float64(k.median) * math.Exp(k.sigma*k.sigma/2) }
 
-// permitMix is short reads, consent POSTs and grade rosters.
-var permitMix = []kind{
+// permitMix consists of short reads, consent POSTs and grade rosters.
+var permitMix = []requestKind{
 	{"GET", "/slips/7", "", 0.60, 10 * time.Millisecond, 0.5},
 	{"POST", "/consent", "", 0.37, 25 * time.Millisecond, 0.6},
 	{"POST", "/roster", "", 0.03, 250 * time.Millisecond, 0.5},
 }
 
-func meanOf(mix []kind) time.Duration {
+// meanOf returns the mean service time of a mix.
+func meanOf(mix []requestKind) time.Duration {
 	sum := 0.0
 	for _, k := range mix {
 		sum += k.share * k.mean()
@@ -32,9 +34,9 @@
 	return time.Duration(sum)
 }
 
-// generate draws a Poisson load whose rate in requests per second is a
-// function of time.
-func generate(seed uint64, mix []kind, length time.Duration, rate func(time.Duration) float64) []arrival {
+// generate returns a load of Poisson arrivals; rate returns the requests per
+// second at a time.
+func generate(seed uint64, mix []requestKind, length time.Duration, rate func(time.Duration) float64) []arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var load []arrival
 	for at := time.Duration(0); ; {
@@ -42,11 +44,11 @@
 		if at >= length {
 			return load
 		}
-		load = append(load, draw(r, mix, at))
+		load = append(load, drawArrival(r, mix, at))
 	}
 }
 
-func draw(r *rand.Rand, mix []kind, at time.Duration) arrival {
+func drawArrival(r *rand.Rand, mix []requestKind, at time.Duration) arrival {
 	x := r.Float64()
 	k := mix[len(mix)-1]
 	for _, m := range mix {
@@ -59,9 +61,9 @@
 	return arrival{at: at, method: k.method, path: k.path, tenant: k.tenant, service: d}
 }
 
-// crest is a demand of base requests per second that rises to peak within 2 s
-// from begin on and falls back at end.
-func crest(base, peak float64, begin, end time.Duration) func(time.Duration) float64 {
+// surge returns a rate of base requests per second that rises linearly to peak
+// within 2 s of begin and returns to base at end.
+func surge(base, peak float64, begin, end time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		switch {
 		case at < begin || at >= end:
@@ -73,53 +75,55 @@
 	}
 }
 
-// window returns the answers to requests that arrived in [from, to).
-func window(answers []answer, from, to time.Duration) []answer {
-	var list []answer
+// arrivedIn returns the answers to requests that arrived in [from, to).
+func arrivedIn(answers []answer, from, to time.Duration) []answer {
+	var arrived []answer
 	for _, a := range answers {
 		if a.at >= from && a.at < to {
-			list = append(list, a)
+			arrived = append(arrived, a)
 		}
 	}
-	return list
+	return arrived
 }
 
-func quantile(answers []answer, q float64, of func(answer) time.Duration) time.Duration {
+// quantile returns the q-quantile of a value of the answers.
+func quantile(answers []answer, q float64, value func(answer) time.Duration) time.Duration {
 	if len(answers) == 0 {
 		return 0
 	}
-	list := make([]time.Duration, len(answers))
+	values := make([]time.Duration, len(answers))
 	for i, a := range answers {
-		list[i] = of(a)
+		values[i] = value(a)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
-	return list[min(len(list)-1, int(q*float64(len(list))))]
+	sort.Slice(values, func(i, j int) bool { return values[i] < values[j] })
+	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
 
-func took(a answer) time.Duration { return a.took }
+func latencyOf(a answer) time.Duration { return a.latency }
 
 // served returns the answers with status 200.
 func served(answers []answer) []answer {
-	var list []answer
+	var answered []answer
 	for _, a := range answers {
 		if a.status == 200 {
-			list = append(list, a)
+			answered = append(answered, a)
 		}
 	}
-	return list
+	return answered
 }
 
+// share returns the number of answers in part as a fraction of those in whole.
 func share(part, whole []answer) float64 { return float64(len(part)) / float64(max(1, len(whole))) }
 
-// merge returns two loads in order of arrival.
-func merge(a, b []arrival) []arrival {
+// mergeLoads returns the requests of both loads in order of arrival.
+func mergeLoads(a, b []arrival) []arrival {
 	all := append(append([]arrival(nil), a...), b...)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].at < all[j].at })
 	return all
 }
 
-// shift delays a load.
-func shift(load []arrival, by time.Duration) []arrival {
+// delayLoad returns a copy of the load that arrives later.
+func delayLoad(load []arrival, by time.Duration) []arrival {
 	later := make([]arrival, len(load))
 	for i, a := range load {
 		later[i] = a
--- a/internal/measure/states_test.go
+++ b/internal/measure/states_test.go
@@ -9,37 +9,38 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a second run, a false "not run" or a mixed-up answer when a
-// fault meets a POST while it is queued, offered, started or answering: the
-// fault comes at each millisecond of the life of 28 POSTs in turn.
+// Guards against a second run, a false "not run" or the answer to another
+// request when a fault occurs while a POST is queued, offered, started or
+// answered. For each millisecond of their duration, 28 POSTs are sent and the
+// fault occurs at that time.
 func TestFaultInEveryState(t *testing.T) {
 	t.Parallel()
 	const service, step = 20 * time.Millisecond, time.Millisecond
-	en, an := entryName(0), agentName(0)
+	entryID, agentID := entryName(0), agentName(0)
 	faults := map[string]func(*trial){
-		"reset": func(x *trial) { x.net.Reset(en, an) },
+		"reset": func(x *trial) { x.network.Reset(entryID, agentID) },
 		"cut to the agent": func(x *trial) {
-			x.net.Cut(en, an)
+			x.network.Cut(entryID, agentID)
 			time.Sleep(5 * time.Second)
-			x.net.Heal(en, an)
+			x.network.Heal(entryID, agentID)
 		},
 		"cut to the entry": func(x *trial) {
-			x.net.Cut(an, en)
+			x.network.Cut(agentID, entryID)
 			time.Sleep(5 * time.Second)
-			x.net.Heal(an, en)
+			x.network.Heal(agentID, entryID)
 		},
 		"cut": func(x *trial) {
-			x.net.CutBoth(en, an)
+			x.network.CutBoth(entryID, agentID)
 			time.Sleep(5 * time.Second)
-			x.net.HealBoth(en, an)
+			x.network.HealBoth(entryID, agentID)
 		},
 		"agent restarts": func(x *trial) {
-			x.kill(an)
+			x.kill(agentID)
 			time.Sleep(300 * time.Millisecond)
 			x.startAgent(0)
 		},
 		"entry restarts": func(x *trial) {
-			x.kill(en)
+			x.kill(entryID)
 			time.Sleep(300 * time.Millisecond)
 			x.startEntry(0)
 		},
@@ -49,7 +50,7 @@
 			x := newTrial(t, 5)
 			for at := time.Duration(0); at < service+10*time.Millisecond; at += step {
 				for range 28 { // more than the 24 slots, so that some are queued
-					x.call(0, call{method: http.MethodPost, service: service})
+					x.startCall(0, call{method: http.MethodPost, service: service})
 				}
 				time.Sleep(at)
 				fault(x)
