--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -36,7 +36,7 @@
 
 var (
 	errCancelled = errors.New("the entry cancelled the request")
-	errTruncated = errors.New("the request body is incomplete: its length differs from the total that the entry sent")
+	errTruncated = errors.New("the request body is shorter than announced")
 )
 
 // run serves the stream to its end.
