--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -22,7 +22,7 @@
 	// MaxWait is the time after Window within which every job has to end. While
 	// faults are active, the limit is later by the time at which the last ends.
 	MaxWait time.Duration
-	Charts  fs.FS // contains the agentattempt.scxml to use; nil: the embedded chart
+	Charts  fs.FS // contains the hold.scxml to use; nil: the embedded chart
 	NoFence bool  // the table ignores preconditions, to test the checks themselves
 	// MaxStates is the number of states after which the exploration stops; 0 is
 	// no limit.
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -89,10 +89,10 @@
 	}
 }
 
-// chartsWith returns agentattempt.scxml with oldText replaced by newText.
+// chartsWith returns hold.scxml with oldText replaced by newText.
 func chartsWith(t *testing.T, oldText, newText string) fs.FS {
-	raw, err := fs.ReadFile(charts.Files, "agentattempt.scxml")
+	raw, err := fs.ReadFile(charts.Files, "hold.scxml")
 	require.NoError(t, err)
 	require.Contains(t, string(raw), oldText)
-	return fstest.MapFS{"agentattempt.scxml": {Data: bytes.ReplaceAll(raw, []byte(oldText), []byte(newText))}}
+	return fstest.MapFS{"hold.scxml": {Data: bytes.ReplaceAll(raw, []byte(oldText), []byte(newText))}}
 }
--- a/internal/hostagent/run.go
+++ b/internal/hostagent/run.go
@@ -10,7 +10,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/agentrun.scxml, in the order of RunBinding. A run is
+// States of charts/heldrun.scxml, in the order of RunBinding. A run is
 // unconfirmed while it is unknown whether its start took effect.
 const (
 	runStarting chart.State = iota
@@ -20,7 +20,7 @@
 	runEnded
 )
 
-// Events of charts/agentrun.scxml, in the order of RunBinding. evListed and
+// Events of charts/heldrun.scxml, in the order of RunBinding. evListed and
 // evUnlisted: a poll response contains the run, or does not although it should.
 const (
 	evAccepted chart.Event = iota
@@ -46,10 +46,10 @@
 
 func init() { runChart = chart.MustCompile(charts.Files, RunBinding()) }
 
-// RunBinding returns the binding of charts/agentrun.scxml.
+// RunBinding returns the binding of charts/heldrun.scxml.
 func RunBinding() chart.Binding[run] {
 	return chart.Binding[run]{
-		Chart:  "agentrun",
+		Chart:  "heldrun",
 		States: []string{"starting", "doubtful", "running", "stopping", "over"},
 		Events: []string{"accepted", "rejected", "unanswered", "ended", "stop", "gone", "late", "listed", "unlisted"},
 		Guards: map[string]func(*run) bool{"stopRequested": func(r *run) bool { return r.stopRequested }},
--- a/internal/jobs/host.go
+++ b/internal/jobs/host.go
@@ -9,7 +9,7 @@
 	"github.com/bambooscale/bambooscale/internal/workload"
 )
 
-// States of charts/host.scxml, in the order of HostBinding.
+// States of charts/taskhost.scxml, in the order of HostBinding.
 const (
 	hostUnavailable chart.State = iota
 	hostClaiming
@@ -17,7 +17,7 @@
 	hostSilent
 )
 
-// Events of charts/host.scxml, in the order of HostBinding.
+// Events of charts/taskhost.scxml, in the order of HostBinding.
 const (
 	evUp chart.Event = iota
 	evDown
@@ -34,10 +34,10 @@
 
 func init() { hostChart = chart.MustCompile(charts.Files, HostBinding()) }
 
-// HostBinding binds charts/host.scxml.
+// HostBinding binds charts/taskhost.scxml.
 func HostBinding() chart.Binding[host] {
 	return chart.Binding[host]{
-		Chart:  "host",
+		Chart:  "taskhost",
 		States: []string{"away", "claiming", "ready", "silent"},
 		Events: []string{"up", "down", "inventory", "lapse", "late", "expect"},
 		Actions: map[string]func(*host){
--- a/internal/taskagent/attempt.go
+++ b/internal/taskagent/attempt.go
@@ -8,7 +8,7 @@
 	"github.com/bambooscale/bambooscale/internal/model"
 )
 
-// States of charts/agentattempt.scxml.
+// States of charts/hold.scxml.
 const (
 	stAbsent chart.State = iota
 	stStarting
@@ -19,7 +19,7 @@
 	stForgotten
 )
 
-// Events of charts/agentattempt.scxml.
+// Events of charts/hold.scxml.
 const (
 	evStart chart.Event = iota
 	evStarted
@@ -82,10 +82,10 @@
 
 var attemptChart = chart.MustCompile(charts.Files, AttemptBinding())
 
-// AttemptBinding returns the binding of charts/agentattempt.scxml.
+// AttemptBinding returns the binding of charts/hold.scxml.
 func AttemptBinding() chart.Binding[attempt] {
 	return chart.Binding[attempt]{
-		Chart:  "agentattempt",
+		Chart:  "hold",
 		States: []string{"absent", "starting", "running", "stopping", "reporting", "kept", "forgotten"},
 		Events: []string{"start", "started", "notStarted", "unknown", "stop", "expire", "found", "ended", "lost",
 			"checkpoint", "checkpointed", "throttle", "renew", "stopped", "retry", "acknowledge"},
